--- a/crates/workshold-core/tests/hosted/asking.rs
+++ b/crates/workshold-core/tests/hosted/asking.rs
@@ -6,8 +6,8 @@
 //! store's return was read 3.3 s later.
 
 use rstest::rstest;
-use workshold_core::hosted::asking::AskRules;
-use workshold_core::hosted::asking::Round;
+use workshold_core::hosted::asking::LongPollRules;
+use workshold_core::hosted::asking::PollRound;
 use workshold_protocol::Millis;
 
 /// What an answer takes.
@@ -15,9 +15,12 @@
 /// Time for the answer itself, beyond the wait.
 const ANSWER_TIME: Millis = Millis(1_200);
 
-const SHORT: AskRules = AskRules { wait: Millis(1_450), late: Millis(250), every: Millis(1_300) };
-const LONG: AskRules = AskRules { wait: Millis(2_000), late: Millis(250), every: Millis(1_300) };
-const RARE: AskRules = AskRules { wait: Millis(1_500), late: Millis(250), every: Millis(2_400) };
+const SHORT: LongPollRules =
+    LongPollRules { wait: Millis(1_450), late_after: Millis(250), retry_interval: Millis(1_300) };
+const LONG: LongPollRules =
+    LongPollRules { wait: Millis(2_000), late_after: Millis(250), retry_interval: Millis(1_300) };
+const RARE: LongPollRules =
+    LongPollRules { wait: Millis(1_500), late_after: Millis(250), retry_interval: Millis(2_400) };
 
 /// A store that is silent for a while, and where something is written later.
 #[derive(Debug, Clone, Copy)]
@@ -37,23 +40,27 @@
 }
 
 /// When what is written is read, by rounds one after the other, and how many questions it took.
-fn read_at(store: Store, rules: AskRules, draws: &mut impl Iterator<Item = u32>) -> (Millis, u32) {
+fn read_at(
+    store: Store,
+    rules: LongPollRules,
+    draws: &mut impl Iterator<Item = u32>,
+) -> (Millis, u32) {
     let mut now = Millis(10_000);
     let mut asked = 0;
     loop {
-        let mut round = Round::new(rules, now);
+        let mut round = PollRound::new(rules, now);
         let mut answer: Option<(Millis, Millis)> = None;
         let mut given_up = Vec::new();
-        while answer.is_none_or(|(at, _)| at > round.asks_at()) {
-            now = round.asks_at();
+        while answer.is_none_or(|(at, _)| at > round.next_poll_at()) {
+            now = round.next_poll_at();
             given_up.retain(|until| {
                 let is_over = *until <= now;
                 if is_over {
-                    round.on_silence();
+                    round.on_timeout();
                 }
                 !is_over
             });
-            let wait = round.on_asked(now, draws.next().unwrap());
+            let wait = round.on_poll_sent(now, draws.next().unwrap());
             asked += 1;
             match store.answers(now, wait) {
                 Some(at) if answer.is_none_or(|(first, _)| at < first) => answer = Some((at, now)),
@@ -85,8 +92,10 @@
 #[case::short(SHORT)]
 #[case::long(LONG)]
 #[case::rare(RARE)]
-fn what_is_written_after_a_silence_is_read_in_time_whatever_the_moments(#[case] rules: AskRules) {
-    let mut worst = Millis::ZERO;
+fn what_is_written_after_a_silence_is_read_in_time_whatever_the_moments(
+    #[case] rules: LongPollRules,
+) {
+    let mut max_delay = Millis::ZERO;
     for (i, began) in (10_000..14_000).step_by(37).enumerate() {
         for lasted in (1..9_000).step_by(131) {
             let back = Millis(began + lasted);
@@ -95,19 +104,19 @@
                 let store = Store { silent: (Millis(began), back), written };
                 let (read, _) = read_at(store, rules, &mut draws(i as u64));
                 let took = read.since(written);
-                assert!(took <= rules.worst() + ANSWER, "{store:?}: {took}");
-                worst = worst.max(took);
+                assert!(took <= rules.max_delay() + ANSWER, "{store:?}: {took}");
+                max_delay = max_delay.max(took);
             }
         }
     }
     // The worst moment is among those tried, or the bound says little.
-    assert!(worst + Millis(100) > rules.worst(), "{worst}");
+    assert!(max_delay + Millis(100) > rules.max_delay(), "{max_delay}");
 }
 
 #[rstest]
 #[case::short(SHORT, 11)]
 #[case::rare(RARE, 7)]
-fn a_silence_costs_few_questions(#[case] rules: AskRules, #[case] most: u32) {
+fn a_silence_costs_few_questions(#[case] rules: LongPollRules, #[case] most: u32) {
     let back = Millis(20_000);
     for seed in 0..200 {
         let store = Store { silent: (Millis(10_300), back), written: back };
@@ -119,13 +128,13 @@
 #[test]
 fn nodes_that_lose_the_store_together_ask_at_different_moments() {
     let thirds = |seed| {
-        let mut round = Round::new(SHORT, Millis::ZERO);
+        let mut round = PollRound::new(SHORT, Millis::ZERO);
         let mut draws = draws(seed);
         (0..3).for_each(|_| {
-            let at = round.asks_at();
-            round.on_asked(at, draws.next().unwrap());
+            let at = round.next_poll_at();
+            round.on_poll_sent(at, draws.next().unwrap());
         });
-        round.asks_at()
+        round.next_poll_at()
     };
     let mut moments: Vec<Millis> = (1..8).map(thirds).collect();
     moments.sort();
@@ -135,26 +144,26 @@
 
 #[test]
 fn an_answer_that_is_coming_is_not_asked_for_twice() {
-    let mut round = Round::new(SHORT, Millis::ZERO);
-    round.on_asked(Millis::ZERO, 0);
-    round.on_part(Millis(1_690));
-    assert_eq!(round.asks_at(), Millis(1_940));
+    let mut round = PollRound::new(SHORT, Millis::ZERO);
+    round.on_poll_sent(Millis::ZERO, 0);
+    round.on_partial_answer(Millis(1_690));
+    assert_eq!(round.next_poll_at(), Millis(1_940));
 }
 
 #[rstest]
 #[case::short(SHORT, [150, 300, 600, 650, 650])]
 #[case::rare(RARE, [150, 300, 600, 1_200, 1_200])]
 fn a_store_that_refuses_is_asked_more_and_more_rarely(
-    #[case] rules: AskRules,
+    #[case] rules: LongPollRules,
     #[case] expected: [u64; 5],
 ) {
-    let mut round = Round::new(rules, Millis::ZERO);
+    let mut round = PollRound::new(rules, Millis::ZERO);
     let mut pauses = Vec::new();
     for _ in 0..5 {
-        let now = round.asks_at();
-        round.on_asked(now, 0);
+        let now = round.next_poll_at();
+        round.on_poll_sent(now, 0);
         round.on_refusal(now);
-        pauses.push(round.asks_at().since(now).0);
+        pauses.push(round.next_poll_at().since(now).0);
     }
     assert_eq!(pauses, expected);
 }
@@ -169,11 +178,11 @@
     #[case] one_failed: bool,
     #[case] expected: bool,
 ) {
-    let mut round = Round::new(SHORT, Millis::ZERO);
-    round.on_asked(Millis::ZERO, 0);
-    round.on_asked(Millis(1_700), 0);
+    let mut round = PollRound::new(SHORT, Millis::ZERO);
+    round.on_poll_sent(Millis::ZERO, 0);
+    round.on_poll_sent(Millis(1_700), 0);
     if one_failed {
-        round.on_silence();
+        round.on_timeout();
     }
-    assert_eq!(round.was_in_doubt(number), expected);
+    assert_eq!(round.may_follow_outage(number), expected);
 }
--- a/crates/workshold-gateway/src/settings.rs
+++ b/crates/workshold-gateway/src/settings.rs
@@ -5,7 +5,7 @@
 
 use displaydoc::Display;
 use serde::Deserialize;
-use workshold_core::hosted::asking::AskRules;
+use workshold_core::hosted::asking::LongPollRules;
 use workshold_core::hosted::tries::BudgetRules;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
@@ -208,7 +208,7 @@
 
     /// How the store is asked for a newer configuration. Just before the next answer, what
     /// is held is as old as two waits: keys must still be believed then.
-    pub fn config_asking(&self, is_reader: bool) -> AskRules {
+    pub fn config_poll_rules(&self, is_reader: bool) -> LongPollRules {
         let kept = CONFIG_ON_THE_WAY + CONFIG_ON_THE_WAY;
         let half = Millis(self.keys_believed().since(kept).0 / 2);
         asking(half.min(CONFIG_WAIT_MOST), self.bounds.config_in_force_ms, is_reader)
@@ -216,7 +216,7 @@
 
     /// How the store is asked for changes of the list. What waits brings them at once, unless
     /// it was lost in a disturbance.
-    pub fn list_asking(&self, is_reader: bool) -> AskRules {
+    pub fn list_poll_rules(&self, is_reader: bool) -> LongPollRules {
         asking(LIST_WAIT_MOST, self.bounds.undisturbed_after_ms, is_reader)
     }
 
@@ -224,7 +224,7 @@
     /// as it becomes where it is read, and the way. Keys are still believed then, for
     /// long enough to read it oneself.
     pub fn config_current(&self) -> Millis {
-        let wait = self.config_asking(true).wait;
+        let wait = self.config_poll_rules(true).wait;
         wait + wait + CONFIG_ON_THE_WAY
     }
 
@@ -252,13 +252,13 @@
 /// question that is lost must not make it late, whatever the moment. Whoever is no reader asks
 /// as rarely as that allows: it is readers who tell it of the store's return, and hundreds
 /// that ask into a silence would be a burden to it afterwards.
-fn asking(wait_most: Millis, bound: u64, is_reader: bool) -> AskRules {
+fn asking(wait_most: Millis, bound: u64, is_reader: bool) -> LongPollRules {
     let asked_within = Millis(bound).since(ANSWER_ROOM);
-    let every = if is_reader { asked_within.min(ASK_EVERY) } else { asked_within };
-    AskRules {
+    let retry_interval = if is_reader { asked_within.min(ASK_EVERY) } else { asked_within };
+    LongPollRules {
         wait: asked_within.since(ANSWER_LATE).min(wait_most).max(WAIT_LEAST),
-        late: ANSWER_LATE,
-        every: every.max(WAIT_LEAST),
+        late_after: ANSWER_LATE,
+        retry_interval: retry_interval.max(WAIT_LEAST),
     }
 }
 
--- a/crates/workshold-gateway/src/tasks/asking.rs
+++ b/crates/workshold-gateway/src/tasks/asking.rs
@@ -3,8 +3,8 @@
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use workshold_core::hosted::asking::AskRules;
-use workshold_core::hosted::asking::Round;
+use workshold_core::hosted::asking::LongPollRules;
+use workshold_core::hosted::asking::PollRound;
 use workshold_core::hosted::history::Place;
 use workshold_http::client::CallError;
 use workshold_platform::names;
@@ -85,7 +85,7 @@
 
 /// How asking ended.
 #[derive(Debug)]
-pub enum Asked {
+pub enum PollOutcome {
     /// With an answer.
     Read(Reading),
     /// What was to be read on from is no longer kept.
@@ -107,37 +107,37 @@
 pub async fn read(
     node: &Node,
     topic: Topic,
-    rules: AskRules,
+    rules: LongPollRules,
     from: impl Fn() -> Option<Place>,
     is_needed: impl Fn() -> bool,
-) -> Asked {
+) -> PollOutcome {
     let store = topic.store(node);
     // The whole is there at once.
     let wait = if from().is_some() { rules.wait } else { Millis::ZERO };
-    let mut round = Round::new(AskRules { wait, ..rules }, node.now());
+    let mut round = PollRound::new(LongPollRules { wait, ..rules }, node.now());
     let mut open = FuturesUnordered::new();
     let mut received = store.received();
     loop {
         let now = node.now();
-        if round.asks_at() <= now {
+        if round.next_poll_at() <= now {
             let is_coming = !open.is_empty() && store.received() > received;
             received = store.received();
             if is_coming {
-                round.on_part(now);
+                round.on_partial_answer(now);
                 continue;
             }
             if round.asked() > 0 && !is_needed() {
-                return Asked::NotNeeded;
+                return PollOutcome::NotNeeded;
             }
-            if round.is_first_late() {
+            if round.is_first_poll_late() {
                 emit(Event::ReadingLate, &[("reading", topic.text())]);
             }
-            let wait = round.on_asked(now, rand::random());
+            let wait = round.on_poll_sent(now, rand::random());
             let question = Question { number: round.asked(), from: from(), sent: now };
             node.metrics.count(topic.metric());
             open.push(ask(store, topic, question, wait));
         }
-        let left = round.asks_at().since(node.now());
+        let left = round.next_poll_at().since(node.now());
         tokio::select! {
             Some((question, answer)) = open.next() => {
                 if let Some(asked) = take_answer(node, topic, &mut round, question, answer) {
@@ -153,25 +153,25 @@
 fn take_answer(
     node: &Node,
     topic: Topic,
-    round: &mut Round,
+    round: &mut PollRound,
     question: Question,
     answer: Result<Answer<Records>, StoreError>,
-) -> Option<Asked> {
+) -> Option<PollOutcome> {
     let Question { number, from, sent } = question;
     match answer.and_then(|answer| take(node, answer, sent)) {
         Ok(records) => {
-            if round.was_in_doubt(number) {
+            if round.may_follow_outage(number) {
                 topic.note_trouble(node, sent);
             }
-            Some(Asked::Read(Reading { records, from, sent }))
+            Some(PollOutcome::Read(Reading { records, from, sent }))
         }
-        Err(StoreError::Gone { .. }) => Some(Asked::Gone),
+        Err(StoreError::Gone { .. }) => Some(PollOutcome::Gone),
         Err(err) => {
             let now = node.now();
             note_failure(node, topic, sent, &err);
             topic.note_trouble(node, now);
             match err {
-                StoreError::Call(CallError::TimedOut { .. }) => round.on_silence(),
+                StoreError::Call(CallError::TimedOut { .. }) => round.on_timeout(),
                 _ => round.on_refusal(now),
             }
             None
--- a/crates/workshold-gateway/src/tasks/following.rs
+++ b/crates/workshold-gateway/src/tasks/following.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 
 use bytes::Bytes;
-use workshold_core::hosted::asking::AskRules;
+use workshold_core::hosted::asking::LongPollRules;
 use workshold_core::hosted::history::Place;
 use workshold_platform::config;
 use workshold_platform::entries;
@@ -23,7 +23,7 @@
 use crate::peers::ListNews;
 use crate::peers::ListRecord;
 use crate::tasks::asking;
-use crate::tasks::asking::Asked;
+use crate::tasks::asking::PollOutcome;
 use crate::tasks::asking::Reading;
 use crate::tasks::asking::Topic;
 use crate::tasks::gossip;
@@ -110,12 +110,12 @@
     let next = followed.next;
     let from = || next.filter(|next| next.era == node.pasts.era());
     let is_needed = || !do_others_read(node, is_config_current);
-    let rules = node.settings().config_asking(node.is_reader());
+    let rules = node.settings().config_poll_rules(node.is_reader());
     let asked = asking::read(node, Topic::Config, rules, from, is_needed).await;
     let Reading { records, from, sent } = match asked {
-        Asked::Read(reading) => reading,
-        Asked::NotNeeded => return,
-        Asked::Gone => {
+        PollOutcome::Read(reading) => reading,
+        PollOutcome::NotNeeded => return,
+        PollOutcome::Gone => {
             *followed = Followed::default();
             return;
         }
@@ -174,11 +174,11 @@
     loop {
         wait_to_start(&node).await;
         wait_while_others_read(&node, is_list_current).await;
-        let asking = node.settings().list_asking(node.is_reader());
+        let asking = node.settings().list_poll_rules(node.is_reader());
         let wait = if node.wants_list_anew() { Millis::ZERO } else { asking.wait };
         let sent = node.now();
         tokio::select! {
-            has_read = read_list(&node, AskRules { wait, ..asking }) => {
+            has_read = read_list(&node, LongPollRules { wait, ..asking }) => {
                 if has_read {
                     rest(&node, sent).await;
                 }
@@ -205,15 +205,15 @@
 }
 
 /// Reads on; whether that brought an answer.
-async fn read_list(node: &Node, rules: AskRules) -> bool {
+async fn read_list(node: &Node, rules: LongPollRules) -> bool {
     // Places of a past that is over mean nothing to the store.
     let from = || node.list.lock().next.filter(|next| next.era == node.pasts.era());
     let is_needed = || !do_others_read(node, is_list_current);
     let asked = asking::read(node, Topic::List, rules, from, is_needed).await;
     let Reading { records, from, sent } = match asked {
-        Asked::Read(reading) => reading,
-        Asked::NotNeeded => return false,
-        Asked::Gone => {
+        PollOutcome::Read(reading) => reading,
+        PollOutcome::NotNeeded => return false,
+        PollOutcome::Gone => {
             node.list.lock().next = None;
             return false;
         }
--- a/crates/workshold-gateway/tests/catalogues.rs
+++ b/crates/workshold-gateway/tests/catalogues.rs
@@ -84,9 +84,9 @@
         let settings = settings::parse(&text).unwrap();
         for is_reader in [true, false] {
             let (config, list) =
-                (settings.config_asking(is_reader), settings.list_asking(is_reader));
+                (settings.config_poll_rules(is_reader), settings.list_poll_rules(is_reader));
             for asking in [config, list] {
-                assert!(asking.worst() + Millis(300) <= Millis(bound), "{bound}: {asking:?}");
+                assert!(asking.max_delay() + Millis(300) <= Millis(bound), "{bound}: {asking:?}");
             }
         }
     }
@@ -97,7 +97,7 @@
     for (bound, most) in [(800, 1_500), (2_000, 1_500), (3_000, 1_500), (5_000, 1_500)] {
         let text = filled().replace("keys_believed_ms = 7", &format!("keys_believed_ms = {bound}"));
         let settings = settings::parse(&text).unwrap();
-        let wait = settings.config_asking(true).wait;
+        let wait = settings.config_poll_rules(true).wait;
         assert!(wait + wait < settings.keys_believed(), "{bound}: {wait}");
         let is_short = settings.keys_believed() < Millis(1_800);
         assert!(is_short || settings.config_current() < settings.keys_believed(), "{bound}");
