--- a/crates/workshold-core/src/hosted/history.rs
+++ b/crates/workshold-core/src/hosted/history.rs
@@ -5,7 +5,7 @@
 //! and are given out again, so they mean something only together with the era, and are
 //! compared as wholes. What a copy says is true about a past, not about now: the first whole
 //! reading of an era ends nothing by itself, until whoever is there has had the time to write
-//! again ([`COPY_STANDS`]).
+//! again ([`RESTORE_SETTLE_TIME`]).
 
 use std::fmt;
 
@@ -30,7 +30,7 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Place {
+pub struct LogPosition {
     /// The past that it belongs to; it decides first.
     pub era: Era,
     /// The record there.
@@ -38,7 +38,7 @@
 }
 
 /// A place in the log of a store that has never come back from a copy.
-impl From<u64> for Place {
+impl From<u64> for LogPosition {
     fn from(offset: u64) -> Self {
         Self { era: Era::default(), offset }
     }
@@ -82,28 +82,28 @@
 /// 1.2 s, and has replaced what was not by the second time; one that is not there any more,
 /// or cannot reach the store, has missed three in 3.6 s, counted from a check-in after the
 /// return, and was dropped by the store before its old word is believed.
-pub const COPY_STANDS: Millis = Millis(5_500);
+pub const RESTORE_SETTLE_TIME: Millis = Millis(5_500);
 
 /// How an answer's era stands to what is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum EraOrder {
     /// It is of a past that is over: nothing in it counts.
-    Earlier,
+    Older,
     /// It is of the past that is known.
-    Known,
+    Same,
     /// The store has come back from a copy.
-    Risen,
+    Newer,
 }
 
 /// What a process has heard of the store's pasts.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct History {
+pub struct EraTracker {
     known: Option<(Era, Millis)>,
     /// Whether the era was known from its beginning, or is known to be old.
     is_old: bool,
 }
 
-impl History {
+impl EraTracker {
     /// The newest era heard of.
     pub fn era(&self) -> Era {
         self.known.map(|(era, _)| era).unwrap_or_default()
@@ -116,36 +116,38 @@
 
     /// Somebody heard of `era`, for the first time at `since`. The first one that a process
     /// hears of is no rise: it remembers nothing from before it.
-    pub fn hear(&mut self, era: Era, since: Millis) -> Heard {
+    pub fn observe(&mut self, era: Era, since: Millis) -> EraOrder {
         match &mut self.known {
             None => {
                 self.known = Some((era, since));
-                Heard::Known
+                EraOrder::Same
             }
-            Some((known, _)) if era < *known => Heard::Earlier,
+            Some((known, _)) if era < *known => EraOrder::Older,
             Some((known, at)) if era == *known => {
                 *at = (*at).min(since);
-                Heard::Known
+                EraOrder::Same
             }
             Some(known) => {
                 *known = (era, since);
                 self.is_old = false;
-                Heard::Risen
+                EraOrder::Newer
             }
         }
     }
 
     /// What is kept shows that the era has lasted for longer than a copy takes to become
     /// true.
-    pub fn note_old(&mut self, era: Era) {
+    pub fn mark_settled(&mut self, era: Era) {
         self.is_old |= era == self.era();
     }
 
     /// From when on the list can be taken for what is there now. A store that has never come
     /// back from a copy is always right.
-    pub fn is_true_from(&self) -> Millis {
+    pub fn trusted_from(&self) -> Millis {
         match self.known {
-            Some((era, since)) if era > Era::default() && !self.is_old => since + COPY_STANDS,
+            Some((era, since)) if era > Era::default() && !self.is_old => {
+                since + RESTORE_SETTLE_TIME
+            }
             _ => Millis::ZERO,
         }
     }
--- a/crates/workshold-core/src/hosted/roster.rs
+++ b/crates/workshold-core/src/hosted/roster.rs
@@ -13,9 +13,9 @@
 use workshold_protocol::ids::ModelName;
 use workshold_protocol::ids::ServiceName;
 
-use super::history::COPY_STANDS;
 use super::history::Era;
-use super::history::Place;
+use super::history::LogPosition;
+use super::history::RESTORE_SETTLE_TIME;
 use super::identity::Identity;
 
 /// How far a member says its group is.
@@ -77,7 +77,7 @@
     /// The instance's own words.
     pub instance: Arc<Instance>,
     /// The record that they stand in.
-    pub place: Place,
+    pub place: LogPosition,
     /// Since when the list lacks it, if it does.
     pub unlisted_since: Option<Millis>,
     /// Since when its newest record cannot be read, if that is so: its words are those
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone)]
 struct Earlier {
     instance: Arc<Instance>,
-    place: Place,
+    place: LogPosition,
     /// When it is believed if nobody has spoken against it.
     stands_at: Millis,
 }
@@ -127,7 +127,7 @@
     /// life that has ended with it, if another one begins.
     pub fn apply(
         &mut self,
-        place: impl Into<Place>,
+        place: impl Into<LogPosition>,
         id: &InstanceId,
         word: Option<Instance>,
         now: Millis,
@@ -175,7 +175,12 @@
 
     /// Takes one record that cannot be read: it names nobody to use, but what the instance
     /// was part of may still stand.
-    pub fn apply_unreadable(&mut self, place: impl Into<Place>, id: &InstanceId, now: Millis) {
+    pub fn apply_unreadable(
+        &mut self,
+        place: impl Into<LogPosition>,
+        id: &InstanceId,
+        now: Millis,
+    ) {
         let place = place.into();
         self.version += 1;
         if let Some(known) = self.entries.get_mut(id).filter(|known| known.place <= place) {
@@ -188,7 +193,13 @@
     /// Takes one record of the copy that the store came back from. What it says was so in
     /// the past. If this node knows another word, that one stands until the instance has had
     /// the time to write again: nobody is taken and no head ends by a copy alone.
-    pub fn apply_copied(&mut self, place: Place, id: &InstanceId, word: Instance, now: Millis) {
+    pub fn apply_copied(
+        &mut self,
+        place: LogPosition,
+        id: &InstanceId,
+        word: Instance,
+        now: Millis,
+    ) {
         self.version += 1;
         self.note_head(&word, now);
         let Some(known) = self.entries.get_mut(id) else {
@@ -205,7 +216,7 @@
             Arc::make_mut(&mut known.instance).is_leaving = true;
         }
         if !known.says(&word) {
-            known.on_earlier(Arc::new(word), place, now + COPY_STANDS);
+            known.on_earlier(Arc::new(word), place, now + RESTORE_SETTLE_TIME);
         }
     }
 
@@ -260,7 +271,12 @@
 
     /// After a reading of the whole list up to `end`: what is not among `seen`
     /// has gone, unless a record after `end` speaks of it.
-    pub fn keep_only(&mut self, seen: &BTreeSet<InstanceId>, end: impl Into<Place>, now: Millis) {
+    pub fn keep_only(
+        &mut self,
+        seen: &BTreeSet<InstanceId>,
+        end: impl Into<LogPosition>,
+        now: Millis,
+    ) {
         let end = end.into();
         self.version += 1;
         // Who has not written again since the store came back from a copy may yet do so.
@@ -359,7 +375,7 @@
 
 impl Entry {
     /// The entry of an instance that was not known before.
-    pub fn new(instance: Arc<Instance>, place: impl Into<Place>) -> Self {
+    pub fn new(instance: Arc<Instance>, place: impl Into<LogPosition>) -> Self {
         let place = place.into();
         Self {
             instance,
@@ -389,7 +405,7 @@
     }
 
     /// Keeps a word of an earlier life, as long as nobody speaks against it.
-    fn on_earlier(&mut self, instance: Arc<Instance>, place: Place, stands_at: Millis) {
+    fn on_earlier(&mut self, instance: Arc<Instance>, place: LogPosition, stands_at: Millis) {
         if self.earlier.as_ref().is_none_or(|known| known.place < place) {
             self.earlier = Some(Earlier { instance, place, stands_at });
         }
--- a/crates/workshold-core/tests/hosted/histories.rs
+++ b/crates/workshold-core/tests/hosted/histories.rs
@@ -1,12 +1,12 @@
 //! Which past of the store an answer belongs to, and what that makes of places and rights.
 
 use rstest::rstest;
-use workshold_core::hosted::history::COPY_STANDS;
 use workshold_core::hosted::history::Era;
+use workshold_core::hosted::history::EraOrder;
+use workshold_core::hosted::history::EraTracker;
 use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::history::Heard;
-use workshold_core::hosted::history::History;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
+use workshold_core::hosted::history::RESTORE_SETTLE_TIME;
 use workshold_protocol::Millis;
 
 const NOW: Millis = Millis(50_000);
@@ -17,7 +17,7 @@
 
 #[test]
 fn the_past_decides_before_the_place_and_before_the_number() {
-    let place = |era, offset| Place { era: Era(era), offset };
+    let place = |era, offset| LogPosition { era: Era(era), offset };
     assert!(place(1, 0) > place(0, u64::MAX));
     assert!(place(1, 3) < place(1, 4));
     assert!(fence(2, 1) > fence(1, 4_000_000));
@@ -38,28 +38,32 @@
 
 #[test]
 fn the_first_era_is_no_rise_and_an_earlier_one_says_nothing() {
-    let mut history = History::default();
-    assert_eq!(history.hear(Era(3), NOW), Heard::Known);
-    assert_eq!(history.hear(Era(2), NOW), Heard::Earlier);
-    assert_eq!(history.hear(Era(0), NOW), Heard::Earlier, "nor does one without a header");
-    assert_eq!(history.hear(Era(5), NOW), Heard::Risen, "two returns while nobody asked");
-    assert_eq!(history.hear(Era(5), NOW), Heard::Known);
+    let mut history = EraTracker::default();
+    assert_eq!(history.observe(Era(3), NOW), EraOrder::Same);
+    assert_eq!(history.observe(Era(2), NOW), EraOrder::Older);
+    assert_eq!(history.observe(Era(0), NOW), EraOrder::Older, "nor does one without a header");
+    assert_eq!(history.observe(Era(5), NOW), EraOrder::Newer, "two returns while nobody asked");
+    assert_eq!(history.observe(Era(5), NOW), EraOrder::Same);
     assert_eq!(history.era(), Era(5));
 }
 
 #[test]
 fn what_the_store_lists_is_true_once_its_era_is_old() {
-    let mut history = History::default();
-    history.hear(Era(0), NOW);
-    assert_eq!(history.is_true_from(), Millis::ZERO, "it has never returned");
-    history.hear(Era(1), NOW);
-    assert_eq!(history.is_true_from(), NOW + COPY_STANDS);
-    history.hear(Era(1), NOW - Millis(2_000));
-    assert_eq!(history.is_true_from(), NOW - Millis(2_000) + COPY_STANDS, "by a peer's word");
-    history.note_old(Era(0));
-    assert!(history.is_true_from() > Millis::ZERO, "what is kept is of another era");
-    history.note_old(Era(1));
-    assert_eq!(history.is_true_from(), Millis::ZERO);
-    history.hear(Era(2), NOW + Millis(9_000));
-    assert_eq!(history.is_true_from(), NOW + Millis(9_000) + COPY_STANDS, "and anew");
+    let mut history = EraTracker::default();
+    history.observe(Era(0), NOW);
+    assert_eq!(history.trusted_from(), Millis::ZERO, "it has never returned");
+    history.observe(Era(1), NOW);
+    assert_eq!(history.trusted_from(), NOW + RESTORE_SETTLE_TIME);
+    history.observe(Era(1), NOW - Millis(2_000));
+    assert_eq!(
+        history.trusted_from(),
+        NOW - Millis(2_000) + RESTORE_SETTLE_TIME,
+        "by a peer's word"
+    );
+    history.mark_settled(Era(0));
+    assert!(history.trusted_from() > Millis::ZERO, "what is kept is of another era");
+    history.mark_settled(Era(1));
+    assert_eq!(history.trusted_from(), Millis::ZERO);
+    history.observe(Era(2), NOW + Millis(9_000));
+    assert_eq!(history.trusted_from(), NOW + Millis(9_000) + RESTORE_SETTLE_TIME, "and anew");
 }
--- a/crates/workshold-core/tests/hosted/sight.rs
+++ b/crates/workshold-core/tests/hosted/sight.rs
@@ -4,9 +4,9 @@
 
 use smol_str::SmolStr;
 use workshold_core::hosted::currency::Currency;
-use workshold_core::hosted::history::COPY_STANDS;
 use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
+use workshold_core::hosted::history::RESTORE_SETTLE_TIME;
 use workshold_core::hosted::roster::Instance;
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
@@ -91,10 +91,10 @@
     let trust = ListTrust::default();
     let mut roster = Roster::default();
     let now = Millis(100_000);
-    let true_from = now + COPY_STANDS;
+    let true_from = now + RESTORE_SETTLE_TIME;
     roster.apply(8, &id("i-1"), Some(word("i-1", true)), now);
     roster.apply(9, &id("i-2"), Some(word("i-2", false)), now);
-    let place = |offset| Place { era: Era(1), offset };
+    let place = |offset| LogPosition { era: Era(1), offset };
     roster.begin_era(Era(1), true_from);
     roster.apply_copied(place(3), &id("i-1"), word("i-1", false), now);
     roster.forget(now + Millis(5_000));
@@ -113,12 +113,12 @@
     let mut roster = Roster::default();
     let now = Millis(100_000);
     roster.apply(8, &id("i-1"), Some(word("i-1", true)), now);
-    roster.begin_era(Era(1), now + COPY_STANDS);
-    let place = Place { era: Era(1), offset: 3 };
+    roster.begin_era(Era(1), now + RESTORE_SETTLE_TIME);
+    let place = LogPosition { era: Era(1), offset: 3 };
     roster.apply_copied(place, &id("i-1"), word("i-1", false), now);
-    roster.forget(now + COPY_STANDS - Millis(1));
+    roster.forget(now + RESTORE_SETTLE_TIME - Millis(1));
     assert!(roster.get(&id("i-1")).unwrap().instance.is_leaving);
-    roster.forget(now + COPY_STANDS);
+    roster.forget(now + RESTORE_SETTLE_TIME);
     assert!(!roster.get(&id("i-1")).unwrap().instance.is_leaving);
 }
 
--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use workshold_core::hosted::fingerprint::Fingerprint;
 use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::intake::Rate;
 
 use crate::callers::answers;
@@ -67,9 +67,9 @@
 }
 
 /// A place as another node writes it: its era, a point, its offset.
-fn place(text: &str) -> Option<Place> {
+fn place(text: &str) -> Option<LogPosition> {
     let (era, offset) = text.split_once('.')?;
-    Some(Place { era: Era(era.parse().ok()?), offset: offset.parse().ok()? })
+    Some(LogPosition { era: Era(era.parse().ok()?), offset: offset.parse().ok()? })
 }
 
 /// The node's state as JSON.
@@ -128,8 +128,8 @@
         "config": node.config_age().map(|(version, age)| json!({ "version": version, "age_ms": age.0 })),
         "refuses_stale_keys": node.settings().bounds.refuse_stale_keys,
         "list_age_ms": list_age,
-        "store_age_ms": node.store_age().0,
-        "store_era": node.pasts.era(),
+        "store_age_ms": node.store_silent_for().0,
+        "store_era": node.store_monitor.era(),
 "lease": { "era": lease.fence.era, "generation": lease.fence.generation, "parts": lease.parts.keys().collect::<Vec<_>>() },
         "requests": node.in_flight(),
         "held": held,
--- a/crates/workshold-gateway/src/lib.rs
+++ b/crates/workshold-gateway/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`settings`] are read and checked before anything starts, and read again when
 //!   they change.
 //! - [`node::Node`] is what all parts share, in pieces, each under its own lock.
-//! - [`pasts`]: what if the store's answer is older than what this node holds?
+//! - [`store_monitor`]: what if the store's answer is older than what this node holds?
 //! - [`tasks`] run beside the callers: following the store, holding the lease,
 //!   stewarding, talking to peers, looking after instances in doubt.
 //! - [`callers`] answers requests; [`relay`] carries them to upstreams.
@@ -15,9 +15,9 @@
 pub mod loads;
 pub mod metrics;
 pub mod node;
-pub mod pasts;
 pub mod peers;
 pub mod relay;
 pub mod settings;
+pub mod store_monitor;
 pub mod table;
 pub mod tasks;
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -34,7 +34,7 @@
 use workshold_core::hosted::demand::Demand;
 use workshold_core::hosted::history::Era;
 use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::intake::Intake;
 use workshold_core::hosted::quarantine::Quarantine;
@@ -58,10 +58,10 @@
 use crate::loads::Loads;
 use crate::loads::short_name;
 use crate::metrics::Metrics;
-use crate::pasts::Pasts;
 use crate::peers::Peers;
 use crate::peers::news::Gap;
 use crate::settings::Settings;
+use crate::store_monitor::StoreMonitor;
 use crate::table::Table;
 use crate::table::Target;
 
@@ -76,15 +76,15 @@
     /// Whether they can be taken at their word.
     pub trust: ListTrust,
     /// The next record to read; `None` before the first reading.
-    pub next: Option<Place>,
+    pub next: Option<LogPosition>,
     /// The past of the store that the entries are of, once there are any.
     pub past: Option<Era>,
     /// Records of its past before this one are of the copy that the store came back from.
-    pub copy_end: Place,
+    pub copy_end: LogPosition,
     /// When the last reading that was answered was sent.
     pub read_at: Millis,
     /// The newest record of each instance as it was read, for peers.
-    pub raw: BTreeMap<SmolStr, (Place, Bytes)>,
+    pub raw: BTreeMap<SmolStr, (LogPosition, Bytes)>,
     /// Instances by the short names that datagrams use.
     pub by_short_id: HashMap<u32, Identity>,
     /// What others have of it and this node lacks.
@@ -209,7 +209,7 @@
     /// Instances to try to reach, with what to do about others.
     pub probes: tokio::sync::mpsc::UnboundedSender<Probe>,
     /// What is known of the store's pasts.
-    pub pasts: Pasts,
+    pub store_monitor: StoreMonitor,
     has_traffic: AtomicBool,
     is_leaving: AtomicBool,
     is_closing: AtomicBool,
@@ -297,7 +297,7 @@
             epochs_issued: Arc::default(),
             is_steward_busy: AtomicBool::new(false),
             probes,
-            pasts: Pasts::new(is_first_start),
+            store_monitor: StoreMonitor::new(is_first_start),
             has_traffic: AtomicBool::new(false),
             is_leaving: AtomicBool::new(false),
             is_closing: AtomicBool::new(false),
--- a/crates/workshold-gateway/src/node/reading.rs
+++ b/crates/workshold-gateway/src/node/reading.rs
@@ -1,7 +1,7 @@
 //! Who reads the store for whom, and what follows from its answers.
 
 use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::Heard;
+use workshold_core::hosted::history::EraOrder;
 use workshold_platform::store::Answer;
 use workshold_platform::store::StoreError;
 use workshold_protocol::Millis;
@@ -101,7 +101,7 @@
     ///
     /// [`StoreError::Earlier`]: nothing, for it is of a past that is over.
     pub fn take_answer<T>(&self, answer: Answer<T>, sent: Millis) -> Result<T, StoreError> {
-        let (said, has_returned) = self.pasts.take(answer, sent, self.now())?;
+        let (said, has_returned) = self.store_monitor.take(answer, sent, self.now())?;
         if has_returned {
             self.store_returned();
         }
@@ -110,7 +110,7 @@
 
     /// Another node has known this past of the store since `since`.
     pub fn hear_of_past(&self, era: Era, since: Millis) {
-        if self.pasts.hear(era, since) == Heard::Risen {
+        if self.store_monitor.observe(era, since) == EraOrder::Newer {
             self.store_returned();
         }
     }
@@ -118,7 +118,7 @@
     /// The store has come back from a copy. What this node holds of it stands, but is read
     /// anew, and what was kept there and may be lost is kept again.
     fn store_returned(&self) {
-        emit(Event::StoreReturned, &[("era", &self.pasts.era().to_string())]);
+        emit(Event::StoreReturned, &[("era", &self.store_monitor.era().to_string())]);
         if self.keeps_anew() {
             self.quarantine.lock().keep_all();
             self.keep_wanted.notify_one();
@@ -139,7 +139,7 @@
     /// Whether a configuration that the store gave may be one of its past: after a return
     /// from a copy others may hold a newer one, whom a node that starts has not heard yet.
     pub fn is_surpassed(&self, version: u64) -> bool {
-        if self.pasts.era() == Era::default() {
+        if self.store_monitor.era() == Era::default() {
             return false;
         }
         let is_new = !self.settings().node.is_first_start && self.age() < HEARS_WITHIN;
@@ -153,7 +153,7 @@
     }
 
     /// How long ago a question was sent that the store answered.
-    pub fn store_age(&self) -> Millis {
-        self.now().since(self.pasts.answered())
+    pub fn store_silent_for(&self) -> Millis {
+        self.now().since(self.store_monitor.answered())
     }
 }
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -9,7 +9,7 @@
 use workshold_core::hosted::fingerprint::Fingerprint;
 use workshold_core::hosted::history::Era;
 use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::intake::Rate;
 use workshold_core::hosted::intake::Word;
@@ -104,12 +104,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListNews {
     /// The first record that may be among them; all that are newer are.
-    pub from: Place,
+    pub from: LogPosition,
     /// The next record that it would read.
-    pub next: Place,
+    pub next: LogPosition,
     /// Records before this one, of the same past, are of the copy that the store came back
     /// from, or none are.
-    pub copy_end: Place,
+    pub copy_end: LogPosition,
     /// How long ago it asked for what it has, in ms.
     pub age_ms: u64,
     /// The newest record of each instance, from `from` on.
@@ -121,7 +121,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListRecord {
     /// Its place.
-    pub place: Place,
+    pub place: LogPosition,
     /// The instance.
     pub key: SmolStr,
     /// Its entry as it stands in the store; empty if it is gone.
@@ -293,7 +293,7 @@
     /// The configuration that it holds, and how long ago that was the newest, in ms.
     pub config: Option<(u64, u64)>,
     /// Where its list of instances ends, and how long ago that was the end, in ms.
-    pub list: Option<(Place, u64)>,
+    pub list: Option<(LogPosition, u64)>,
     /// By what right it gives orders, if it does.
     pub acts_by: Option<Fence>,
     /// The store's newest past that it has heard of, and for how long, in ms.
--- a/crates/workshold-gateway/src/peers/news.rs
+++ b/crates/workshold-gateway/src/peers/news.rs
@@ -10,7 +10,7 @@
 
 use std::net::SocketAddr;
 
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
 use workshold_protocol::Millis;
 
 use crate::peers::ListNews;
@@ -78,7 +78,7 @@
     pub fn whom_to_ask(
         &self,
         own: &Own<'_>,
-        next: Option<Place>,
+        next: Option<LogPosition>,
         draw: usize,
         now: Millis,
     ) -> Option<SocketAddr> {
@@ -95,14 +95,14 @@
 /// What is missing between what a node has and what others say that there is.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Gap {
-    end: Place,
+    end: LogPosition,
     since: Option<Millis>,
 }
 
 impl Gap {
     /// Somebody's list ends at `end`, this node's at `own`. Returns whether that is the
     /// first word of something missing.
-    pub fn on_end(&mut self, own: Option<Place>, end: Place, now: Millis) -> bool {
+    pub fn on_end(&mut self, own: Option<LogPosition>, end: LogPosition, now: Millis) -> bool {
         if own >= Some(end) {
             return false;
         }
@@ -113,7 +113,7 @@
     }
 
     /// This node's list ends at `own` now.
-    pub fn on_own(&mut self, own: Place) {
+    pub fn on_own(&mut self, own: LogPosition) {
         if own >= self.end {
             self.since = None;
         }
--- a/crates/workshold-gateway/src/pasts.rs
+++ b/crates/workshold-gateway/src/store_monitor.rs
@@ -8,23 +8,23 @@
 
 use parking_lot::Mutex;
 use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::Heard;
-use workshold_core::hosted::history::History;
+use workshold_core::hosted::history::EraOrder;
+use workshold_core::hosted::history::EraTracker;
 use workshold_platform::store::Answer;
 use workshold_platform::store::StoreError;
 use workshold_protocol::Millis;
 
 /// The store's pasts as this process has heard of them, and when it last answered.
 #[derive(Debug, Default)]
-pub struct Pasts {
-    history: Mutex<History>,
+pub struct StoreMonitor {
+    history: Mutex<EraTracker>,
     /// Nothing was there before this process and those that started with it.
     is_first_start: bool,
     /// When a question was sent that was answered, the last one.
     answered: Mutex<Millis>,
 }
 
-impl Pasts {
+impl StoreMonitor {
     /// Those of a process that has heard of nothing yet.
     pub fn new(is_first_start: bool) -> Self {
         Self { is_first_start, ..Self::default() }
@@ -42,29 +42,29 @@
         sent: Millis,
         now: Millis,
     ) -> Result<(T, bool), StoreError> {
-        let heard = self.hear(answer.era, now);
-        if heard == Heard::Earlier {
+        let heard = self.observe(answer.era, now);
+        if heard == EraOrder::Older {
             return Err(StoreError::Earlier(self.era().0 - answer.era.0));
         }
         let mut answered = self.answered.lock();
         *answered = (*answered).max(sent);
-        Ok((answer.said, heard == Heard::Risen))
+        Ok((answer.said, heard == EraOrder::Newer))
     }
 
     /// Somebody heard of `era` first at `since`.
-    pub fn hear(&self, era: Era, since: Millis) -> Heard {
+    pub fn observe(&self, era: Era, since: Millis) -> EraOrder {
         let mut history = self.history.lock();
         let is_first = !history.is_known();
-        let heard = history.hear(era, since);
+        let heard = history.observe(era, since);
         if is_first && self.is_first_start {
-            history.note_old(era);
+            history.mark_settled(era);
         }
         heard
     }
 
     /// What the store keeps shows that `era` has lasted for long.
-    pub fn note_old(&self, era: Era) {
-        self.history.lock().note_old(era);
+    pub fn mark_settled(&self, era: Era) {
+        self.history.lock().mark_settled(era);
     }
 
     /// The newest past heard of.
@@ -79,8 +79,8 @@
     }
 
     /// From when on what the store lists is what there is.
-    pub fn is_true_from(&self) -> Millis {
-        self.history.lock().is_true_from()
+    pub fn trusted_from(&self) -> Millis {
+        self.history.lock().trusted_from()
     }
 
     /// When a question was sent that the store answered, the last one.
--- a/crates/workshold-gateway/src/tasks/asking.rs
+++ b/crates/workshold-gateway/src/tasks/asking.rs
@@ -5,7 +5,7 @@
 use futures_util::stream::FuturesUnordered;
 use workshold_core::hosted::asking::LongPollRules;
 use workshold_core::hosted::asking::PollRound;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
 use workshold_http::client::CallError;
 use workshold_platform::names;
 use workshold_platform::store::Answer;
@@ -78,7 +78,7 @@
     /// The records.
     pub records: Records,
     /// From where on they were asked for; `None` for a whole reading.
-    pub from: Option<Place>,
+    pub from: Option<LogPosition>,
     /// When the question was sent.
     pub sent: Millis,
 }
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Question {
     number: u32,
-    from: Option<Place>,
+    from: Option<LogPosition>,
     sent: Millis,
 }
 
@@ -108,7 +108,7 @@
     node: &Node,
     topic: Topic,
     rules: LongPollRules,
-    from: impl Fn() -> Option<Place>,
+    from: impl Fn() -> Option<LogPosition>,
     is_needed: impl Fn() -> bool,
 ) -> PollOutcome {
     let store = topic.store(node);
@@ -194,7 +194,7 @@
 
 /// What the store says, if it is not of a past that is over.
 fn take<T>(node: &Node, answer: Answer<T>, sent: Millis) -> Result<T, StoreError> {
-    let was_lost = node.store_age() > STORE_LOST_AFTER && node.config_age().is_some();
+    let was_lost = node.store_silent_for() > STORE_LOST_AFTER && node.config_age().is_some();
     let said = node.take_answer(answer, sent)?;
     if was_lost {
         emit(Event::StoreBack, &[]);
@@ -205,7 +205,7 @@
 /// A question that was sent at `sent` has failed. Whether the store has answered another one
 /// that was asked later tells a question that was lost from a store that is away.
 fn note_failure(node: &Node, topic: Topic, sent: Millis, err: &StoreError) {
-    let age = node.store_age();
+    let age = node.store_silent_for();
     let asked = node.now().since(sent);
     let others = if age < asked { "answered" } else { "not answered" };
     let fields = [
--- a/crates/workshold-gateway/src/tasks/following.rs
+++ b/crates/workshold-gateway/src/tasks/following.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use workshold_core::hosted::asking::LongPollRules;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
 use workshold_platform::config;
 use workshold_platform::entries;
 use workshold_platform::names;
@@ -66,7 +66,7 @@
 #[derive(Debug, Default)]
 struct Followed {
     /// Where to read on; `None` before a whole reading.
-    next: Option<Place>,
+    next: Option<LogPosition>,
     /// The version that is the newest there. After a return from a copy it may be older than
     /// the one in force, and then says nothing about how fresh that is.
     newest: Option<u64>,
@@ -108,7 +108,7 @@
 
 async fn read_config(node: &Node, followed: &mut Followed) {
     let next = followed.next;
-    let from = || next.filter(|next| next.era == node.pasts.era());
+    let from = || next.filter(|next| next.era == node.store_monitor.era());
     let is_needed = || !do_others_read(node, is_config_current);
     let rules = node.settings().config_poll_rules(node.is_reader());
     let asked = asking::read(node, Topic::Config, rules, from, is_needed).await;
@@ -148,10 +148,10 @@
 }
 
 /// Where to read on: what a waiting read brought may end before the topic does.
-fn after(records: &Records, next: Option<Place>) -> Place {
+fn after(records: &Records, next: Option<LogPosition>) -> LogPosition {
     let Some(next) = next else { return records.end };
     let last = records.records.last().map(|record| record.place);
-    last.map_or(next, |last| Place { offset: last.offset + 1, ..last })
+    last.map_or(next, |last| LogPosition { offset: last.offset + 1, ..last })
 }
 
 /// Whether others may hold a newer configuration than the one that the store gives.
@@ -207,7 +207,7 @@
 /// Reads on; whether that brought an answer.
 async fn read_list(node: &Node, rules: LongPollRules) -> bool {
     // Places of a past that is over mean nothing to the store.
-    let from = || node.list.lock().next.filter(|next| next.era == node.pasts.era());
+    let from = || node.list.lock().next.filter(|next| next.era == node.store_monitor.era());
     let is_needed = || !do_others_read(node, is_list_current);
     let asked = asking::read(node, Topic::List, rules, from, is_needed).await;
     let Reading { records, from, sent } = match asked {
@@ -243,8 +243,8 @@
 
 /// The list goes on to a place of this past. The first whole reading of it, begun at
 /// `read_whole`, is a copy as long as instances may not have written again.
-fn begin_past(node: &Node, end: Place, read_whole: Option<Millis>) {
-    let true_from = node.pasts.is_true_from();
+fn begin_past(node: &Node, end: LogPosition, read_whole: Option<Millis>) {
+    let true_from = node.store_monitor.trusted_from();
     let mut list = node.list.lock();
     let last = list.past.replace(end.era);
     if last.is_none_or(|last| last == end.era) {
@@ -351,7 +351,7 @@
         }
         next
     };
-    if from_peer.next.era > node.pasts.era() {
+    if from_peer.next.era > node.store_monitor.era() {
         node.hear_of_past(from_peer.next.era, now);
     }
     begin_past(node, from_peer.next, None);
@@ -383,7 +383,7 @@
 }
 
 /// The records from `from` on, for a peer.
-pub fn news(node: &Node, from: impl Into<Place>) -> ListNews {
+pub fn news(node: &Node, from: impl Into<LogPosition>) -> ListNews {
     let from = from.into();
     let list = node.list.lock();
     let newer = list.raw.iter().filter(|(_, (place, _))| *place >= from);
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -13,7 +13,7 @@
 use smol_str::SmolStr;
 use tokio::net::UdpSocket;
 use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::quarantine::Known;
 use workshold_core::hosted::suspicion::Reach;
 use workshold_http::client;
@@ -174,8 +174,8 @@
         hears: Vec::new(),
         seeks: false,
         acts_by,
-        past: node.pasts.told(node.now()),
-        store_age_ms: node.store_age().0,
+        past: node.store_monitor.told(node.now()),
+        store_age_ms: node.store_silent_for().0,
         list_trouble_ms: node.list_trouble(),
         work: work.iter().map(|(model, work)| ToldWork::new(model, *work)).collect(),
         seen_percent: (seen_part * 100.0) as u8,
@@ -200,7 +200,7 @@
     told.map(|(id, load)| ToldLoad::new(id, *load, gaps.usual(id).unwrap_or_default())).collect()
 }
 
-fn list_end(node: &Node) -> Option<(Place, u64)> {
+fn list_end(node: &Node) -> Option<(LogPosition, u64)> {
     let list = node.list.lock();
     list.next.map(|next| (next, node.now().since(list.read_at).0))
 }
@@ -469,7 +469,7 @@
 }
 
 /// A peer saw that the list ends where this node's does, or farther on.
-fn confirm_list(node: &Node, next: Place, at: Millis) {
+fn confirm_list(node: &Node, next: LogPosition, at: Millis) {
     let now = node.now();
     let mut list = node.list.lock();
     if list.next == Some(next) {
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -68,7 +68,7 @@
     sent: Millis,
 ) -> Result<(Joined, Fence), StoreError> {
     let heard = node.lease.lock().fence;
-    let generation = if heard.era == node.pasts.era() { heard.generation } else { 0 };
+    let generation = if heard.era == node.store_monitor.era() { heard.generation } else { 0 };
     node.metrics.count(Metric::LeaseCalls);
     let answer = node.store.join(GROUP, member, ttl, generation, ANSWER_TIME).await?;
     let era = answer.era;
@@ -99,7 +99,7 @@
 /// Takes an answer to a renewal that was sent at `sent`: the right, and the parts held.
 pub fn take(node: &Node, fence: Fence, parts: &[u64], sent: Millis) {
     let now = node.now();
-    let true_from = node.pasts.is_true_from();
+    let true_from = node.store_monitor.trusted_from();
     let mut lease = node.lease.lock();
     let held = std::mem::take(&mut lease.parts);
     // By another past, or after the lease's time, the part may have been somebody else's
--- a/crates/workshold-gateway/src/tasks/quarantining.rs
+++ b/crates/workshold-gateway/src/tasks/quarantining.rs
@@ -88,7 +88,7 @@
     let known = node.quarantine.lock().to_keep();
     let mut records: Vec<(String, Vec<u8>)> =
         known.iter().map(|known| encode(node, known)).collect();
-    let era = node.pasts.era();
+    let era = node.store_monitor.era();
     if *kept_era < era && node.keeps_anew() {
         records.push(encode_era(node, era));
     }
@@ -97,7 +97,7 @@
     }
     match append(node, &records).await {
         // What was kept in a past that has ended meanwhile is kept again.
-        Ok(()) if node.pasts.era() == era => *kept_era = era,
+        Ok(()) if node.store_monitor.era() == era => *kept_era = era,
         Ok(()) => {}
         Err(err) => {
             log_failure(&err);
@@ -116,7 +116,7 @@
 
 fn encode_era(node: &Node, era: Era) -> (String, Vec<u8>) {
     let (now, today) = (node.now(), node.wall());
-    let age = node.pasts.told(now).map_or(0, |(_, age)| age);
+    let age = node.store_monitor.told(now).map_or(0, |(_, age)| age);
     let kept = KeptEra { era, seen_at: (today - Millis(age)).0 };
     (ERA_KEY.to_owned(), serde_json::to_vec(&kept).expect("it has only plain fields"))
 }
@@ -125,12 +125,12 @@
 fn take_era(node: &Node, records: &[Record], kept_era: &mut Era) {
     let record = records.iter().find(|record| record.key == ERA_KEY);
     let kept = record.and_then(|record| serde_json::from_slice::<KeptEra>(&record.value).ok());
-    let era = node.pasts.era();
+    let era = node.store_monitor.era();
     match kept.filter(|kept| kept.era == era) {
         Some(kept) => {
             *kept_era = era;
             if node.wall().since(Millis(kept.seen_at)) >= ERA_IS_OLD {
-                node.pasts.note_old(era);
+                node.store_monitor.mark_settled(era);
             }
         }
         None if era > Era::default() => node.keep_wanted.notify_one(),
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -61,7 +61,7 @@
 /// The fence of the lease, if it still gives the right to order.
 fn fence(node: &Node, lease: &Lease) -> Option<u64> {
     let ttl = node.settings().lease_ttl();
-    let is_past = lease.fence.era < node.pasts.era();
+    let is_past = lease.fence.era < node.store_monitor.era();
     let is_outranked = is_past || lease.outranked == Some(lease.fence) || lease.heard > lease.fence;
     let is_held = node.now().since(lease.renewed_at) < ttl || is_store_away_for_all(node, lease);
     let holds = is_held && !is_outranked && !lease.parts.is_empty();
@@ -117,7 +117,7 @@
     node.hear_of_list_trouble();
     let now = node.now();
     let list = node.list.lock();
-    if list.next.is_none_or(|next| next.era < node.pasts.era()) {
+    if list.next.is_none_or(|next| next.era < node.store_monitor.era()) {
         return Vec::new();
     }
     let list_read_at = list.read_at;
--- a/crates/workshold-gateway/tests/followers.rs
+++ b/crates/workshold-gateway/tests/followers.rs
@@ -18,7 +18,7 @@
 use tokio::net::UdpSocket;
 use workshold_core::hosted::catalog::Catalog;
 use workshold_core::hosted::catalog::Limits;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::Datagram;
 use workshold_gateway::peers::LIST_TROUBLE_MOST;
@@ -161,7 +161,7 @@
         {
             let now = node.now();
             let mut list = node.list.lock();
-            list.next = Some(Place::default());
+            list.next = Some(LogPosition::default());
             list.read_at = now;
         }
         let following = match topic {
--- a/crates/workshold-model/src/hosted.rs
+++ b/crates/workshold-model/src/hosted.rs
@@ -18,9 +18,9 @@
 use workshold_core::hosted::capacity::Worth;
 use workshold_core::hosted::catalog::Engine;
 use workshold_core::hosted::catalog::ModelShape;
-use workshold_core::hosted::history::COPY_STANDS;
 use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
+use workshold_core::hosted::history::RESTORE_SETTLE_TIME;
 use workshold_core::hosted::planner;
 use workshold_core::hosted::roster::Instance;
 use workshold_core::hosted::roster::ListTrust;
@@ -358,7 +358,7 @@
         let next = self.rng.random_range(0..self.offices.len());
         self.hand_over_to(next);
         if self.rng.random_bool(NEW_HOLDERS) {
-            self.offices[next].starts_anew(now + COPY_STANDS);
+            self.offices[next].starts_anew(now + RESTORE_SETTLE_TIME);
         }
     }
 
@@ -367,9 +367,9 @@
         let now = self.now;
         let era = self.store.era;
         let is_believed = self.broken == Some(Broken::CopiesStandBack);
-        self.roster.begin_era(era, now + COPY_STANDS);
+        self.roster.begin_era(era, now + RESTORE_SETTLE_TIME);
         for (id, (offset, word)) in &self.store.kept.records {
-            let place = Place { era, offset: *offset };
+            let place = LogPosition { era, offset: *offset };
             if is_believed {
                 self.roster.apply(place, id, Some(word.clone()), now);
             } else {
@@ -422,7 +422,7 @@
     fn hand_over_to(&mut self, holder: usize) {
         self.holder = holder;
         let fence = self.store.hand_over(holder);
-        let true_from = self.returned_at + COPY_STANDS;
+        let true_from = self.returned_at + RESTORE_SETTLE_TIME;
         let is_young = self.has_copies && self.now < true_from;
         let waits_until = if is_young { true_from } else { Millis::ZERO };
         self.offices[holder].take_later(fence, waits_until, self.now);
@@ -558,7 +558,7 @@
     /// A record stands in the list.
     fn write(&mut self, offset: u64, id: &InstanceId, word: Option<Instance>) {
         self.store.write(offset, id, word.as_ref());
-        let place = Place { era: self.store.era, offset };
+        let place = LogPosition { era: self.store.era, offset };
         self.roster.apply(place, id, word, self.now);
     }
 
--- a/crates/workshold-model/src/hosted/copies.rs
+++ b/crates/workshold-model/src/hosted/copies.rs
@@ -6,7 +6,7 @@
 
 use workshold_core::hosted::history::Era;
 use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::history::Place;
+use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::roster::Instance;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::InstanceId;
@@ -40,9 +40,9 @@
 
 impl Store {
     /// A place for a new record.
-    pub fn next_place(&mut self) -> Place {
+    pub fn next_place(&mut self) -> LogPosition {
         self.kept.end += 1;
-        Place { era: self.era, offset: self.kept.end }
+        LogPosition { era: self.era, offset: self.kept.end }
     }
 
     /// What stands in a record, once it does; empty if it drops its key.
