--- a/crates/workshold-core/src/hosted.rs
+++ b/crates/workshold-core/src/hosted.rs
@@ -13,7 +13,7 @@
 //!   should be: [`planner`].
 //! - Who forms them: [`steward`], and when it may order: [`tenure`].
 //! - Requests: what they ask: [`fingerprint`]; which of them end whoever runs them:
-//!   [`quarantine`]; what instances take of them: [`intake`]; [`placement`], [`silence`], [`tries`]; among how many nodes what all of them
+//!   [`quarantine`]; what instances take of them: [`instance_limits`]; [`placement`], [`silence`], [`tries`]; among how many nodes what all of them
 //!   may repeat is divided: [`sharing`].
 
 pub mod asking;
@@ -25,7 +25,7 @@
 pub mod groups;
 pub mod history;
 pub mod identity;
-pub mod intake;
+pub mod instance_limits;
 pub mod placement;
 pub mod planner;
 pub mod quarantine;
--- a/crates/workshold-core/src/hosted/intake.rs
+++ b/crates/workshold-core/src/hosted/instance_limits.rs
@@ -36,7 +36,7 @@
 
 /// What an instance said of how much it takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Word {
+pub struct LimitReport {
     /// Its limit, for all nodes together; `None` for none.
     pub limit: Option<Rate>,
     /// When the request left whose answer said so: it was said later.
@@ -62,7 +62,7 @@
 
 /// Whether a node is one of an instance's senders, and how many there are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct SenderShare {
     /// Whether it is one of them.
     pub is_sender: bool,
     /// How many there are.
@@ -75,12 +75,12 @@
     /// When it may take the next request, if nothing else is said; `None` for never.
     pub until: Option<Millis>,
     /// What it said.
-    pub why: Why,
+    pub why: WithheldReason,
 }
 
 /// What an instance said that keeps requests from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum WithheldReason {
     /// How many requests a second it takes.
     Limit,
     /// That it wants nothing from this node for a while.
@@ -89,7 +89,7 @@
     Leaving,
 }
 
-impl Why {
+impl WithheldReason {
     /// The same for logs.
     pub const fn text(self) -> &'static str {
         match self {
@@ -137,7 +137,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Taking {
-    word: Word,
+    word: LimitReport,
     /// Requests saved up at `at`, if this node was a sender then.
     saved: f64,
     at: Millis,
@@ -147,12 +147,12 @@
 
 impl Taking {
     /// Requests that may be sent a second by a sender; `None` for any number.
-    fn share(&self, part: Part) -> Option<f64> {
+    fn share(&self, part: SenderShare) -> Option<f64> {
         Some(self.word.limit?.max(LEAST).as_per_s() / part.senders.max(1) as f64)
     }
 
     /// Adds what has been saved up since it was last asked for.
-    fn refill(&mut self, rules: IntakeRules, share: f64, part: Part, now: Millis) {
+    fn refill(&mut self, rules: IntakeRules, share: f64, part: SenderShare, now: Millis) {
         self.saved = match (part.is_sender, self.was_sender) {
             (false, _) => 0.0,
             (true, false) => rules.saved_at_first,
@@ -167,7 +167,7 @@
     }
 
     /// When the next request may be sent, if not now.
-    fn look(&mut self, rules: IntakeRules, part: Part, now: Millis) -> Result<(), Withheld> {
+    fn look(&mut self, rules: IntakeRules, part: SenderShare, now: Millis) -> Result<(), Withheld> {
         let Some(share) = self.share(part) else { return Ok(()) };
         self.refill(rules, share, part, now);
         if self.saved >= 1.0 - ROUNDING {
@@ -179,13 +179,13 @@
             false => (1.0, share * part.senders as f64),
         };
         let until = now + Millis((missing / rate * 1000.0).ceil() as u64);
-        Err(Withheld { until: Some(until), why: Why::Limit })
+        Err(Withheld { until: Some(until), why: WithheldReason::Limit })
     }
 }
 
 /// What instances said of how much they take, and what this node may send them.
 #[derive(Debug, Clone)]
-pub struct Intake<K> {
+pub struct InstanceLimits<K> {
     rules: IntakeRules,
     takings: BTreeMap<K, Taking>,
     /// Until when instances want nothing from this node, and when they last said so.
@@ -196,13 +196,13 @@
     turn: Option<K>,
 }
 
-impl<K: Ord + Clone> Default for Intake<K> {
+impl<K: Ord + Clone> Default for InstanceLimits<K> {
     fn default() -> Self {
         Self::new(IntakeRules::default())
     }
 }
 
-impl<K: Ord + Clone> Intake<K> {
+impl<K: Ord + Clone> InstanceLimits<K> {
     /// Nothing was said yet.
     pub fn new(rules: IntakeRules) -> Self {
         let (takings, rests, leaving) = Default::default();
@@ -226,7 +226,7 @@
 
     /// An instance said something, to this node or by another one's word. Returns whether it is
     /// another limit.
-    pub fn hear(&mut self, id: &K, word: Word) -> bool {
+    pub fn on_limit_report(&mut self, id: &K, word: LimitReport) -> bool {
         let Some(taking) = self.takings.get_mut(id) else {
             if word.limit.is_none() {
                 return false;
@@ -260,30 +260,30 @@
 
     /// An instance that refuses wants nothing from this node for so long from `now` on; of
     /// several times the one that ends last counts.
-    pub fn hear_rest(&mut self, id: &K, rest: Millis, now: Millis) {
-        let resting = self.rests.entry(id.clone()).or_insert(Resting { until: now, said: now });
-        *resting = Resting { until: resting.until.max(now + rest), said: now };
+    pub fn on_backoff(&mut self, id: &K, rest: Millis, now: Millis) {
+        let backing_off = self.rests.entry(id.clone()).or_insert(Resting { until: now, said: now });
+        *backing_off = Resting { until: backing_off.until.max(now + rest), said: now };
     }
 
     /// For how long an instance wants nothing from this node.
-    pub fn rests_for(&self, id: &K, now: Millis) -> Millis {
-        self.rests.get(id).map_or(Millis::ZERO, |resting| resting.until.since(now))
+    pub fn backoff_left(&self, id: &K, now: Millis) -> Millis {
+        self.rests.get(id).map_or(Millis::ZERO, |backing_off| backing_off.until.since(now))
     }
 
     /// How many instances want nothing from this node.
-    pub fn resting(&self, now: Millis) -> usize {
-        self.rests.values().filter(|resting| resting.until > now).count()
+    pub fn backing_off(&self, now: Millis) -> usize {
+        self.rests.values().filter(|backing_off| backing_off.until > now).count()
     }
 
     /// An instance leaves: this life of it takes nothing any more. Returns whether that is news.
-    pub fn hear_leaving(&mut self, id: &K, now: Millis) -> bool {
+    pub fn on_leaving(&mut self, id: &K, now: Millis) -> bool {
         let is_news = !self.leaving.contains_key(id);
         self.leaving.entry(id.clone()).or_insert(now);
         is_news
     }
 
     /// Lives of which it was first heard within `age` that they leave, the last ones first.
-    pub fn newly_leaving(&self, age: Millis, now: Millis) -> Vec<K> {
+    pub fn recently_leaving(&self, age: Millis, now: Millis) -> Vec<K> {
         let new = self.leaving.iter().filter(|(_, heard)| now.since(**heard) < age);
         let mut new: Vec<(&K, Millis)> = new.map(|(id, heard)| (id, *heard)).collect();
         new.sort_by_key(|(_, heard)| std::cmp::Reverse(*heard));
@@ -291,8 +291,8 @@
     }
 
     /// Whether an instance has said what keeps requests from it, or bounds them.
-    pub fn has_spoken(&self, id: &K, now: Millis) -> bool {
-        let rests = self.rests.get(id).is_some_and(|resting| resting.until > now);
+    pub fn restricts_sending(&self, id: &K, now: Millis) -> bool {
+        let rests = self.rests.get(id).is_some_and(|backing_off| backing_off.until > now);
         rests || self.limit(id).is_some() || self.leaving.contains_key(id)
     }
 
@@ -301,12 +301,13 @@
     /// # Errors
     ///
     /// [`Withheld`] if not.
-    pub fn look(&mut self, id: &K, part: Part, now: Millis) -> Result<(), Withheld> {
+    pub fn look(&mut self, id: &K, part: SenderShare, now: Millis) -> Result<(), Withheld> {
         if self.leaving.contains_key(id) {
-            return Err(Withheld { until: None, why: Why::Leaving });
+            return Err(Withheld { until: None, why: WithheldReason::Leaving });
         }
-        if let Some(resting) = self.rests.get(id).filter(|resting| resting.until > now) {
-            return Err(Withheld { until: Some(resting.until), why: Why::Rest });
+        if let Some(backing_off) = self.rests.get(id).filter(|backing_off| backing_off.until > now)
+        {
+            return Err(Withheld { until: Some(backing_off.until), why: WithheldReason::Rest });
         }
         let rules = self.rules;
         self.takings.get_mut(id).map_or(Ok(()), |taking| taking.look(rules, part, now))
@@ -317,7 +318,7 @@
     /// # Errors
     ///
     /// [`Withheld`] if it may not be sent now.
-    pub fn take(&mut self, id: &K, part: Part, now: Millis) -> Result<(), Withheld> {
+    pub fn take(&mut self, id: &K, part: SenderShare, now: Millis) -> Result<(), Withheld> {
         self.look(id, part, now)?;
         if let Some(taking) = self.takings.get_mut(id).filter(|taking| taking.word.limit.is_some())
         {
@@ -327,7 +328,7 @@
     }
 
     /// What is to be told to others now, at most so many: news first, then the rest in turn.
-    pub fn to_tell(&mut self, most: usize) -> Vec<(K, Word)> {
+    pub fn next_to_gossip(&mut self, most: usize) -> Vec<(K, LimitReport)> {
         let news = self.takings.iter().filter(|(_, taking)| taking.tells > 0);
         let mut told: Vec<K> = news.map(|(id, _)| id.clone()).take(most).collect();
         let after = self.takings.keys().filter(|id| self.turn.as_ref().is_none_or(|t| *id > t));
--- a/crates/workshold-core/src/hosted/quarantine.rs
+++ b/crates/workshold-core/src/hosted/quarantine.rs
@@ -352,7 +352,7 @@
 
     /// What is to be told now, at most so many: what has changed first, those under which
     /// most have ended before others; then those that are held, in turn.
-    pub fn to_tell(&mut self, most: usize, now: Millis) -> Vec<Known> {
+    pub fn next_to_gossip(&mut self, most: usize, now: Millis) -> Vec<Known> {
         let changed = self.entries.iter().filter(|(_, entry)| entry.tells > 0);
         let mut chosen: Vec<(usize, Fingerprint)> =
             changed.map(|(fingerprint, entry)| (entry.count(), *fingerprint)).collect();
--- a/crates/workshold-core/src/hosted/roster.rs
+++ b/crates/workshold-core/src/hosted/roster.rs
@@ -165,7 +165,7 @@
     }
 
     /// A life of an instance has said in its answers that it will end.
-    pub fn hear_leaving(&mut self, identity: &Identity) {
+    pub fn on_leaving(&mut self, identity: &Identity) {
         let entry = self.entries.get_mut(&identity.id);
         if let Some(entry) = entry.filter(|entry| entry.instance.identity == *identity) {
             entry.says_it_leaves = true;
--- a/crates/workshold-core/tests/hosted.rs
+++ b/crates/workshold-core/tests/hosted.rs
@@ -6,8 +6,8 @@
 mod capacity;
 #[path = "hosted/histories.rs"]
 mod histories;
-#[path = "hosted/intake.rs"]
-mod intake;
+#[path = "hosted/instance_limits.rs"]
+mod instance_limits;
 #[path = "hosted/planned_anew.rs"]
 mod planned_anew;
 #[path = "hosted/planning.rs"]
--- a/crates/workshold-core/tests/hosted/intake.rs
+++ b/crates/workshold-core/tests/hosted/instance_limits.rs
@@ -12,14 +12,14 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use workshold_core::hosted::identity::Identity;
-use workshold_core::hosted::intake;
-use workshold_core::hosted::intake::Intake;
-use workshold_core::hosted::intake::IntakeRules;
-use workshold_core::hosted::intake::Part;
-use workshold_core::hosted::intake::Rate;
-use workshold_core::hosted::intake::Why;
-use workshold_core::hosted::intake::Withheld;
-use workshold_core::hosted::intake::Word;
+use workshold_core::hosted::instance_limits;
+use workshold_core::hosted::instance_limits::InstanceLimits;
+use workshold_core::hosted::instance_limits::IntakeRules;
+use workshold_core::hosted::instance_limits::LimitReport;
+use workshold_core::hosted::instance_limits::Rate;
+use workshold_core::hosted::instance_limits::SenderShare;
+use workshold_core::hosted::instance_limits::Withheld;
+use workshold_core::hosted::instance_limits::WithheldReason;
 use workshold_core::hosted::roster::Instance;
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
@@ -40,7 +40,7 @@
 const LONGEST: u64 = 1_500;
 
 struct Node {
-    intake: Intake<u8>,
+    instance_limits: InstanceLimits<u8>,
     is_up: bool,
     /// Who it believes to be up.
     view: Vec<bool>,
@@ -56,14 +56,18 @@
     /// When requests came to it.
     came: Vec<Millis>,
     answers: BTreeMap<Millis, Vec<(usize, Millis, Option<Rate>)>>,
-    told: BTreeMap<Millis, Vec<(usize, Word)>>,
+    told: BTreeMap<Millis, Vec<(usize, LimitReport)>>,
     /// Whether whoever is withheld from sends all the same.
     forgets_to_ask: bool,
 }
 
 impl Fleet {
     fn new(nodes: usize, rules: IntakeRules, seed: u64) -> Self {
-        let node = || Node { intake: Intake::new(rules), is_up: true, view: vec![true; nodes] };
+        let node = || Node {
+            instance_limits: InstanceLimits::new(rules),
+            is_up: true,
+            view: vec![true; nodes],
+        };
         Self {
             now: Millis(10_000),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -77,12 +81,12 @@
     }
 
     /// The first of those that a node believes to be up, in the order of their numbers.
-    fn part(&self, node: usize) -> Part {
-        let limit = self.nodes[node].intake.limit(&0).unwrap_or(Rate(0));
-        let senders = intake::senders(limit, self.nodes.len());
+    fn part(&self, node: usize) -> SenderShare {
+        let limit = self.nodes[node].instance_limits.limit(&0).unwrap_or(Rate(0));
+        let senders = instance_limits::senders(limit, self.nodes.len());
         let view = &self.nodes[node].view;
         let before = view[..node].iter().filter(|is_up| **is_up).count();
-        Part { is_sender: view[node] && before < senders, senders }
+        SenderShare { is_sender: view[node] && before < senders, senders }
     }
 
     /// Each node that is up wants to send `wanted` requests a second.
@@ -107,7 +111,7 @@
 
     fn send(&mut self, i: usize) {
         let part = self.part(i);
-        let may = self.nodes[i].intake.take(&0, part, self.now).is_ok();
+        let may = self.nodes[i].instance_limits.take(&0, part, self.now).is_ok();
         if may || self.forgets_to_ask {
             self.came.push(self.now);
             let takes = Millis(self.rng.random_range(20..LONGEST));
@@ -116,7 +120,7 @@
     }
 
     fn tell(&mut self, i: usize) {
-        let words = self.nodes[i].intake.to_tell(8);
+        let words = self.nodes[i].instance_limits.next_to_gossip(8);
         for (_, word) in words {
             for to in 0..self.nodes.len() {
                 let comes = self.now + Millis(self.rng.random_range(1..600));
@@ -132,15 +136,17 @@
         for (i, asked, limit) in std::mem::replace(&mut self.answers, later).into_values().flatten()
         {
             if self.nodes[i].is_up {
-                self.nodes[i].intake.hear(&0, Word { limit, asked, heard: self.now });
+                self.nodes[i]
+                    .instance_limits
+                    .on_limit_report(&0, LimitReport { limit, asked, heard: self.now });
             }
         }
         let later = self.told.split_off(&(self.now + Millis(1)));
         for (i, word) in std::mem::replace(&mut self.told, later).into_values().flatten() {
             // A node takes others' words for older than they are, never for younger.
             let late = Millis(self.rng.random_range(0..300));
-            let word = Word { asked: word.asked - late, heard: word.heard - late, ..word };
-            self.nodes[i].intake.hear(&0, word);
+            let word = LimitReport { asked: word.asked - late, heard: word.heard - late, ..word };
+            self.nodes[i].instance_limits.on_limit_report(&0, word);
         }
     }
 
@@ -148,7 +154,7 @@
     fn set_up(&mut self, i: usize, is_up: bool, noticed: bool) {
         let rules = IntakeRules::default();
         self.nodes[i].is_up = is_up;
-        self.nodes[i].intake = Intake::new(rules);
+        self.nodes[i].instance_limits = InstanceLimits::new(rules);
         if noticed {
             self.nodes.iter_mut().for_each(|node| node.view[i] = is_up);
         }
@@ -232,8 +238,8 @@
         fleet.run(Millis(600), 1.0);
         // One that begins hears of the limit with the first that others say.
         fleet.set_up(node, true, true);
-        let word = Word { limit: fleet.limit, asked: fleet.now, heard: fleet.now };
-        fleet.nodes[node].intake.hear(&0, word);
+        let word = LimitReport { limit: fleet.limit, asked: fleet.now, heard: fleet.now };
+        fleet.nodes[node].instance_limits.on_limit_report(&0, word);
         fleet.run(Millis(700), 1.0);
     }
     let most = fleet.most(from);
@@ -257,12 +263,13 @@
     assert!(most as f64 <= allowed(limit), "{most} in four seconds");
     fleet.limit = None;
     fleet.run(Millis(15_000), 2.0);
-    let limited = fleet.nodes.iter().filter(|node| node.intake.limit(&0).is_some()).count();
+    let limited =
+        fleet.nodes.iter().filter(|node| node.instance_limits.limit(&0).is_some()).count();
     assert_eq!(limited, 0, "{limited} nodes still keep to it");
 }
 
-fn word(limit: Option<f64>, asked: u64, heard: u64) -> Word {
-    Word { limit: limit.map(Rate::per_s), asked: Millis(asked), heard: Millis(heard) }
+fn word(limit: Option<f64>, asked: u64, heard: u64) -> LimitReport {
+    LimitReport { limit: limit.map(Rate::per_s), asked: Millis(asked), heard: Millis(heard) }
 }
 
 /// Fails where answers that overtake each other lift a limit that was named later.
@@ -274,34 +281,35 @@
 #[case::a_higher_one_that_is_later(word(Some(3.0), 10_600, 11_000), Some(3.0))]
 #[case::a_lower_one_that_may_be_older(word(Some(1.0), 9_000, 9_900), Some(1.0))]
 #[case::a_lower_one_that_is_older(word(Some(1.0), 8_000, 8_400), Some(2.0))]
-fn what_loosens_counts_if_it_was_said_later(#[case] next: Word, #[case] limit: Option<f64>) {
-    let mut intake = Intake::default();
-    intake.hear(&0, word(Some(2.0), 9_200, 10_000));
-    intake.hear(&0, next);
-    assert_eq!(intake.limit(&0), limit.map(Rate::per_s));
+fn what_loosens_counts_if_it_was_said_later(#[case] next: LimitReport, #[case] limit: Option<f64>) {
+    let mut instance_limits = InstanceLimits::default();
+    instance_limits.on_limit_report(&0, word(Some(2.0), 9_200, 10_000));
+    instance_limits.on_limit_report(&0, next);
+    assert_eq!(instance_limits.limit(&0), limit.map(Rate::per_s));
 }
 
 #[test]
 fn what_nobody_confirms_is_forgotten_and_what_somebody_does_is_not() {
-    let mut intake = Intake::default();
-    intake.hear(&0, word(Some(2.0), 9_000, 10_000));
-    intake.hear(&1, word(Some(2.0), 9_000, 10_000));
-    intake.hear(&1, word(Some(2.0), 40_000, 41_000));
-    intake.forget(Millis(75_000), |_| true);
-    assert_eq!(intake.limits().map(|(id, _)| *id).collect::<Vec<_>>(), [1]);
+    let mut instance_limits = InstanceLimits::default();
+    instance_limits.on_limit_report(&0, word(Some(2.0), 9_000, 10_000));
+    instance_limits.on_limit_report(&1, word(Some(2.0), 9_000, 10_000));
+    instance_limits.on_limit_report(&1, word(Some(2.0), 40_000, 41_000));
+    instance_limits.forget(Millis(75_000), |_| true);
+    assert_eq!(instance_limits.limits().map(|(id, _)| *id).collect::<Vec<_>>(), [1]);
 }
 
 #[test]
 fn all_limits_are_told_in_turn_and_news_first() {
-    let mut intake = Intake::default();
+    let mut instance_limits = InstanceLimits::default();
     for id in 0..20 {
-        intake.hear(&id, word(Some(2.0), 9_000, 10_000));
+        instance_limits.on_limit_report(&id, word(Some(2.0), 9_000, 10_000));
     }
     for _ in 0..20 {
-        intake.to_tell(8);
+        instance_limits.next_to_gossip(8);
     }
-    intake.hear(&7, word(Some(1.0), 11_000, 12_000));
-    let told: Vec<u8> = (0..3).flat_map(|_| intake.to_tell(8)).map(|(id, _)| id).collect();
+    instance_limits.on_limit_report(&7, word(Some(1.0), 11_000, 12_000));
+    let told: Vec<u8> =
+        (0..3).flat_map(|_| instance_limits.next_to_gossip(8)).map(|(id, _)| id).collect();
     assert_eq!(told[0], 7, "news first");
     assert!((0..20).all(|id| told.contains(&id)), "{told:?}");
 }
@@ -357,53 +365,56 @@
     }
 }
 
-const ANY: Part = Part { is_sender: true, senders: 1 };
+const ANY: SenderShare = SenderShare { is_sender: true, senders: 1 };
 
 /// Fails where a later refusal that asks for less ends a rest.
 #[test]
 fn the_rest_that_ends_last_counts() {
-    let mut intake = Intake::default();
-    intake.hear_rest(&0, Millis(3_000), Millis(10_000));
-    intake.hear_rest(&0, Millis(500), Millis(11_000));
-    let withheld = Withheld { until: Some(Millis(13_000)), why: Why::Rest };
-    assert_eq!(intake.look(&0, ANY, Millis(12_999)), Err(withheld));
-    assert_eq!(intake.look(&0, ANY, Millis(13_000)), Ok(()));
-    assert_eq!(intake.look(&1, ANY, Millis(11_000)), Ok(()), "it is between two");
+    let mut instance_limits = InstanceLimits::default();
+    instance_limits.on_backoff(&0, Millis(3_000), Millis(10_000));
+    instance_limits.on_backoff(&0, Millis(500), Millis(11_000));
+    let withheld = Withheld { until: Some(Millis(13_000)), why: WithheldReason::Rest };
+    assert_eq!(instance_limits.look(&0, ANY, Millis(12_999)), Err(withheld));
+    assert_eq!(instance_limits.look(&0, ANY, Millis(13_000)), Ok(()));
+    assert_eq!(instance_limits.look(&1, ANY, Millis(11_000)), Ok(()), "it is between two");
 }
 
 /// Fails where a time beyond all times wraps around.
 #[test]
 fn a_rest_beyond_all_times_ends_never() {
-    let mut intake = Intake::default();
-    intake.hear_rest(&0, Millis(u64::MAX), Millis(10_000));
-    assert!(intake.look(&0, ANY, Millis(1 << 50)).is_err());
+    let mut instance_limits = InstanceLimits::default();
+    instance_limits.on_backoff(&0, Millis(u64::MAX), Millis(10_000));
+    assert!(instance_limits.look(&0, ANY, Millis(1 << 50)).is_err());
 }
 
 #[test]
 fn who_leaves_takes_nothing_any_more_whatever_else_it_says() {
-    let mut intake = Intake::default();
-    assert!(intake.hear_leaving(&0, Millis(10_000)));
-    assert!(!intake.hear_leaving(&0, Millis(11_000)), "it is no news twice");
-    intake.hear(&0, word(Some(50.0), 11_000, 12_000));
-    intake.hear(&0, word(None, 13_000, 14_000));
-    let withheld = Withheld { until: None, why: Why::Leaving };
-    assert_eq!(intake.take(&0, ANY, Millis(1 << 50)), Err(withheld));
-    assert_eq!(intake.newly_leaving(Millis(5_000), Millis(14_000)), [0]);
-    assert!(intake.newly_leaving(Millis(5_000), Millis(15_000)).is_empty(), "it was told");
+    let mut instance_limits = InstanceLimits::default();
+    assert!(instance_limits.on_leaving(&0, Millis(10_000)));
+    assert!(!instance_limits.on_leaving(&0, Millis(11_000)), "it is no news twice");
+    instance_limits.on_limit_report(&0, word(Some(50.0), 11_000, 12_000));
+    instance_limits.on_limit_report(&0, word(None, 13_000, 14_000));
+    let withheld = Withheld { until: None, why: WithheldReason::Leaving };
+    assert_eq!(instance_limits.take(&0, ANY, Millis(1 << 50)), Err(withheld));
+    assert_eq!(instance_limits.recently_leaving(Millis(5_000), Millis(14_000)), [0]);
+    assert!(
+        instance_limits.recently_leaving(Millis(5_000), Millis(15_000)).is_empty(),
+        "it was told"
+    );
 }
 
 /// Fails where what a life said is lost while its entry is gone for a while, or kept for good.
 #[test]
 fn what_a_life_said_outlives_its_entry_for_a_while() {
-    let mut intake = Intake::default();
-    intake.hear_leaving(&0, Millis(10_000));
-    intake.hear_rest(&0, Millis(u64::MAX), Millis(10_000));
-    intake.forget(Millis(60_000), |_| false);
-    assert!(intake.look(&0, ANY, Millis(60_000)).is_err());
-    intake.forget(Millis(700_000), |_| true);
-    assert!(intake.look(&0, ANY, Millis(700_000)).is_err());
-    intake.forget(Millis(700_000), |_| false);
-    assert!(intake.is_empty());
+    let mut instance_limits = InstanceLimits::default();
+    instance_limits.on_leaving(&0, Millis(10_000));
+    instance_limits.on_backoff(&0, Millis(u64::MAX), Millis(10_000));
+    instance_limits.forget(Millis(60_000), |_| false);
+    assert!(instance_limits.look(&0, ANY, Millis(60_000)).is_err());
+    instance_limits.forget(Millis(700_000), |_| true);
+    assert!(instance_limits.look(&0, ANY, Millis(700_000)).is_err());
+    instance_limits.forget(Millis(700_000), |_| false);
+    assert!(instance_limits.is_empty());
 }
 
 /// Fails where an entry that says nothing of it takes back what an answer said, or a new life
@@ -418,14 +429,14 @@
     };
     record(&mut roster, 1, 0);
     let first = roster.get(&id).unwrap().instance.identity.clone();
-    roster.hear_leaving(&first);
+    roster.on_leaving(&first);
     record(&mut roster, 2, 0);
     let trust = ListTrust::default();
     assert!(roster.get(&id).unwrap().is_leaving());
     assert!(!roster.get(&id).unwrap().is_in_service(&trust, Millis(10_000)));
     record(&mut roster, 3, 7);
     assert!(roster.get(&id).unwrap().is_in_service(&trust, Millis(10_000)));
-    roster.hear_leaving(&first);
+    roster.on_leaving(&first);
     assert!(!roster.get(&id).unwrap().is_leaving(), "it was another life's word");
 }
 
--- a/crates/workshold-core/tests/hosted/quarantine.rs
+++ b/crates/workshold-core/tests/hosted/quarantine.rs
@@ -113,12 +113,12 @@
 fn what_ran_to_its_end_here_is_cleared_when_others_tell_of_ends() {
     let mut quarantine = Quarantine::default();
     quarantine.on_finished(subject("a").fingerprint, START);
-    for known in after(4).to_tell(9, START) {
+    for known in after(4).next_to_gossip(9, START) {
         quarantine.take(&known, true);
     }
     assert!(!is_held(&quarantine, subject("a"), START + Millis(2_000)));
     let mut others = after(4);
-    for known in quarantine.to_tell(9, START) {
+    for known in quarantine.next_to_gossip(9, START) {
         others.take(&known, true);
     }
     assert!(!is_held(&others, subject("a"), START + Millis(2_000)), "and they hear of it");
@@ -131,11 +131,11 @@
     let mut knows = missed.clone();
     let now = START + Millis(1_000);
     knows.on_finished(subject("a").fingerprint, now);
-    while !knows.to_tell(9, now).is_empty() {}
-    for told in missed.to_tell(9, now) {
+    while !knows.next_to_gossip(9, now).is_empty() {}
+    for told in missed.next_to_gossip(9, now) {
         knows.take(&told, true);
     }
-    for told in knows.to_tell(9, now) {
+    for told in knows.next_to_gossip(9, now) {
         missed.take(&told, true);
     }
     assert!(!is_held(&missed, subject("a"), now));
@@ -189,7 +189,7 @@
     let now = START + Millis(6_000);
     assert!(is_held(&quarantine, subject("a"), now));
     assert!(quarantine.is_near(subject("b").fingerprint, now));
-    assert!(quarantine.to_tell(usize::MAX, now).len() <= 80, "and it stays small");
+    assert!(quarantine.next_to_gossip(usize::MAX, now).len() <= 80, "and it stays small");
 }
 
 #[test]
@@ -212,8 +212,8 @@
     });
     let now = START + Millis(900);
     // What is new has been told several times by then.
-    (0..20).for_each(|_| drop(quarantine.to_tell(9, now)));
-    let told = [quarantine.to_tell(9, now), quarantine.to_tell(9, now)];
+    (0..20).for_each(|_| drop(quarantine.next_to_gossip(9, now)));
+    let told = [quarantine.next_to_gossip(9, now), quarantine.next_to_gossip(9, now)];
     let subjects = told.map(|told| told.iter().map(|known| known.subject).collect::<Vec<_>>());
     assert_eq!(subjects.each_ref().map(Vec::len), [1, 1]);
     assert_ne!(subjects[0], subjects[1]);
--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -10,7 +10,7 @@
 use workshold_core::hosted::fingerprint::Fingerprint;
 use workshold_core::hosted::history::Era;
 use workshold_core::hosted::history::LogPosition;
-use workshold_core::hosted::intake::Rate;
+use workshold_core::hosted::instance_limits::Rate;
 
 use crate::callers::answers;
 use crate::callers::answers::AnswerBody;
@@ -76,7 +76,7 @@
 pub fn state(node: &Node) -> String {
     let now = node.now();
     let lease = node.lease.lock().clone();
-    let intake = node.intake.lock().clone();
+    let instance_limits = node.instance_limits.lock().clone();
     let list = node.list.lock();
     let instances: Vec<_> = list
         .roster
@@ -86,8 +86,8 @@
             json!({
                 "id": entry.instance.identity.as_str(),
                 "is_leaving": entry.is_leaving(),
-                "limit_per_s": intake.limit(&entry.instance.identity).map(Rate::as_per_s),
-                "rests_ms": intake.rests_for(&entry.instance.identity, now).0,
+                "limit_per_s": instance_limits.limit(&entry.instance.identity).map(Rate::as_per_s),
+                "rests_ms": instance_limits.backoff_left(&entry.instance.identity, now).0,
                 "is_listed": entry.unlisted_since.is_none(),
                 "group": own.map(|own| own.group.as_str().to_owned()),
                 "state": own.map(|own| format!("{:?}", own.state)),
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -7,7 +7,7 @@
 
 mod doubts;
 mod held;
-mod intake;
+mod instance_limits;
 mod reading;
 mod repeats;
 
@@ -36,7 +36,7 @@
 use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::identity::Identity;
-use workshold_core::hosted::intake::Intake;
+use workshold_core::hosted::instance_limits::InstanceLimits;
 use workshold_core::hosted::quarantine::Quarantine;
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
@@ -170,7 +170,7 @@
     /// Instances that fail more than others.
     pub outliers: Mutex<Outliers<Identity>>,
     /// How much instances take.
-    pub intake: Mutex<Intake<Identity>>,
+    pub instance_limits: Mutex<InstanceLimits<Identity>>,
     /// Requests at instances.
     pub loads: Loads,
     /// What is counted.
@@ -277,7 +277,7 @@
             quarantine: Mutex::default(),
             keep_wanted: Notify::new(),
             outliers: Mutex::new(Outliers::new(OUTLIERS)),
-            intake: Mutex::default(),
+            instance_limits: Mutex::default(),
             loads: Loads::default(),
             metrics: Metrics::default(),
             demand: Mutex::default(),
@@ -441,7 +441,7 @@
         let mut others = others.filter(|other| other.id != target.id);
         others.any(|other| {
             let has_place = self.loads.of(&other.id).requests < other.slots;
-            has_place && !self.is_in_doubt(other) && self.look_at_intake(&other.id).is_ok()
+            has_place && !self.is_in_doubt(other) && self.check_instance_limits(&other.id).is_ok()
         })
     }
 
--- a/crates/workshold-gateway/src/node/intake.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -6,11 +6,11 @@
 use hyper::Response;
 use hyper::body::Incoming;
 use workshold_core::hosted::identity::Identity;
-use workshold_core::hosted::intake;
-use workshold_core::hosted::intake::Part;
-use workshold_core::hosted::intake::Rate;
-use workshold_core::hosted::intake::Withheld;
-use workshold_core::hosted::intake::Word;
+use workshold_core::hosted::instance_limits;
+use workshold_core::hosted::instance_limits::LimitReport;
+use workshold_core::hosted::instance_limits::Rate;
+use workshold_core::hosted::instance_limits::SenderShare;
+use workshold_core::hosted::instance_limits::Withheld;
 use workshold_http::body::Body;
 use workshold_http::client::CallError;
 use workshold_http::client::Connected;
@@ -54,30 +54,30 @@
 
 impl Node {
     /// The answer to a request that left at `asked` names a limit, or none.
-    pub fn hear_limit(&self, id: &Identity, limit: Limit, asked: Millis) {
+    pub fn on_rate_limit(&self, id: &Identity, limit: Limit, asked: Millis) {
         let limit = match limit {
             Limit::PerSecond(limit) => Some(Rate::per_s(limit)),
             Limit::None => None,
             Limit::Unreadable => return,
         };
-        self.hear_word(id, Word { limit, asked, heard: self.now() });
+        self.hear_word(id, LimitReport { limit, asked, heard: self.now() });
     }
 
     /// A refusal asks this node for so much rest, or for none.
-    pub fn hear_rest(&self, id: &Identity, rest: Option<Millis>) {
+    pub fn on_backoff(&self, id: &Identity, rest: Option<Millis>) {
         let Some(rest) = rest else { return };
-        self.intake.lock().hear_rest(id, rest, self.now());
+        self.instance_limits.lock().on_backoff(id, rest, self.now());
         let rest_ms = rest.0.to_string();
         emit(Event::InstanceRests, &[("instance", id.as_str()), ("rest_ms", &*rest_ms)]);
     }
 
     /// An answer says whether its instance leaves.
-    pub fn hear_leaving(&self, id: &Identity, leaves: bool) {
-        if !leaves || !self.intake.lock().hear_leaving(id, self.now()) {
+    pub fn on_leaving(&self, id: &Identity, leaves: bool) {
+        if !leaves || !self.instance_limits.lock().on_leaving(id, self.now()) {
             return;
         }
         emit(Event::InstanceLeaves, &[("instance", id.as_str())]);
-        self.list.lock().roster.hear_leaving(id);
+        self.list.lock().roster.on_leaving(id);
         self.list_changed();
         self.steward_wanted.notify_one();
         self.pulse_wanted.notify_one();
@@ -88,14 +88,14 @@
         for instance in told {
             let id = self.list.lock().by_short_id.get(instance).cloned();
             if let Some(id) = id {
-                self.hear_leaving(&id, true);
+                self.on_leaving(&id, true);
             }
         }
     }
 
     /// What this node tells others of lives that leave.
     pub fn told_leaving(&self) -> Vec<u32> {
-        let leaving = self.intake.lock().newly_leaving(LEAVING_TOLD, self.now());
+        let leaving = self.instance_limits.lock().recently_leaving(LEAVING_TOLD, self.now());
         leaving.iter().take(MOST_LEAVING_TOLD).map(short_id).collect()
     }
 
@@ -109,11 +109,11 @@
         }
     }
 
-    fn hear_word(&self, id: &Identity, word: Word) {
-        let mut intake = self.intake.lock();
-        let was = intake.limit(id);
-        let is_news = intake.hear(id, word);
-        drop(intake);
+    fn hear_word(&self, id: &Identity, word: LimitReport) {
+        let mut instance_limits = self.instance_limits.lock();
+        let was = instance_limits.limit(id);
+        let is_news = instance_limits.on_limit_report(id, word);
+        drop(instance_limits);
         if !is_news {
             return;
         }
@@ -127,7 +127,7 @@
     /// What this node tells others of limits.
     pub fn told_limits(&self) -> Vec<ToldLimit> {
         let now = self.now();
-        let told = self.intake.lock().to_tell(MOST_TOLD);
+        let told = self.instance_limits.lock().next_to_gossip(MOST_TOLD);
         told.iter().map(|(id, word)| ToldLimit::new(id, *word, now)).collect()
     }
 
@@ -136,9 +136,9 @@
     /// # Errors
     ///
     /// [`Withheld`] if not.
-    pub fn look_at_intake(&self, id: &Identity) -> Result<(), Withheld> {
+    pub fn check_instance_limits(&self, id: &Identity) -> Result<(), Withheld> {
         let part = self.part(id);
-        self.intake.lock().look(id, part, self.now())
+        self.instance_limits.lock().look(id, part, self.now())
     }
 
     /// Takes the right to send one request to an instance, just before it is sent.
@@ -148,20 +148,20 @@
     /// [`Withheld`] if it takes none of this node now.
     pub fn permit(&self, id: &Identity) -> Result<Permit, Withheld> {
         let part = self.part(id);
-        let taken = self.intake.lock().take(id, part, self.now());
+        let taken = self.instance_limits.lock().take(id, part, self.now());
         taken.inspect_err(|_| self.metrics.count(Metric::Withheld))?;
         Ok(Permit(()))
     }
 
     /// This node's part of an instance's limit, if it names one.
-    fn part(&self, id: &Identity) -> Part {
-        let limit = self.intake.lock().limit(id);
-        let Some(limit) = limit else { return Part { is_sender: true, senders: 1 } };
+    fn part(&self, id: &Identity) -> SenderShare {
+        let limit = self.instance_limits.lock().limit(id);
+        let Some(limit) = limit else { return SenderShare { is_sender: true, senders: 1 } };
         let settings = self.settings();
         let peers = self.peers.lock();
-        let senders = intake::senders(limit, peers.may_be_there());
+        let senders = instance_limits::senders(limit, peers.may_be_there());
         let is_first =
             || peers.is_among_senders(&settings.node.name, short_id(id), senders, self.now());
-        Part { is_sender: !self.is_leaving() && is_first(), senders }
+        SenderShare { is_sender: !self.is_leaving() && is_first(), senders }
     }
 }
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -11,8 +11,8 @@
 use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::identity::Identity;
-use workshold_core::hosted::intake::Rate;
-use workshold_core::hosted::intake::Word;
+use workshold_core::hosted::instance_limits::LimitReport;
+use workshold_core::hosted::instance_limits::Rate;
 use workshold_core::hosted::quarantine::End;
 use workshold_core::hosted::quarantine::Known;
 use workshold_core::hosted::quarantine::Subject;
@@ -336,7 +336,7 @@
 
 impl ToldLimit {
     /// Puts what is known at `now` into a datagram.
-    pub fn new(id: &Identity, word: Word, now: Millis) -> Self {
+    pub fn new(id: &Identity, word: LimitReport, now: Millis) -> Self {
         Self {
             instance: short_id(id),
             limit: word.limit.map(|limit| limit.0),
@@ -346,8 +346,8 @@
     }
 
     /// What was put in, as it is known if it was said at `at`.
-    pub fn word(&self, at: Millis) -> Word {
-        Word {
+    pub fn word(&self, at: Millis) -> LimitReport {
+        LimitReport {
             limit: self.limit.map(Rate),
             asked: at - Millis(self.asked_ms),
             heard: at - Millis(self.heard_ms),
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -20,7 +20,7 @@
 use workshold_core::hosted::catalog::Kind;
 use workshold_core::hosted::demand::Asked;
 use workshold_core::hosted::identity::Identity;
-use workshold_core::hosted::intake::Withheld;
+use workshold_core::hosted::instance_limits::Withheld;
 use workshold_core::hosted::placement;
 use workshold_core::hosted::placement::Candidate;
 use workshold_core::hosted::tries;
@@ -355,7 +355,8 @@
 /// Counts a failure against an instance, unless all it did is to say how much it takes.
 pub fn note_failure(node: &Node, target: &Target, ending: Ending) {
     let now = node.now();
-    let has_said = ending == Ending::Refused && node.intake.lock().has_spoken(&target.id, now);
+    let has_said =
+        ending == Ending::Refused && node.instance_limits.lock().restricts_sending(&target.id, now);
     if ending != Ending::Withheld && !has_said {
         node.outliers.lock().on_failure(&target.id, now);
     }
@@ -518,11 +519,11 @@
     node: &Node,
     fits: impl Iterator<Item = &'a Arc<Target>>,
 ) -> (Vec<&'a Arc<Target>>, Option<Millis>) {
-    if node.intake.lock().is_empty() {
+    if node.instance_limits.lock().is_empty() {
         return (fits.collect(), None);
     }
     let mut free_at: Option<Millis> = None;
-    let taking = fits.filter(|target| match node.look_at_intake(&target.id) {
+    let taking = fits.filter(|target| match node.check_instance_limits(&target.id) {
         Ok(()) => true,
         Err(Withheld { until, .. }) => {
             free_at = free_at.into_iter().chain(until).min();
--- a/crates/workshold-gateway/src/relay/attempt.rs
+++ b/crates/workshold-gateway/src/relay/attempt.rs
@@ -119,9 +119,9 @@
         Err(_) => return Err((Ending::Broken, "the connection broke")),
     };
     if is_of(&job, &res) {
-        node.hear_limit(&target.id, words::limit(res.headers()), sent);
-        node.hear_rest(&target.id, words::rest(res.status(), res.headers(), node.wall()));
-        node.hear_leaving(&target.id, words::leaves(res.headers()));
+        node.on_rate_limit(&target.id, words::limit(res.headers()), sent);
+        node.on_backoff(&target.id, words::rest(res.status(), res.headers(), node.wall()));
+        node.on_leaving(&target.id, words::leaves(res.headers()));
     }
     check_head(&job, &res)?;
     let is_stream = job.route.kind == Kind::Stream && res.status().is_success();
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -188,7 +188,7 @@
 
 fn told_requests(node: &Node) -> Vec<ToldRequest> {
     let now = node.now();
-    let told = node.quarantine.lock().to_tell(MOST_REQUESTS, now);
+    let told = node.quarantine.lock().next_to_gossip(MOST_REQUESTS, now);
     told.iter().map(|known| ToldRequest::new(known, now)).collect()
 }
 
--- a/crates/workshold-gateway/src/tasks/upkeep.rs
+++ b/crates/workshold-gateway/src/tasks/upkeep.rs
@@ -61,7 +61,7 @@
     node.suspicions.lock().forget(now, |id| known.contains(id));
     node.gaps.lock().retain(|id| known.contains(id));
     node.outliers.lock().retain(|id| known.contains(id));
-    node.intake.lock().forget(now, |id| known.contains(id));
+    node.instance_limits.lock().forget(now, |id| known.contains(id));
     node.quarantine.lock().forget(now);
     node.loads.tidy();
     let mut peers = node.peers.lock();
--- a/crates/workshold-gateway/tests/fleet/mod.rs
+++ b/crates/workshold-gateway/tests/fleet/mod.rs
@@ -196,7 +196,7 @@
 
     fn speak(&mut self, i: usize) {
         let mut pulse = self.pulse(i);
-        let told = self.nodes[i].quarantine.to_tell(MOST_REQUESTS, self.now);
+        let told = self.nodes[i].quarantine.next_to_gossip(MOST_REQUESTS, self.now);
         pulse.requests = told.iter().map(|known| ToldRequest::new(known, self.now)).collect();
         let draw = self.rng.random();
         let now = self.now;
--- a/crates/workshold-model/src/ending.rs
+++ b/crates/workshold-model/src/ending.rs
@@ -248,7 +248,7 @@
             return;
         }
         for from in 0..NODES {
-            let told = self.nodes[from].knows.to_tell(16, self.now);
+            let told = self.nodes[from].knows.next_to_gossip(16, self.now);
             for to in (0..NODES).filter(|to| *to != from) {
                 if self.rng.random_bool(LOST_PART) {
                     continue;
--- a/crates/workshold-model/src/intake.rs
+++ b/crates/workshold-model/src/instance_limits.rs
@@ -8,11 +8,11 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use workshold_core::hosted::intake;
-use workshold_core::hosted::intake::Intake;
-use workshold_core::hosted::intake::Part;
-use workshold_core::hosted::intake::Rate;
-use workshold_core::hosted::intake::Word;
+use workshold_core::hosted::instance_limits;
+use workshold_core::hosted::instance_limits::InstanceLimits;
+use workshold_core::hosted::instance_limits::LimitReport;
+use workshold_core::hosted::instance_limits::Rate;
+use workshold_core::hosted::instance_limits::SenderShare;
 use workshold_protocol::Millis;
 
 /// A rule that is broken on purpose.
@@ -93,7 +93,7 @@
 const KEPT_OUT: Millis = Millis(24_000);
 
 struct Node {
-    intake: Intake<u32>,
+    instance_limits: InstanceLimits<u32>,
     up_since: Option<Millis>,
     down_at: Millis,
     /// When it was first told of the limit and of the leaving of this life.
@@ -106,7 +106,7 @@
 impl Node {
     fn new(now: Millis) -> Self {
         Self {
-            intake: Intake::default(),
+            instance_limits: InstanceLimits::default(),
             up_since: Some(now),
             down_at: Millis::ZERO,
             told: None,
@@ -144,7 +144,7 @@
     /// Since when it takes whatever comes.
     free_since: Millis,
     answers: Vec<(Millis, usize, Answer)>,
-    news: Vec<(Millis, usize, u32, Word)>,
+    news: Vec<(Millis, usize, u32, LimitReport)>,
     came: Vec<Millis>,
     last_came: Millis,
 }
@@ -259,16 +259,16 @@
         if self.broken == Some(Broken::ByLife) { 0 } else { life }
     }
 
-    fn part(&self, node: usize, key: u32) -> Part {
+    fn part(&self, node: usize, key: u32) -> SenderShare {
         if self.broken == Some(Broken::Shared) {
-            return Part { is_sender: true, senders: 1 };
+            return SenderShare { is_sender: true, senders: 1 };
         }
-        let limit = self.nodes[node].intake.limit(&key).unwrap_or(Rate(0));
-        let senders = intake::senders(limit, NODES);
+        let limit = self.nodes[node].instance_limits.limit(&key).unwrap_or(Rate(0));
+        let senders = instance_limits::senders(limit, NODES);
         let is_seen =
             |node: &&Node| node.up_since.is_some() || self.now.since(node.down_at) < MISSED_AFTER;
         let before = self.nodes[..node].iter().filter(is_seen).count();
-        Part { is_sender: before < senders, senders }
+        SenderShare { is_sender: before < senders, senders }
     }
 
     fn send(&mut self, node: usize) -> Option<Breach> {
@@ -276,8 +276,9 @@
         let part = self.part(node, key);
         let forgets = self.broken == Some(Broken::EveryWayAsks) && self.rng.random_bool(0.1);
         let never_again = self.broken == Some(Broken::AsksAgain)
-            && self.nodes[node].intake.limit(&key).is_some_and(|limit| limit < Rate(250));
-        let may = self.nodes[node].intake.take(&key, part, self.now).is_ok() && !never_again;
+            && self.nodes[node].instance_limits.limit(&key).is_some_and(|limit| limit < Rate(250));
+        let may =
+            self.nodes[node].instance_limits.take(&key, part, self.now).is_ok() && !never_again;
         if !may && !forgets {
             return None;
         }
@@ -337,7 +338,7 @@
     }
 
     fn tell(&mut self, from: usize) {
-        for (life, word) in self.nodes[from].intake.to_tell(8) {
+        for (life, word) in self.nodes[from].instance_limits.next_to_gossip(8) {
             for to in (0..NODES).filter(|to| *to != from) {
                 if !self.rng.random_bool(LOST_PART) {
                     let comes = self.now + Millis(self.rng.random_range(0..NEWS_MOST));
@@ -361,7 +362,7 @@
             std::mem::take(&mut self.news).into_iter().partition(|(at, ..)| *at <= now);
         self.news = left;
         for (_, node, life, word) in come {
-            self.nodes[node].intake.hear(&life, word);
+            self.nodes[node].instance_limits.on_limit_report(&life, word);
         }
     }
 
@@ -372,12 +373,17 @@
         let is_current = answer.life == self.life;
         let shortest = self.broken == Some(Broken::LongestRest);
         let node = &mut self.nodes[node];
-        node.intake.hear(&key, Word { limit: answer.limit, asked, heard: now });
+        node.instance_limits
+            .on_limit_report(&key, LimitReport { limit: answer.limit, asked, heard: now });
         if let Some(rest) = answer.rest {
-            node.intake.hear_rest(&key, if shortest { rest.min(Millis(900)) } else { rest }, now);
+            node.instance_limits.on_backoff(
+                &key,
+                if shortest { rest.min(Millis(900)) } else { rest },
+                now,
+            );
         }
         if answer.leaves {
-            node.intake.hear_leaving(&key, now);
+            node.instance_limits.on_leaving(&key, now);
         }
         if !is_current {
             return;
--- a/crates/workshold-model/src/lib.rs
+++ b/crates/workshold-model/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod ending;
 pub mod groups;
 pub mod hosted;
-pub mod intake;
+pub mod instance_limits;
 pub mod mutation;
 pub mod once;
 pub mod streams;
--- a/crates/workshold-model/tests/intake.rs
+++ b/crates/workshold-model/tests/instance_limits.rs
@@ -1,7 +1,7 @@
 //! An instance that says what it takes, over many drawn worlds.
 
-use workshold_model::intake::Broken;
-use workshold_model::intake::IntakeWorld;
+use workshold_model::instance_limits::Broken;
+use workshold_model::instance_limits::IntakeWorld;
 
 const SEEDS: u64 = 400;
 const SEEDS_OF_BROKEN: u64 = 400;
