--- a/crates/workshold-core/src/hosted/quarantine.rs
+++ b/crates/workshold-core/src/hosted/quarantine.rs
@@ -31,7 +31,7 @@
 pub const ENDS: usize = 3;
 /// Whoever has spoken for this long is through with beginning: what ends the instance then
 /// is something else. Beginning takes a fraction of a second.
-pub const BEGINS_WITHIN: Millis = Millis(1_000);
+pub const START_WINDOW: Millis = Millis(1_000);
 /// Lives of one place that end within this end for one cause, such as its power. A request
 /// needs longer to be sent from one instance to the next and to begin there.
 const ONE_CAUSE: Millis = Millis(25);
@@ -60,30 +60,30 @@
 const TOLD: u8 = 3;
 
 /// A life of an instance as a number that no other one has.
-pub fn life(id: &Identity) -> u64 {
+pub fn incarnation(id: &Identity) -> u64 {
     xxh3_64_with_seed(id.as_str().as_bytes(), id.incarnation.0)
 }
 
 /// A caller, or a place, as a number.
-pub fn mark(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
 /// A request as it is told from others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Subject {
+pub struct RequestKey {
     /// What it asks.
     pub fingerprint: Fingerprint,
-    /// [`mark`] of who asks.
+    /// [`name_hash`] of who asks.
     pub caller: u32,
 }
 
 /// The end of one life while a request began there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct End {
-    /// [`life`].
-    pub life: u64,
-    /// [`mark`] of the place that may be lost as a whole.
+pub struct ProcessEnd {
+    /// [`incarnation`].
+    pub incarnation: u64,
+    /// [`name_hash`] of the place that may be lost as a whole.
     pub place: u32,
     /// When.
     pub at: Millis,
@@ -91,18 +91,18 @@
 
 /// All that is known of one fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Known {
+pub struct QuarantineRecord {
     /// Which one.
-    pub subject: Subject,
+    pub request_key: RequestKey,
     /// Which lives ended under it.
-    pub ends: Vec<End>,
+    pub ends: Vec<ProcessEnd>,
     /// When it last ran to its end, or an operator let it go.
     pub cleared: Option<Millis>,
 }
 
 /// How a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing, or too little, is known against it.
     Free,
     /// One more end, and it is held: it runs at one instance at a time.
@@ -114,7 +114,7 @@
 #[derive(Debug, Clone)]
 struct Entry {
     caller: u32,
-    ends: BTreeMap<u64, End>,
+    ends: BTreeMap<u64, ProcessEnd>,
     cleared: Option<Millis>,
     tells: u8,
     /// Whether what is known of it is to be kept for those who start later.
@@ -124,8 +124,8 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Break {
-    subject: Subject,
-    life: u64,
+    request_key: RequestKey,
+    incarnation: u64,
     place: u32,
     at: Millis,
 }
@@ -155,9 +155,9 @@
 
     /// Ends since it was cleared that have a cause of their own.
     fn count(&self) -> usize {
-        let counts = |end: &&End| self.cleared.is_none_or(|cleared| end.at > cleared);
-        let mut ends: Vec<&End> = self.ends.values().filter(counts).collect();
-        ends.sort_by_key(|end| (end.at, end.life));
+        let counts = |end: &&ProcessEnd| self.cleared.is_none_or(|cleared| end.at > cleared);
+        let mut ends: Vec<&ProcessEnd> = self.ends.values().filter(counts).collect();
+        ends.sort_by_key(|end| (end.at, end.incarnation));
         let mut counted: BTreeMap<u32, Millis> = BTreeMap::new();
         let mut count = 0;
         for end in ends {
@@ -174,16 +174,16 @@
         ends.chain(self.cleared).max().unwrap_or_default()
     }
 
-    fn standing(&self, now: Millis) -> Standing {
+    fn status(&self, now: Millis) -> QuarantineStatus {
         let count = self.count();
         if count + 1 < ENDS {
-            return Standing::Free;
+            return QuarantineStatus::Free;
         }
         let held_until = self.last() + held_for(count);
         if count >= ENDS && now < held_until {
-            Standing::Held(held_until)
+            QuarantineStatus::Held(held_until)
         } else {
-            Standing::Suspect
+            QuarantineStatus::Suspect
         }
     }
 
@@ -192,9 +192,13 @@
         now.since(self.last()) >= if was_held { HELD_MOST } else { REMEMBERED }
     }
 
-    fn known(&self, fingerprint: Fingerprint) -> Known {
-        let subject = Subject { fingerprint, caller: self.caller };
-        Known { subject, ends: self.ends.values().copied().collect(), cleared: self.cleared }
+    fn known(&self, fingerprint: Fingerprint) -> QuarantineRecord {
+        let request_key = RequestKey { fingerprint, caller: self.caller };
+        QuarantineRecord {
+            request_key,
+            ends: self.ends.values().copied().collect(),
+            cleared: self.cleared,
+        }
     }
 }
 
@@ -204,44 +208,51 @@
 }
 
 impl Quarantine {
-    /// The connection to `life`, at `place`, broke while `subject` had just begun there or
+    /// The connection to `incarnation`, at `place`, broke while `request_key` had just begun there or
     /// waited. Returns whether that is news for others.
-    pub fn on_break(&mut self, subject: Subject, life: u64, place: u32, now: Millis) -> bool {
+    pub fn on_connection_broken(
+        &mut self,
+        request_key: RequestKey,
+        incarnation: u64,
+        place: u32,
+        now: Millis,
+    ) -> bool {
         let at = now;
-        if self.ended.get(&life).is_some_and(|ended| now.since(*ended) < WORD_COMES) {
-            return self.on_end(subject, End { life, place, at });
+        if self.ended.get(&incarnation).is_some_and(|ended| now.since(*ended) < WORD_COMES) {
+            return self.on_end(request_key, ProcessEnd { incarnation, place, at });
         }
         if self.breaks.len() >= MOST_RECENT {
             self.breaks.pop_front();
         }
-        self.breaks.push_back(Break { subject, life, place, at });
+        self.breaks.push_back(Break { request_key, incarnation, place, at });
         false
     }
 
-    /// The process of `life` has ended. Returns whether that is news for others.
-    pub fn on_ended(&mut self, life: u64, now: Millis) -> bool {
+    /// The process of `incarnation` has ended. Returns whether that is news for others.
+    pub fn on_process_ended(&mut self, incarnation: u64, now: Millis) -> bool {
         if self.ended.len() < MOST_RECENT {
-            self.ended.entry(life).or_insert(now);
+            self.ended.entry(incarnation).or_insert(now);
         }
-        let is_of_it = |broken: &Break| broken.life == life && now.since(broken.at) < WORD_COMES;
+        let is_of_it =
+            |broken: &Break| broken.incarnation == incarnation && now.since(broken.at) < WORD_COMES;
         let (of_it, others): (VecDeque<Break>, _) = self.breaks.drain(..).partition(is_of_it);
         self.breaks = others;
         let mut is_news = false;
-        for Break { subject, life, place, at } in of_it {
-            is_news |= self.on_end(subject, End { life, place, at });
+        for Break { request_key, incarnation, place, at } in of_it {
+            is_news |= self.on_end(request_key, ProcessEnd { incarnation, place, at });
         }
         is_news
     }
 
-    fn on_end(&mut self, subject: Subject, end: End) -> bool {
-        let has_finished = self.finished.iter().any(|set| set.contains(&subject.fingerprint));
+    fn on_end(&mut self, request_key: RequestKey, end: ProcessEnd) -> bool {
+        let has_finished = self.finished.iter().any(|set| set.contains(&request_key.fingerprint));
         let cleared = has_finished.then_some(end.at);
-        let is_known = self.entries.contains_key(&subject.fingerprint);
+        let is_known = self.entries.contains_key(&request_key.fingerprint);
         if has_finished && !is_known {
             return false;
         }
-        let is_news = self.join(&Known { subject, ends: vec![end], cleared }, true);
-        if let Some(entry) = self.entries.get_mut(&subject.fingerprint) {
+        let is_news = self.join(&QuarantineRecord { request_key, ends: vec![end], cleared }, true);
+        if let Some(entry) = self.entries.get_mut(&request_key.fingerprint) {
             // Whoever saw an end keeps the verdict: others may be lost with what they know.
             entry.is_to_keep |= is_news && entry.count() >= ENDS;
         }
@@ -249,7 +260,7 @@
     }
 
     /// A request ran to its end, and its instance lives. Returns whether that is news.
-    pub fn on_finished(&mut self, fingerprint: Fingerprint, now: Millis) -> bool {
+    pub fn on_completed(&mut self, fingerprint: Fingerprint, now: Millis) -> bool {
         if self.finished[0].len() >= MOST_FINISHED {
             self.finished[1] = std::mem::take(&mut self.finished[0]);
         }
@@ -271,29 +282,30 @@
     /// Takes what another node, or the store, knows. Returns whether it is news. Whoever
     /// `passes_on` tells it in turn; the others heard it from those who do, and would only
     /// repeat it, hundreds of them for each end.
-    pub fn take(&mut self, known: &Known, passes_on: bool) -> bool {
-        let fingerprint = known.subject.fingerprint;
+    pub fn take(&mut self, known: &QuarantineRecord, passes_on: bool) -> bool {
+        let fingerprint = known.request_key.fingerprint;
         let has_finished = self.finished.iter().any(|set| set.contains(&fingerprint));
         let last = known.ends.iter().map(|end| end.at).max();
         let own = last.filter(|_| has_finished && !known.ends.is_empty());
         let cleared = known.cleared.max(own);
         let knows_better = cleared > known.cleared;
-        self.join(&Known { cleared, ..known.clone() }, passes_on || knows_better)
+        self.join(&QuarantineRecord { cleared, ..known.clone() }, passes_on || knows_better)
     }
 
-    fn join(&mut self, known: &Known, tells: bool) -> bool {
-        let Subject { fingerprint, caller } = known.subject;
+    fn join(&mut self, known: &QuarantineRecord, tells: bool) -> bool {
+        let RequestKey { fingerprint, caller } = known.request_key;
         if !self.entries.contains_key(&fingerprint) && !self.make_room(caller) {
             return false;
         }
         let entry = self.entries.entry(fingerprint).or_insert_with(|| Entry::new(caller));
         let mut is_news = false;
         for end in &known.ends {
-            let has_room = entry.ends.len() < MOST_ENDS || entry.ends.contains_key(&end.life);
+            let has_room =
+                entry.ends.len() < MOST_ENDS || entry.ends.contains_key(&end.incarnation);
             if !has_room {
                 continue;
             }
-            let own = entry.ends.entry(end.life).or_insert_with(|| {
+            let own = entry.ends.entry(end.incarnation).or_insert_with(|| {
                 is_news = true;
                 *end
             });
@@ -334,15 +346,15 @@
     }
 
     /// How a request stands.
-    pub fn standing(&self, fingerprint: Fingerprint, now: Millis) -> Standing {
+    pub fn status(&self, fingerprint: Fingerprint, now: Millis) -> QuarantineStatus {
         let entry = self.entries.get(&fingerprint);
-        entry.map_or(Standing::Free, |entry| entry.standing(now))
+        entry.map_or(QuarantineStatus::Free, |entry| entry.status(now))
     }
 
     /// Whether the end of an instance under this one would be held against it for good:
     /// then it is worth waiting for the word on it.
-    pub fn is_near(&self, fingerprint: Fingerprint, now: Millis) -> bool {
-        self.standing(fingerprint, now) != Standing::Free
+    pub fn is_suspect(&self, fingerprint: Fingerprint, now: Millis) -> bool {
+        self.status(fingerprint, now) != QuarantineStatus::Free
     }
 
     /// Whether anything has changed that is still to be told.
@@ -352,7 +364,7 @@
 
     /// What is to be told now, at most so many: what has changed first, those under which
     /// most have ended before others; then those that are held, in turn.
-    pub fn next_to_gossip(&mut self, most: usize, now: Millis) -> Vec<Known> {
+    pub fn next_to_gossip(&mut self, most: usize, now: Millis) -> Vec<QuarantineRecord> {
         let changed = self.entries.iter().filter(|(_, entry)| entry.tells > 0);
         let mut chosen: Vec<(usize, Fingerprint)> =
             changed.map(|(fingerprint, entry)| (entry.count(), *fingerprint)).collect();
@@ -372,7 +384,7 @@
 
     /// The next one that is held: whoever has just started hears of all in turn.
     fn next_held(&mut self, now: Millis) -> Option<Fingerprint> {
-        let is_held = |entry: &Entry| matches!(entry.standing(now), Standing::Held(_));
+        let is_held = |entry: &Entry| matches!(entry.status(now), QuarantineStatus::Held(_));
         let held: Vec<Fingerprint> = self
             .entries
             .iter()
@@ -386,7 +398,7 @@
     }
 
     /// What is to be kept for those who start later; it is taken for kept from here on.
-    pub fn to_keep(&mut self) -> Vec<Known> {
+    pub fn take_unsaved(&mut self) -> Vec<QuarantineRecord> {
         let entries = self.entries.iter_mut().filter(|(_, entry)| entry.is_to_keep);
         let keep = entries.map(|(fingerprint, entry)| {
             entry.is_to_keep = false;
@@ -397,27 +409,27 @@
 
     /// Where it is kept something may have been lost that was kept: what others held, and
     /// that it was cleared.
-    pub fn keep_all(&mut self) {
+    pub fn mark_all_unsaved(&mut self) {
         for entry in self.entries.values_mut() {
             entry.is_to_keep |= entry.count() >= ENDS || entry.cleared.is_some();
         }
     }
 
     /// It could not be kept: it is still to be.
-    pub fn keep_again(&mut self, known: &[Known]) {
+    pub fn mark_unsaved(&mut self, known: &[QuarantineRecord]) {
         for known in known {
-            if let Some(entry) = self.entries.get_mut(&known.subject.fingerprint) {
+            if let Some(entry) = self.entries.get_mut(&known.request_key.fingerprint) {
                 entry.is_to_keep = true;
             }
         }
     }
 
     /// Those that are held and were not when this was last asked, and until when.
-    pub fn newly_held(&mut self, now: Millis) -> Vec<(Known, Millis)> {
+    pub fn newly_quarantined(&mut self, now: Millis) -> Vec<(QuarantineRecord, Millis)> {
         let news = self.entries.iter_mut().filter_map(|(fingerprint, entry)| {
-            let held_until = match entry.standing(now) {
-                Standing::Held(until) => Some(until),
-                Standing::Free | Standing::Suspect => None,
+            let held_until = match entry.status(now) {
+                QuarantineStatus::Held(until) => Some(until),
+                QuarantineStatus::Free | QuarantineStatus::Suspect => None,
             };
             let was_announced = std::mem::replace(&mut entry.is_announced, held_until.is_some());
             held_until.filter(|_| !was_announced).map(|until| (entry.known(*fingerprint), until))
@@ -426,9 +438,9 @@
     }
 
     /// All that are held, and until when.
-    pub fn held(&self, now: Millis) -> Vec<(Known, Millis)> {
+    pub fn held(&self, now: Millis) -> Vec<(QuarantineRecord, Millis)> {
         let held = self.entries.iter().filter_map(|(fingerprint, entry)| {
-            let Standing::Held(until) = entry.standing(now) else { return None };
+            let QuarantineStatus::Held(until) = entry.status(now) else { return None };
             Some((entry.known(*fingerprint), until))
         });
         held.collect()
@@ -444,5 +456,5 @@
 
 /// Where a life is lost together with others: its domain, or its data centre.
 pub fn place(domain: Option<&str>, data_centre: &str) -> u32 {
-    mark(domain.unwrap_or(data_centre))
+    name_hash(domain.unwrap_or(data_centre))
 }
--- a/crates/workshold-core/src/hosted/roster.rs
+++ b/crates/workshold-core/src/hosted/roster.rs
@@ -316,7 +316,7 @@
     }
 
     /// The entry of one life of an instance, if it is the one that is there.
-    pub fn life(&self, identity: &Identity) -> Option<&Entry> {
+    pub fn incarnation(&self, identity: &Identity) -> Option<&Entry> {
         self.get(&identity.id).filter(|entry| entry.instance.identity == *identity)
     }
 
--- a/crates/workshold-core/tests/hosted/quarantine.rs
+++ b/crates/workshold-core/tests/hosted/quarantine.rs
@@ -10,38 +10,38 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use workshold_core::hosted::fingerprint::Fingerprint;
-use workshold_core::hosted::quarantine::End;
-use workshold_core::hosted::quarantine::Known;
+use workshold_core::hosted::quarantine::ProcessEnd;
 use workshold_core::hosted::quarantine::Quarantine;
-use workshold_core::hosted::quarantine::Standing;
-use workshold_core::hosted::quarantine::Subject;
-use workshold_core::hosted::quarantine::mark;
+use workshold_core::hosted::quarantine::QuarantineRecord;
+use workshold_core::hosted::quarantine::QuarantineStatus;
+use workshold_core::hosted::quarantine::RequestKey;
+use workshold_core::hosted::quarantine::name_hash;
 use workshold_protocol::Millis;
 
 const START: Millis = Millis::from_secs(1_000);
 const MINUTE: Millis = Millis::from_secs(60);
 const HOUR: Millis = Millis::from_secs(3_600);
 
-fn subject(of: &str) -> Subject {
-    Subject { fingerprint: Fingerprint::of(Some(of), "/x", b"body"), caller: mark(of) }
+fn request_key(of: &str) -> RequestKey {
+    RequestKey { fingerprint: Fingerprint::of(Some(of), "/x", b"body"), caller: name_hash(of) }
 }
 
-/// Life `life` ends at `at`, while a request of `subject` begins there.
-fn end(quarantine: &mut Quarantine, subject: Subject, life: u64, at: Millis) -> bool {
-    quarantine.on_break(subject, life, life as u32, at);
-    quarantine.on_ended(life, at + Millis(5))
+/// Life `incarnation` ends at `at`, while a request of `request_key` begins there.
+fn end(quarantine: &mut Quarantine, request_key: RequestKey, incarnation: u64, at: Millis) -> bool {
+    quarantine.on_connection_broken(request_key, incarnation, incarnation as u32, at);
+    quarantine.on_process_ended(incarnation, at + Millis(5))
 }
 
 fn after(ends: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for life in 0..ends {
-        end(&mut quarantine, subject("a"), life, START + Millis(life * 100));
+    for incarnation in 0..ends {
+        end(&mut quarantine, request_key("a"), incarnation, START + Millis(incarnation * 100));
     }
     quarantine
 }
 
-fn is_held(quarantine: &Quarantine, subject: Subject, now: Millis) -> bool {
-    matches!(quarantine.standing(subject.fingerprint, now), Standing::Held(_))
+fn is_held(quarantine: &Quarantine, request_key: RequestKey, now: Millis) -> bool {
+    matches!(quarantine.status(request_key.fingerprint, now), QuarantineStatus::Held(_))
 }
 
 #[rstest]
@@ -53,75 +53,85 @@
 fn the_third_life_that_ends_holds_it(#[case] ends: u64, #[case] near: bool, #[case] held: bool) {
     let quarantine = after(ends);
     let now = START + Millis(2_000);
-    assert_eq!(quarantine.is_near(subject("a").fingerprint, now), near);
-    assert_eq!(is_held(&quarantine, subject("a"), now), held);
-    assert!(!is_held(&quarantine, subject("b"), now), "another caller's is another one");
+    assert_eq!(quarantine.is_suspect(request_key("a").fingerprint, now), near);
+    assert_eq!(is_held(&quarantine, request_key("a"), now), held);
+    assert!(!is_held(&quarantine, request_key("b"), now), "another caller's is another one");
 }
 
 #[test]
 fn a_broken_connection_whose_instance_lives_on_says_nothing() {
     let mut quarantine = Quarantine::default();
-    for life in 0..9 {
-        assert!(!quarantine.on_break(subject("a"), life, 1, START));
+    for incarnation in 0..9 {
+        assert!(!quarantine.on_connection_broken(request_key("a"), incarnation, 1, START));
     }
-    assert_eq!(quarantine.standing(subject("a").fingerprint, START), Standing::Free);
+    assert_eq!(quarantine.status(request_key("a").fingerprint, START), QuarantineStatus::Free);
 }
 
 #[test]
 fn the_word_that_an_instance_has_ended_may_come_before_or_after_the_break() {
     let mut quarantine = Quarantine::default();
-    assert!(!quarantine.on_ended(1, START));
-    assert!(quarantine.on_break(subject("a"), 1, 1, START + Millis(300)));
-    assert!(!quarantine.on_break(subject("a"), 2, 2, START));
-    assert!(quarantine.on_ended(2, START + Millis(4_000)));
-    assert!(!quarantine.on_break(subject("a"), 3, 3, START));
-    assert!(!quarantine.on_ended(3, START + MINUTE), "that was another cause");
-    assert!(!is_held(&quarantine, subject("a"), START + MINUTE));
+    assert!(!quarantine.on_process_ended(1, START));
+    assert!(quarantine.on_connection_broken(request_key("a"), 1, 1, START + Millis(300)));
+    assert!(!quarantine.on_connection_broken(request_key("a"), 2, 2, START));
+    assert!(quarantine.on_process_ended(2, START + Millis(4_000)));
+    assert!(!quarantine.on_connection_broken(request_key("a"), 3, 3, START));
+    assert!(!quarantine.on_process_ended(3, START + MINUTE), "that was another cause");
+    assert!(!is_held(&quarantine, request_key("a"), START + MINUTE));
 }
 
 #[test]
 fn one_life_counts_once_whoever_tells_of_it() {
     let mut quarantine = Quarantine::default();
     for _ in 0..5 {
-        end(&mut quarantine, subject("a"), 7, START);
+        end(&mut quarantine, request_key("a"), 7, START);
     }
-    assert!(!quarantine.is_near(subject("a").fingerprint, START));
+    assert!(!quarantine.is_suspect(request_key("a").fingerprint, START));
 }
 
 /// A place that loses its power ends many lives at once, with copies of what is asked much.
 #[test]
 fn lives_of_one_place_that_end_together_count_once() {
     let mut quarantine = Quarantine::default();
-    for life in 0..8 {
-        quarantine.on_break(subject("a"), life, 1, START + Millis(life % 3));
-        quarantine.on_ended(life, START + Millis(10));
+    for incarnation in 0..8 {
+        quarantine.on_connection_broken(
+            request_key("a"),
+            incarnation,
+            1,
+            START + Millis(incarnation % 3),
+        );
+        quarantine.on_process_ended(incarnation, START + Millis(10));
     }
-    assert!(!quarantine.is_near(subject("a").fingerprint, START + Millis(20)));
+    assert!(!quarantine.is_suspect(request_key("a").fingerprint, START + Millis(20)));
 }
 
 #[test]
 fn a_run_to_its_end_clears_it_and_goes_on_doing_so() {
     let mut quarantine = after(2);
-    assert!(quarantine.on_finished(subject("a").fingerprint, START + Millis(500)));
-    for life in 20..29 {
-        end(&mut quarantine, subject("a"), life, START + Millis(600 + life * 100));
-        assert!(!is_held(&quarantine, subject("a"), START + Millis(5_000)));
+    assert!(quarantine.on_completed(request_key("a").fingerprint, START + Millis(500)));
+    for incarnation in 20..29 {
+        end(
+            &mut quarantine,
+            request_key("a"),
+            incarnation,
+            START + Millis(600 + incarnation * 100),
+        );
+        assert!(!is_held(&quarantine, request_key("a"), START + Millis(5_000)));
     }
 }
 
 #[test]
 fn what_ran_to_its_end_here_is_cleared_when_others_tell_of_ends() {
     let mut quarantine = Quarantine::default();
-    quarantine.on_finished(subject("a").fingerprint, START);
+    quarantine.on_completed(request_key("a").fingerprint, START);
     for known in after(4).next_to_gossip(9, START) {
         quarantine.take(&known, true);
     }
-    assert!(!is_held(&quarantine, subject("a"), START + Millis(2_000)));
+    assert!(!is_held(&quarantine, request_key("a"), START + Millis(2_000)));
     let mut others = after(4);
     for known in quarantine.next_to_gossip(9, START) {
         others.take(&known, true);
     }
-    assert!(!is_held(&others, subject("a"), START + Millis(2_000)), "and they hear of it");
+    assert!(!is_held(&others, request_key("a"), START + Millis(2_000)), "and they hear of it");
 }
 
 /// A node that missed the clearance goes on telling; whoever hears it knows better.
@@ -130,7 +140,7 @@
     let mut missed = after(3);
     let mut knows = missed.clone();
     let now = START + Millis(1_000);
-    knows.on_finished(subject("a").fingerprint, now);
+    knows.on_completed(request_key("a").fingerprint, now);
     while !knows.next_to_gossip(9, now).is_empty() {}
     for told in missed.next_to_gossip(9, now) {
         knows.take(&told, true);
@@ -138,7 +148,7 @@
     for told in knows.next_to_gossip(9, now) {
         missed.take(&told, true);
     }
-    assert!(!is_held(&missed, subject("a"), now));
+    assert!(!is_held(&missed, request_key("a"), now));
 }
 
 #[test]
@@ -146,85 +156,93 @@
     let mut quarantine = after(3);
     let last = START + Millis(200);
     let until = |quarantine: &Quarantine, now: Millis| match quarantine
-        .standing(subject("a").fingerprint, now)
+        .status(request_key("a").fingerprint, now)
     {
-        Standing::Held(until) => Some(until.since(now)),
-        Standing::Free | Standing::Suspect => None,
+        QuarantineStatus::Held(until) => Some(until.since(now)),
+        QuarantineStatus::Free | QuarantineStatus::Suspect => None,
     };
     assert_eq!(until(&quarantine, last), Some(Millis(10 * MINUTE.0)));
     quarantine.forget(last + Millis(10 * MINUTE.0));
     assert_eq!(until(&quarantine, last + Millis(10 * MINUTE.0)), None);
     let again = last + Millis(11 * MINUTE.0);
-    end(&mut quarantine, subject("a"), 50, again);
+    end(&mut quarantine, request_key("a"), 50, again);
     assert_eq!(until(&quarantine, again), Some(Millis(20 * MINUTE.0)), "not three more");
     quarantine.forget(again + Millis(30 * HOUR.0));
-    assert!(!quarantine.is_near(subject("a").fingerprint, again + Millis(30 * HOUR.0)));
+    assert!(!quarantine.is_suspect(request_key("a").fingerprint, again + Millis(30 * HOUR.0)));
 }
 
 #[test]
 fn who_is_let_go_by_an_operator_counts_anew() {
     let mut quarantine = after(4);
     let now = START + Millis(1_000);
-    assert!(quarantine.clear(subject("a").fingerprint, now));
-    assert!(!quarantine.clear(subject("b").fingerprint, now));
-    assert!(!quarantine.is_near(subject("a").fingerprint, now));
-    (60..63).for_each(|life| {
-        end(&mut quarantine, subject("a"), life, now + Millis(life * 100));
+    assert!(quarantine.clear(request_key("a").fingerprint, now));
+    assert!(!quarantine.clear(request_key("b").fingerprint, now));
+    assert!(!quarantine.is_suspect(request_key("a").fingerprint, now));
+    (60..63).for_each(|incarnation| {
+        end(&mut quarantine, request_key("a"), incarnation, now + Millis(incarnation * 100));
     });
-    assert!(is_held(&quarantine, subject("a"), now + Millis(9_000)));
+    assert!(is_held(&quarantine, request_key("a"), now + Millis(9_000)));
 }
 
 /// Whoever sends ever new contents pushes out nobody else's, and what is held stays.
 #[test]
 fn one_caller_with_ever_new_contents_pushes_out_nobody_else() {
     let mut quarantine = after(3);
-    end(&mut quarantine, subject("b"), 100, START);
-    end(&mut quarantine, subject("b"), 101, START + Millis(100));
+    end(&mut quarantine, request_key("b"), 100, START);
+    end(&mut quarantine, request_key("b"), 101, START + Millis(100));
     for i in 0..5_000_u64 {
-        let caller = mark("flood");
+        let caller = name_hash("flood");
         let fingerprint = Fingerprint::of(Some("flood"), "/x", &i.to_be_bytes());
         let at = START + Millis(200 + i);
-        end(&mut quarantine, Subject { fingerprint, caller }, 1_000 + i, at);
+        end(&mut quarantine, RequestKey { fingerprint, caller }, 1_000 + i, at);
     }
     let now = START + Millis(6_000);
-    assert!(is_held(&quarantine, subject("a"), now));
-    assert!(quarantine.is_near(subject("b").fingerprint, now));
+    assert!(is_held(&quarantine, request_key("a"), now));
+    assert!(quarantine.is_suspect(request_key("b").fingerprint, now));
     assert!(quarantine.next_to_gossip(usize::MAX, now).len() <= 80, "and it stays small");
 }
 
 #[test]
 fn what_one_end_saw_held_is_kept_once_and_again_if_that_failed() {
     let mut quarantine = after(3);
-    let kept = quarantine.to_keep();
+    let kept = quarantine.take_unsaved();
     assert_eq!(kept.len(), 1);
-    assert!(quarantine.to_keep().is_empty());
-    quarantine.keep_again(&kept);
-    assert_eq!(quarantine.to_keep(), kept);
-    quarantine.clear(subject("a").fingerprint, START + MINUTE);
-    assert_eq!(quarantine.to_keep()[0].cleared, Some(START + MINUTE), "its end as well");
+    assert!(quarantine.take_unsaved().is_empty());
+    quarantine.mark_unsaved(&kept);
+    assert_eq!(quarantine.take_unsaved(), kept);
+    quarantine.clear(request_key("a").fingerprint, START + MINUTE);
+    assert_eq!(quarantine.take_unsaved()[0].cleared, Some(START + MINUTE), "its end as well");
 }
 
 #[test]
 fn what_is_held_is_told_in_turn_to_whoever_has_just_started() {
     let mut quarantine = after(3);
-    (0..3).for_each(|life| {
-        end(&mut quarantine, subject("b"), 10 + life, START + Millis(life * 100));
+    (0..3).for_each(|incarnation| {
+        end(&mut quarantine, request_key("b"), 10 + incarnation, START + Millis(incarnation * 100));
     });
     let now = START + Millis(900);
     // What is new has been told several times by then.
     (0..20).for_each(|_| drop(quarantine.next_to_gossip(9, now)));
     let told = [quarantine.next_to_gossip(9, now), quarantine.next_to_gossip(9, now)];
-    let subjects = told.map(|told| told.iter().map(|known| known.subject).collect::<Vec<_>>());
+    let subjects = told.map(|told| told.iter().map(|known| known.request_key).collect::<Vec<_>>());
     assert_eq!(subjects.each_ref().map(Vec::len), [1, 1]);
     assert_ne!(subjects[0], subjects[1]);
 }
 
-fn known() -> impl Strategy<Value = Known> {
+fn known() -> impl Strategy<Value = QuarantineRecord> {
     let end = (0_u64..6, 0_u32..3, 0_u64..400);
     (prop::collection::vec(end, 0..4), prop::option::of(0_u64..400)).prop_map(|(ends, cleared)| {
         let at = |ms: u64| START + Millis(ms * 10);
-        let ends = ends.into_iter().map(|(life, place, ms)| End { life, place, at: at(ms) });
-        Known { subject: subject("a"), ends: ends.collect(), cleared: cleared.map(at) }
+        let ends = ends.into_iter().map(|(incarnation, place, ms)| ProcessEnd {
+            incarnation,
+            place,
+            at: at(ms),
+        });
+        QuarantineRecord {
+            request_key: request_key("a"),
+            ends: ends.collect(),
+            cleared: cleared.map(at),
+        }
     })
 }
 
@@ -245,25 +263,26 @@
         let mut other = Quarantine::default();
         shuffled.iter().for_each(|known| { other.take(known, true); });
         let now = START + Millis(5_000);
-        let fingerprint = subject("a").fingerprint;
-        prop_assert_eq!(one.standing(fingerprint, now), other.standing(fingerprint, now));
+        let fingerprint = request_key("a").fingerprint;
+        prop_assert_eq!(one.status(fingerprint, now), other.status(fingerprint, now));
     }
 }
 
 /// A node that does not know where a life was says that its place was another one.
 #[test]
 fn two_words_of_one_end_come_to_the_same_in_any_order() {
-    let end = |life, place, ms| End { life, place, at: START + Millis(ms) };
-    let known = |end| Known { subject: subject("a"), ends: vec![end], cleared: None };
+    let end = |incarnation, place, ms| ProcessEnd { incarnation, place, at: START + Millis(ms) };
+    let known =
+        |end| QuarantineRecord { request_key: request_key("a"), ends: vec![end], cleared: None };
     let news = [known(end(1, 1, 820)), known(end(2, 1, 800)), known(end(1, 2, 780))];
-    let standing = |news: &mut dyn Iterator<Item = &Known>| {
+    let status = |news: &mut dyn Iterator<Item = &QuarantineRecord>| {
         let mut quarantine = Quarantine::default();
         news.for_each(|known| {
             quarantine.take(known, true);
         });
-        quarantine.standing(subject("a").fingerprint, START + Millis(5_000))
+        quarantine.status(request_key("a").fingerprint, START + Millis(5_000))
     };
-    assert_eq!(standing(&mut news.iter()), standing(&mut news.iter().rev()));
+    assert_eq!(status(&mut news.iter()), status(&mut news.iter().rev()));
 }
 
 /// How many of the innocent are held wrongly, and how many instances end, when a verdict
--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -114,8 +114,8 @@
         .into_iter()
         .map(|(known, until)| {
             json!({
-                "fingerprint": known.subject.fingerprint.to_string(),
-                "caller": format!("{:08x}", known.subject.caller),
+                "fingerprint": known.request_key.fingerprint.to_string(),
+                "caller": format!("{:08x}", known.request_key.caller),
                 "ended": known.ends.len(),
                 "for_ms": until.since(now).0,
             })
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -19,7 +19,7 @@
 use workshold_core::hosted::catalog::Route;
 use workshold_core::hosted::fingerprint::Fingerprint;
 use workshold_core::hosted::quarantine;
-use workshold_core::hosted::quarantine::Subject;
+use workshold_core::hosted::quarantine::RequestKey;
 use workshold_http::body;
 use workshold_http::body::BodyError;
 use workshold_platform::names;
@@ -69,8 +69,8 @@
 
 impl Job {
     /// The request as it is told from others.
-    pub fn subject(&self) -> Subject {
-        Subject { fingerprint: self.fingerprint, caller: self.caller }
+    pub fn request_key(&self) -> RequestKey {
+        RequestKey { fingerprint: self.fingerprint, caller: self.caller }
     }
 
     /// Time that is left at `now`.
@@ -131,7 +131,7 @@
     let path = parts.uri.path_and_query().map_or(path, |path| path.as_str());
     let caller = team.as_ref().map(|(name, _)| name.as_str());
     let fingerprint = Fingerprint::of(caller, path, &body);
-    let caller = quarantine::mark(caller.unwrap_or_default());
+    let caller = quarantine::name_hash(caller.unwrap_or_default());
     set_headers(&mut headers, team.map(|(name, _)| name), urgency(rank, route.priority));
     Ok(Job {
         id,
--- a/crates/workshold-gateway/src/loads.rs
+++ b/crates/workshold-gateway/src/loads.rs
@@ -13,12 +13,12 @@
 
 /// A short name for a life of an instance in datagrams; two alike are a matter of one in
 /// millions, and cost no more than a worse choice.
-pub fn short_id(id: &Identity) -> u32 {
+pub fn instance_hash(id: &Identity) -> u32 {
     xxh3_64_with_seed(id.as_str().as_bytes(), id.incarnation.0) as u32
 }
 
 /// The same for any name.
-pub fn short_name(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
@@ -111,7 +111,7 @@
 
     /// What all nodes have at `id`, as far as known.
     pub fn of(&self, id: &Identity) -> Load {
-        let others = self.others.lock().0.get(&short_id(id)).copied().unwrap_or_default();
+        let others = self.others.lock().0.get(&instance_hash(id)).copied().unwrap_or_default();
         self.own(id).and(others)
     }
 
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -56,7 +56,7 @@
 use crate::events::Event;
 use crate::events::emit;
 use crate::loads::Loads;
-use crate::loads::short_name;
+use crate::loads::name_hash;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::peers::news::Gap;
@@ -86,7 +86,7 @@
     /// The newest record of each instance as it was read, for peers.
     pub raw: BTreeMap<SmolStr, (LogPosition, Bytes)>,
     /// Instances by the short names that datagrams use.
-    pub by_short_id: HashMap<u32, Identity>,
+    pub by_instance_hash: HashMap<u32, Identity>,
     /// What others have of it and this node lacks.
     pub gap: Gap,
     /// Whether this node itself has read something new that it has not passed on.
@@ -463,10 +463,10 @@
         let seen_part = seen_part.max(f64::from(sums.seen_percent) / 100.0);
         let mut by_name = sums.work().clone();
         for (model, work) in own.iter().filter(|_| !holds_own) {
-            let sum = by_name.entry(short_name(model)).or_default();
+            let sum = by_name.entry(name_hash(model)).or_default();
             *sum = sum.and(*work);
         }
-        let of = |name: &ModelName| by_name.get(&short_name(name.as_str())).copied();
+        let of = |name: &ModelName| by_name.get(&name_hash(name.as_str())).copied();
         let names = engine.models.iter().map(|shape| &shape.name);
         let by_model = names.map(|name| (name.clone(), of(name).unwrap_or_default())).collect();
         Asked { by_model, seen_part }
--- a/crates/workshold-gateway/src/node/doubts.rs
+++ b/crates/workshold-gateway/src/node/doubts.rs
@@ -12,7 +12,7 @@
 
 use crate::events::Event;
 use crate::events::emit;
-use crate::loads::short_id;
+use crate::loads::instance_hash;
 use crate::node::Node;
 use crate::peers::Ask;
 use crate::peers::Peers;
@@ -140,7 +140,7 @@
         let peers = self.peers.lock();
         are_few(&peers, now)
             || acts
-            || peers.is_witness(&settings.own(), short_id(id), WITNESSES, now)
+            || peers.is_witness(&settings.own(), instance_hash(id), WITNESSES, now)
     }
 
     /// Whether all nodes were asked whether they reach an instance, and have had the time to
--- a/crates/workshold-gateway/src/node/held.rs
+++ b/crates/workshold-gateway/src/node/held.rs
@@ -5,10 +5,10 @@
 use workshold_core::hosted::fingerprint::Fingerprint;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::quarantine;
-use workshold_core::hosted::quarantine::Known;
 use workshold_core::hosted::quarantine::Quarantine;
-use workshold_core::hosted::quarantine::Standing;
-use workshold_core::hosted::quarantine::Subject;
+use workshold_core::hosted::quarantine::QuarantineRecord;
+use workshold_core::hosted::quarantine::QuarantineStatus;
+use workshold_core::hosted::quarantine::RequestKey;
 use workshold_core::hosted::roster::Entry;
 use workshold_protocol::Millis;
 
@@ -21,25 +21,25 @@
 impl Node {
     /// Until when a request is kept from all instances, if it is.
     pub fn held_until(&self, fingerprint: Fingerprint) -> Option<Millis> {
-        match self.quarantine.lock().standing(fingerprint, self.now()) {
-            Standing::Held(until) => Some(until),
-            Standing::Free | Standing::Suspect => None,
+        match self.quarantine.lock().status(fingerprint, self.now()) {
+            QuarantineStatus::Held(until) => Some(until),
+            QuarantineStatus::Free | QuarantineStatus::Suspect => None,
         }
     }
 
     /// Whether one more end would keep a request from instances.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
-        self.quarantine.lock().is_near(fingerprint, self.now())
+        self.quarantine.lock().is_suspect(fingerprint, self.now())
     }
 
     /// The connection to a target broke while a request began there. Returns whether the
     /// target's end would keep that request from others. One that leaves with a plan ends
     /// for its own reasons.
-    pub fn note_break(&self, job: &Job, target: &Target) -> bool {
+    pub fn note_connection_lost(&self, job: &Job, target: &Target) -> bool {
         let now = self.now();
         let (domain, is_leaving) = {
             let list = self.list.lock();
-            let entry = list.roster.life(&target.id);
+            let entry = list.roster.incarnation(&target.id);
             let domain = entry.and_then(|entry| entry.instance.domain.clone());
             (domain, entry.is_some_and(Entry::is_leaving))
         };
@@ -48,21 +48,23 @@
         }
         let domain = domain.as_ref().map(|domain| domain.as_str());
         let place = quarantine::place(domain, target.data_centre.as_str());
-        let life = quarantine::life(&target.id);
-        self.change_quarantine(|known| known.on_break(job.subject(), life, place, now));
+        let incarnation = quarantine::incarnation(&target.id);
+        self.change_quarantine(|known| {
+            known.on_connection_broken(job.request_key(), incarnation, place, now)
+        });
         self.is_suspect(job.fingerprint)
     }
 
     /// A life of an instance has ended.
     pub(super) fn note_ended(&self, id: &Identity) {
         let now = self.now();
-        self.change_quarantine(|known| known.on_ended(quarantine::life(id), now));
+        self.change_quarantine(|known| known.on_process_ended(quarantine::incarnation(id), now));
     }
 
     /// A request ran to its end.
     pub fn note_finished(&self, job: &Job) {
         let now = self.now();
-        self.change_quarantine(|known| known.on_finished(job.fingerprint, now));
+        self.change_quarantine(|known| known.on_completed(job.fingerprint, now));
     }
 
     /// An operator lets a request go; whether it was known.
@@ -72,7 +74,7 @@
     }
 
     /// Another node, or the store, says this of requests.
-    pub fn hear_of_requests(&self, told: &[Known]) -> bool {
+    pub fn hear_of_requests(&self, told: &[QuarantineRecord]) -> bool {
         let settings = self.settings();
         let is_relay = self.peers.lock().is_relay(&settings.own(), self.now());
         self.change_quarantine(|quarantine| {
@@ -89,7 +91,7 @@
         if !change(&mut quarantine) {
             return false;
         }
-        let held = quarantine.newly_held(now);
+        let held = quarantine.newly_quarantined(now);
         let is_telling = quarantine.has_news();
         drop(quarantine);
         if !held.is_empty() {
@@ -114,9 +116,9 @@
     }
 }
 
-fn log_held(held: &[(Known, Millis)], now: Millis) {
+fn log_held(held: &[(QuarantineRecord, Millis)], now: Millis) {
     for (known, until) in held {
-        let Subject { fingerprint, caller } = known.subject;
+        let RequestKey { fingerprint, caller } = known.request_key;
         emit(
             Event::RequestHeld,
             &[
--- a/crates/workshold-gateway/src/node/instance_limits.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -20,7 +20,7 @@
 
 use crate::events::Event;
 use crate::events::emit;
-use crate::loads::short_id;
+use crate::loads::instance_hash;
 use crate::metrics::Metric;
 use crate::node::Node;
 use crate::peers::ToldLimit;
@@ -86,7 +86,7 @@
     /// Other nodes tell of lives that leave.
     pub fn hear_of_leaving(&self, told: &[u32]) {
         for instance in told {
-            let id = self.list.lock().by_short_id.get(instance).cloned();
+            let id = self.list.lock().by_instance_hash.get(instance).cloned();
             if let Some(id) = id {
                 self.on_leaving(&id, true);
             }
@@ -96,13 +96,13 @@
     /// What this node tells others of lives that leave.
     pub fn told_leaving(&self) -> Vec<u32> {
         let leaving = self.instance_limits.lock().recently_leaving(LEAVING_TOLD, self.now());
-        leaving.iter().take(MOST_LEAVING_TOLD).map(short_id).collect()
+        leaving.iter().take(MOST_LEAVING_TOLD).map(instance_hash).collect()
     }
 
     /// Other nodes tell of limits, in a datagram that came after `since`.
     pub fn hear_of_limits(&self, told: &[ToldLimit], since: Millis) {
         for told in told {
-            let id = self.list.lock().by_short_id.get(&told.instance).cloned();
+            let id = self.list.lock().by_instance_hash.get(&told.instance).cloned();
             if let Some(id) = id {
                 self.hear_word(&id, told.word(since));
             }
@@ -161,7 +161,7 @@
         let peers = self.peers.lock();
         let senders = instance_limits::senders(limit, peers.may_be_there());
         let is_first =
-            || peers.is_among_senders(&settings.node.name, short_id(id), senders, self.now());
+            || peers.is_among_senders(&settings.node.name, instance_hash(id), senders, self.now());
         SenderShare { is_sender: !self.is_leaving() && is_first(), senders }
     }
 }
--- a/crates/workshold-gateway/src/node/reading.rs
+++ b/crates/workshold-gateway/src/node/reading.rs
@@ -120,7 +120,7 @@
     fn store_returned(&self) {
         emit(Event::StoreReturned, &[("era", &self.store_monitor.era().to_string())]);
         if self.keeps_anew() {
-            self.quarantine.lock().keep_all();
+            self.quarantine.lock().mark_all_unsaved();
             self.keep_wanted.notify_one();
         }
         self.pulse_wanted.notify_one();
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -13,15 +13,15 @@
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::instance_limits::LimitReport;
 use workshold_core::hosted::instance_limits::Rate;
-use workshold_core::hosted::quarantine::End;
-use workshold_core::hosted::quarantine::Known;
-use workshold_core::hosted::quarantine::Subject;
+use workshold_core::hosted::quarantine::ProcessEnd;
+use workshold_core::hosted::quarantine::QuarantineRecord;
+use workshold_core::hosted::quarantine::RequestKey;
 use workshold_core::hosted::suspicion::Reach;
 use workshold_protocol::Millis;
 
 use crate::loads::Load;
-use crate::loads::short_id;
-use crate::loads::short_name;
+use crate::loads::instance_hash;
+use crate::loads::name_hash;
 use crate::peers::packing;
 
 /// The form of these messages; another one is passed over.
@@ -150,7 +150,7 @@
 impl ToldWork {
     /// Puts `work` of a model into a datagram.
     pub fn new(model: &str, work: Work) -> Self {
-        Self::of_short(short_name(model), work)
+        Self::of_short(name_hash(model), work)
     }
 
     /// The same for the model with this short name.
@@ -194,7 +194,7 @@
 impl ToldLoad {
     /// Puts what a node has at `id` into a datagram.
     pub fn new(id: &Identity, load: Load, gap_ms: f64) -> Self {
-        Self::of_short(short_id(id), load, (gap_ms / GAP_UNIT_MS).min(255.0) as u8)
+        Self::of_short(instance_hash(id), load, (gap_ms / GAP_UNIT_MS).min(255.0) as u8)
     }
 
     /// The same for the instance with this short id; `gap` is in units of a datagram.
@@ -338,7 +338,7 @@
     /// Puts what is known at `now` into a datagram.
     pub fn new(id: &Identity, word: LimitReport, now: Millis) -> Self {
         Self {
-            instance: short_id(id),
+            instance: instance_hash(id),
             limit: word.limit.map(|limit| limit.0),
             asked_ms: now.since(word.asked).0,
             heard_ms: now.since(word.heard).0,
@@ -370,9 +370,9 @@
 
 impl ToldRequest {
     /// Puts what is known at `now` into a datagram.
-    pub fn new(known: &Known, now: Millis) -> Self {
-        let Subject { fingerprint, caller } = known.subject;
-        let ends = known.ends.iter().map(|end| (end.life, end.place, now.since(end.at).0));
+    pub fn new(known: &QuarantineRecord, now: Millis) -> Self {
+        let RequestKey { fingerprint, caller } = known.request_key;
+        let ends = known.ends.iter().map(|end| (end.incarnation, end.place, now.since(end.at).0));
         Self {
             fingerprint: fingerprint.0,
             caller,
@@ -382,16 +382,16 @@
     }
 
     /// What was put in, as it is known at `now`.
-    pub fn known(&self, now: Millis) -> Known {
+    pub fn known(&self, now: Millis) -> QuarantineRecord {
         let ends = self.ends.iter();
-        let ends = ends.map(|(life, place, age)| End {
-            life: *life,
+        let ends = ends.map(|(incarnation, place, age)| ProcessEnd {
+            incarnation: *incarnation,
             place: *place,
             at: now - Millis(*age),
         });
         let fingerprint = Fingerprint(self.fingerprint);
-        Known {
-            subject: Subject { fingerprint, caller: self.caller },
+        QuarantineRecord {
+            request_key: RequestKey { fingerprint, caller: self.caller },
             ends: ends.collect(),
             cleared: self.cleared_ms.map(|age| now - Millis(age)),
         }
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -209,7 +209,7 @@
         if ending != Ending::Broken {
             return;
         }
-        if node.note_break(&self.job, target) {
+        if node.note_connection_lost(&self.job, target) {
             probing::look(node, &target.id, &target.address).await;
         } else if !node.was_looked_at(&target.id) {
             node.note_look(&target.id);
--- a/crates/workshold-gateway/src/relay/attempts.rs
+++ b/crates/workshold-gateway/src/relay/attempts.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::Ordering;
 
 use futures_util::future::select_all;
-use workshold_core::hosted::quarantine::BEGINS_WITHIN;
+use workshold_core::hosted::quarantine::START_WINDOW;
 use workshold_core::hosted::tries::Ending;
 use workshold_protocol::Millis;
 
@@ -101,7 +101,7 @@
     /// How it has failed: one that has long been running did not end its instance by
     /// beginning to run.
     fn failed(&self, (ending, why): Failure, now: Millis) -> Failure {
-        let is_through = self.spoke.is_some_and(|spoke| now.since(spoke) > BEGINS_WITHIN);
+        let is_through = self.spoke.is_some_and(|spoke| now.since(spoke) > START_WINDOW);
         if ending == Ending::Broken && is_through { (Ending::Unknown, why) } else { (ending, why) }
     }
 
--- a/crates/workshold-gateway/src/tasks/following.rs
+++ b/crates/workshold-gateway/src/tasks/following.rs
@@ -17,7 +17,7 @@
 
 use crate::events::Event;
 use crate::events::emit;
-use crate::loads::short_id;
+use crate::loads::instance_hash;
 use crate::node::List;
 use crate::node::Node;
 use crate::peers::ListNews;
@@ -307,7 +307,7 @@
         word => list.roster.apply(record.place, id, word, now),
     };
     if let Some(identity) = &identity {
-        list.by_short_id.insert(short_id(identity), identity.clone());
+        list.by_instance_hash.insert(instance_hash(identity), identity.clone());
     }
     drop(list);
     if let Some(life) = ended {
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -14,7 +14,7 @@
 use tokio::net::UdpSocket;
 use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::history::LogPosition;
-use workshold_core::hosted::quarantine::Known;
+use workshold_core::hosted::quarantine::QuarantineRecord;
 use workshold_core::hosted::suspicion::Reach;
 use workshold_http::client;
 use workshold_platform::config;
@@ -307,7 +307,8 @@
     node.hear_of_leaving(&said.leaving);
     node.hear_of_limits(&said.limits, since - ON_THE_WAY);
     if !said.requests.is_empty() {
-        let told: Vec<Known> = said.requests.iter().map(|told| told.known(now)).collect();
+        let told: Vec<QuarantineRecord> =
+            said.requests.iter().map(|told| told.known(now)).collect();
         node.hear_of_requests(&told);
     }
 }
@@ -351,7 +352,7 @@
     let list = node.list.lock();
     let mut gaps = node.gaps.lock();
     for told in loads {
-        if let (Some(id), Some(gap)) = (list.by_short_id.get(&told.instance), told.gap_ms()) {
+        if let (Some(id), Some(gap)) = (list.by_instance_hash.get(&told.instance), told.gap_ms()) {
             gaps.on_peer(id, gap);
         }
     }
@@ -365,7 +366,7 @@
     ask: Ask,
 ) {
     let list = node.list.lock();
-    let entry = list.by_short_id.get(&instance).and_then(|id| list.roster.life(id));
+    let entry = list.by_instance_hash.get(&instance).and_then(|id| list.roster.incarnation(id));
     let Some(instance) = entry.map(|entry| Arc::clone(&entry.instance)) else { return };
     drop(list);
     let id = &instance.identity;
--- a/crates/workshold-gateway/src/tasks/probing.rs
+++ b/crates/workshold-gateway/src/tasks/probing.rs
@@ -16,7 +16,7 @@
 use workshold_core::hosted::suspicion::Reach;
 use workshold_protocol::Millis;
 
-use crate::loads::short_id;
+use crate::loads::instance_hash;
 use crate::metrics::Metric;
 use crate::node::Node;
 use crate::node::Probe;
@@ -170,7 +170,7 @@
 }
 
 fn verdict(id: &Identity, reach: Reach, ask: Ask) -> Message {
-    Message::Verdict { instance: short_id(id), reach: reach.into(), ask }
+    Message::Verdict { instance: instance_hash(id), reach: reach.into(), ask }
 }
 
 /// Tries instances in doubt again, until the node ends.
@@ -180,7 +180,7 @@
         let doubted: Vec<Identity> = node.suspicions.lock().iter().cloned().collect();
         let is_own = |id: &Identity| node.suspicions.lock().is_own(id);
         for id in doubted.into_iter().filter(|id| is_own(id) || node.is_witness(id)) {
-            let entry = node.list.lock().roster.life(&id).cloned();
+            let entry = node.list.lock().roster.incarnation(&id).cloned();
             let Some(entry) = entry.filter(|entry| entry.unlisted_since.is_none()) else {
                 continue;
             };
--- a/crates/workshold-gateway/src/tasks/quarantining.rs
+++ b/crates/workshold-gateway/src/tasks/quarantining.rs
@@ -8,9 +8,9 @@
 use serde::Serialize;
 use workshold_core::hosted::fingerprint::Fingerprint;
 use workshold_core::hosted::history::Era;
-use workshold_core::hosted::quarantine::End;
-use workshold_core::hosted::quarantine::Known;
-use workshold_core::hosted::quarantine::Subject;
+use workshold_core::hosted::quarantine::ProcessEnd;
+use workshold_core::hosted::quarantine::QuarantineRecord;
+use workshold_core::hosted::quarantine::RequestKey;
 use workshold_platform::names;
 use workshold_platform::store::Record;
 use workshold_platform::store::StoreError;
@@ -85,7 +85,7 @@
 }
 
 async fn keep(node: &Node, kept_era: &mut Era) {
-    let known = node.quarantine.lock().to_keep();
+    let known = node.quarantine.lock().take_unsaved();
     let mut records: Vec<(String, Vec<u8>)> =
         known.iter().map(|known| encode(node, known)).collect();
     let era = node.store_monitor.era();
@@ -101,7 +101,7 @@
         Ok(()) => {}
         Err(err) => {
             log_failure(&err);
-            node.quarantine.lock().keep_again(&known);
+            node.quarantine.lock().mark_unsaved(&known);
             tokio::time::sleep(RETRY).await;
             node.keep_wanted.notify_one();
         }
@@ -143,7 +143,8 @@
     let kept = node.store.newest(names::QUARANTINE_TOPIC, ANSWER_TIME).await?;
     let kept = node.take_answer(kept, sent)?;
     take_era(node, &kept.records, kept_era);
-    let known: Vec<Known> = kept.records.iter().filter_map(|record| decode(node, record)).collect();
+    let known: Vec<QuarantineRecord> =
+        kept.records.iter().filter_map(|record| decode(node, record)).collect();
     node.hear_of_requests(&known);
     Ok(())
 }
@@ -153,8 +154,8 @@
 }
 
 /// Its key and value; what is cleared needs none.
-fn encode(node: &Node, known: &Known) -> (String, Vec<u8>) {
-    let key = known.subject.fingerprint.to_string();
+fn encode(node: &Node, known: &QuarantineRecord) -> (String, Vec<u8>) {
+    let key = known.request_key.fingerprint.to_string();
     let is_cleared = known.ends.iter().all(|end| known.cleared.is_some_and(|at| at >= end.at));
     if is_cleared {
         return (key, Vec::new());
@@ -162,24 +163,27 @@
     let (now, today) = (node.now(), node.wall());
     let of_day = |at: Millis| (today - now.since(at)).0;
     let kept = Kept {
-        caller: known.subject.caller,
+        caller: known.request_key.caller,
         cleared_at: known.cleared.map(of_day),
-        ends: known.ends.iter().map(|end| (end.life, end.place, of_day(end.at))).collect(),
+        ends: known.ends.iter().map(|end| (end.incarnation, end.place, of_day(end.at))).collect(),
     };
     (key, serde_json::to_vec(&kept).expect("it has only plain fields"))
 }
 
 /// What cannot be read is passed over: it says nothing.
-fn decode(node: &Node, record: &Record) -> Option<Known> {
+fn decode(node: &Node, record: &Record) -> Option<QuarantineRecord> {
     let fingerprint = Fingerprint::parse(&record.key).ok()?;
     let kept: Kept = serde_json::from_slice(&record.value).ok()?;
     let (now, today) = (node.now(), node.wall());
     let at = |of_day: u64| now - today.since(Millis(of_day));
     let ends = kept.ends.iter();
-    let ends =
-        ends.map(|(life, place, of_day)| End { life: *life, place: *place, at: at(*of_day) });
-    Some(Known {
-        subject: Subject { fingerprint, caller: kept.caller },
+    let ends = ends.map(|(incarnation, place, of_day)| ProcessEnd {
+        incarnation: *incarnation,
+        place: *place,
+        at: at(*of_day),
+    });
+    Some(QuarantineRecord {
+        request_key: RequestKey { fingerprint, caller: kept.caller },
         ends: ends.collect(),
         cleared: kept.cleared_at.map(at),
     })
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -189,7 +189,7 @@
         _ => return,
     };
     for id in doubted {
-        let entry = node.list.lock().roster.life(&id).cloned();
+        let entry = node.list.lock().roster.incarnation(&id).cloned();
         if let Some(entry) = entry {
             let address = entry.instance.address.clone();
             node.probe(&id, &address, ProbeTask::Look);
--- a/crates/workshold-gateway/src/tasks/stewarding/look.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/look.rs
@@ -102,7 +102,7 @@
         let doubted_since = |id: &Identity| self.suspicions.since(id);
         let head_of = |group: &Group| self.roster.head_of(group.epoch, &group.id).cloned();
         let all_asked = |id: &Identity| {
-            let entry = self.roster.life(id);
+            let entry = self.roster.incarnation(id);
             entry.is_none_or(|entry| (self.all_asked)(id, &entry.instance.address))
         };
         let is_broken = |group: &Group| self.roster.is_broken(group.epoch, &group.id);
--- a/crates/workshold-gateway/src/tasks/upkeep.rs
+++ b/crates/workshold-gateway/src/tasks/upkeep.rs
@@ -55,7 +55,7 @@
         list.roster.iter().map(|entry| entry.instance.identity.clone()).collect();
     let names: HashSet<&str> = known.iter().map(Identity::as_str).collect();
     list.raw.retain(|key, _| names.contains(key.as_str()));
-    list.by_short_id.retain(|_, id| known.contains(id));
+    list.by_instance_hash.retain(|_, id| known.contains(id));
     drop(list);
     ended.iter().for_each(|life| node.note_superseded(life));
     node.suspicions.lock().forget(now, |id| known.contains(id));
--- a/crates/workshold-gateway/tests/exchange.rs
+++ b/crates/workshold-gateway/tests/exchange.rs
@@ -10,8 +10,8 @@
 use rstest::rstest;
 use workshold_core::hosted::fingerprint::Fingerprint;
 use workshold_core::hosted::quarantine::Quarantine;
-use workshold_core::hosted::quarantine::Standing;
-use workshold_core::hosted::quarantine::Subject;
+use workshold_core::hosted::quarantine::QuarantineStatus;
+use workshold_core::hosted::quarantine::RequestKey;
 use workshold_gateway::peers::Peers;
 use workshold_gateway::peers::exchange::Own;
 use workshold_gateway::peers::exchange::RELAYS;
@@ -164,17 +164,22 @@
     fleet.run(SETTLES);
     let fingerprint = Fingerprint::of(Some("a"), "/x", b"body");
     let before: u64 = fleet.nodes.iter().map(|node| node.sent).sum();
-    for (life, at) in [(1, nodes / 3), (2, nodes / 2), (3, nodes - 1)] {
+    for (incarnation, at) in [(1, nodes / 3), (2, nodes / 2), (3, nodes - 1)] {
         let now = fleet.now;
         let knows = &mut fleet.nodes[at].quarantine;
-        knows.on_break(Subject { fingerprint, caller: 7 }, life, life as u32, now);
-        knows.on_ended(life, now);
+        knows.on_connection_broken(
+            RequestKey { fingerprint, caller: 7 },
+            incarnation,
+            incarnation as u32,
+            now,
+        );
+        knows.on_process_ended(incarnation, now);
         fleet.nodes[at].next = now;
         fleet.run(Millis(200));
     }
     let held = |fleet: &Fleet| {
         let is_held = |node: &&Sim| {
-            matches!(node.quarantine.standing(fingerprint, fleet.now), Standing::Held(_))
+            matches!(node.quarantine.status(fingerprint, fleet.now), QuarantineStatus::Held(_))
         };
         fleet.nodes.iter().filter(is_held).count()
     };
--- a/crates/workshold-gateway/tests/peers.rs
+++ b/crates/workshold-gateway/tests/peers.rs
@@ -10,7 +10,7 @@
 use workshold_core::hosted::capacity::Work;
 use workshold_core::hosted::identity::Identity;
 use workshold_gateway::loads::Load;
-use workshold_gateway::loads::short_id;
+use workshold_gateway::loads::instance_hash;
 use workshold_gateway::peers::Peers;
 use workshold_gateway::peers::Pulse;
 use workshold_gateway::peers::ToldLoad;
@@ -77,7 +77,7 @@
         NOW,
     );
     peers.on_pulse(OWN, address(2), name(2), pulse(vec![told("i-5", 4, 1_000)]), NOW);
-    let load = peers.loads(NOW)[&short_id(&id("i-5"))];
+    let load = peers.loads(NOW)[&instance_hash(&id("i-5"))];
     assert_eq!((load.requests, load.unread), (7, 128 + 1_024), "in units of 64 tokens, rounded up");
     let told: Vec<Work> = peers.heard(NOW).map(|(_, peer)| peer.pulse.work[0].work()).collect();
     assert_eq!(told, [WORK, WORK], "what is asked comes over as it was told");
--- a/crates/workshold-model/src/ending.rs
+++ b/crates/workshold-model/src/ending.rs
@@ -8,11 +8,11 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use workshold_core::hosted::fingerprint::Fingerprint;
-use workshold_core::hosted::quarantine::Known;
 use workshold_core::hosted::quarantine::Quarantine;
-use workshold_core::hosted::quarantine::Standing;
-use workshold_core::hosted::quarantine::Subject;
-use workshold_core::hosted::quarantine::mark;
+use workshold_core::hosted::quarantine::QuarantineRecord;
+use workshold_core::hosted::quarantine::QuarantineStatus;
+use workshold_core::hosted::quarantine::RequestKey;
+use workshold_core::hosted::quarantine::name_hash;
 use workshold_protocol::Millis;
 
 /// A rule that is broken on purpose.
@@ -79,7 +79,7 @@
 /// One send of the request that ends its instance.
 struct Sent {
     node: usize,
-    subject: Subject,
+    request_key: RequestKey,
     life: u64,
     ends_at: Millis,
     attempts: u32,
@@ -92,8 +92,8 @@
     now: Millis,
     nodes: Vec<Node>,
     sent: Vec<Sent>,
-    news: Vec<(Millis, usize, Known)>,
-    kept: Vec<Known>,
+    news: Vec<(Millis, usize, QuarantineRecord)>,
+    kept: Vec<QuarantineRecord>,
     lives: u64,
     third_at: Option<Millis>,
     ended: usize,
@@ -103,8 +103,8 @@
     held_since: [Option<Millis>; 2],
 }
 
-fn subject(name: &str) -> Subject {
-    Subject { fingerprint: Fingerprint::of(Some(name), "/x", b"body"), caller: mark(name) }
+fn request_key(name: &str) -> RequestKey {
+    RequestKey { fingerprint: Fingerprint::of(Some(name), "/x", b"body"), caller: name_hash(name) }
 }
 
 impl EndingWorld {
@@ -153,8 +153,8 @@
         }
         if self.is_time(HOT_EVERY) && self.broken != Some(Broken::Cleared) {
             let node = self.rng.random_range(0..NODES);
-            let (hot, now) = (subject("hot").fingerprint, self.now);
-            self.nodes[node].knows.on_finished(hot, now);
+            let (hot, now) = (request_key("hot").fingerprint, self.now);
+            self.nodes[node].knows.on_completed(hot, now);
         }
         if self.is_time(ASKED_EVERY) {
             self.reset();
@@ -170,34 +170,34 @@
     fn reset(&mut self) {
         let node = self.rng.random_range(0..NODES);
         self.lives += 1;
-        self.broke(node, subject("reset"), self.lives);
+        self.broke(node, request_key("reset"), self.lives);
     }
 
-    fn broke(&mut self, node: usize, subject: Subject, life: u64) {
+    fn broke(&mut self, node: usize, request_key: RequestKey, life: u64) {
         let (now, is_proof) = (self.now, self.broken == Some(Broken::Proof));
         let knows = &mut self.nodes[node].knows;
-        knows.on_break(subject, life, life as u32, now);
+        knows.on_connection_broken(request_key, life, life as u32, now);
         if is_proof {
-            knows.on_ended(life, now);
+            knows.on_process_ended(life, now);
         }
     }
 
     fn send(&mut self, node: usize, attempts: u32) {
-        let is_held = |knows: &Quarantine, subject: Subject, now| {
-            matches!(knows.standing(subject.fingerprint, now), Standing::Held(_))
+        let is_held = |knows: &Quarantine, request_key: RequestKey, now| {
+            matches!(knows.status(request_key.fingerprint, now), QuarantineStatus::Held(_))
         };
         self.lives += 1;
         let name = format!("r-{}", self.lives);
         let by_id = self.broken == Some(Broken::Content);
-        let subject = subject(if by_id { &name } else { "ends" });
-        if is_held(&self.nodes[node].knows, subject, self.now) {
+        let request_key = request_key(if by_id { &name } else { "ends" });
+        if is_held(&self.nodes[node].knows, request_key, self.now) {
             return;
         }
         let is_late = self.third_at.is_some_and(|at| self.now.since(at) > KNOWN_WITHIN);
         let has_lived = self.now.since(self.nodes[node].since) > KNOWN_WITHIN;
         self.sent_on += usize::from(is_late && has_lived);
         let ends_at = self.now + BEGINS;
-        self.sent.push(Sent { node, subject, life: self.lives, ends_at, attempts });
+        self.sent.push(Sent { node, request_key, life: self.lives, ends_at, attempts });
     }
 
     fn end_instances(&mut self) {
@@ -205,7 +205,7 @@
         let (over, left): (Vec<Sent>, Vec<Sent>) =
             std::mem::take(&mut self.sent).into_iter().partition(|sent| sent.ends_at <= now);
         self.sent = left;
-        for Sent { node, subject: one, life, attempts, .. } in over {
+        for Sent { node, request_key: one, life, attempts, .. } in over {
             self.ended += 1;
             if self.ended == 3 {
                 self.third_at = Some(now);
@@ -213,13 +213,13 @@
             self.broke(node, one, life);
             // Much-asked content runs at every instance, and one that is asked once.
             let beside = self.rng.random_range(0..NODES);
-            self.broke(beside, subject("hot"), life);
+            self.broke(beside, request_key("hot"), life);
             let other = format!("once-{life}");
-            self.broke(beside, subject(&other), life);
+            self.broke(beside, request_key(&other), life);
             for at in [node, beside] {
-                self.nodes[at].knows.on_ended(life, now);
+                self.nodes[at].knows.on_process_ended(life, now);
             }
-            self.nodes[beside].knows.on_finished(subject(&other).fingerprint, now);
+            self.nodes[beside].knows.on_completed(request_key(&other).fingerprint, now);
             if attempts < ATTEMPTS {
                 self.send(node, attempts + 1);
             }
@@ -274,8 +274,8 @@
             return;
         }
         for node in &mut self.nodes {
-            for known in node.knows.to_keep() {
-                self.kept.retain(|kept| kept.subject != known.subject);
+            for known in node.knows.take_unsaved() {
+                self.kept.retain(|kept| kept.request_key != known.request_key);
                 self.kept.push(known);
             }
         }
@@ -289,9 +289,9 @@
             return Some(Breach::EndedAgain);
         }
         for (at, name) in ["hot", "reset"].into_iter().enumerate() {
-            let one = subject(name).fingerprint;
+            let one = request_key(name).fingerprint;
             let is_held =
-                |node: &Node| matches!(node.knows.standing(one, self.now), Standing::Held(_));
+                |node: &Node| matches!(node.knows.status(one, self.now), QuarantineStatus::Held(_));
             let is_held = self.nodes.iter().any(is_held);
             let since = self.held_since[at].get_or_insert(self.now);
             if !is_held {
