--- a/crates/workshold-core/src/hosted/currency.rs
+++ b/crates/workshold-core/src/hosted/currency.rs
@@ -8,12 +8,12 @@
 
 /// The newest version that a node holds and since when it is known to be the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Currency {
+pub struct ConfigFreshness {
     version: Option<u64>,
     newest_at: Millis,
 }
 
-impl Currency {
+impl ConfigFreshness {
     /// The version held, if any.
     pub fn version(&self) -> Option<u64> {
         self.version
--- a/crates/workshold-core/src/hosted/demand.rs
+++ b/crates/workshold-core/src/hosted/demand.rs
@@ -104,7 +104,7 @@
 
     /// The part of what is asked that this shows so long after the first request; the
     /// rest is not seen yet.
-    pub fn seen_part(&self, now: Millis) -> f64 {
+    pub fn observed_fraction(&self, now: Millis) -> f64 {
         self.since.map_or(0.0, |since| 1.0 - (-(now.since(since).0 as f64) / FADES.0 as f64).exp())
     }
 
--- a/crates/workshold-core/src/hosted/roster.rs
+++ b/crates/workshold-core/src/hosted/roster.rs
@@ -116,7 +116,7 @@
     heads: BTreeMap<(u64, GroupId), (Identity, Millis)>,
     /// Formations a member of which has begun anew, and when that was seen.
     broken: BTreeMap<(u64, GroupId), Millis>,
-    last_new: Millis,
+    last_arrival_at: Millis,
     version: u64,
     /// The past that the list has changed to, and from when on what it lacks has gone.
     era: Option<(Era, Millis)>,
@@ -140,7 +140,7 @@
         let Some(known) = self.entries.get_mut(id) else {
             let instance = Arc::new(word?);
             self.entries.insert(id.clone(), Entry::new(instance, place));
-            self.last_new = now;
+            self.last_arrival_at = now;
             return None;
         };
         if known.place > place {
@@ -193,7 +193,7 @@
     /// Takes one record of the copy that the store came back from. What it says was so in
     /// the past. If this node knows another word, that one stands until the instance has had
     /// the time to write again: nobody is taken and no head ends by a copy alone.
-    pub fn apply_copied(
+    pub fn apply_restored(
         &mut self,
         place: LogPosition,
         id: &InstanceId,
@@ -204,7 +204,7 @@
         self.note_head(&word, now);
         let Some(known) = self.entries.get_mut(id) else {
             self.entries.insert(id.clone(), Entry::new(Arc::new(word), place));
-            self.last_new = now;
+            self.last_arrival_at = now;
             return;
         };
         if known.place >= place {
@@ -246,7 +246,7 @@
     fn note_end(&mut self, ended: Option<Arc<Instance>>, now: Millis) -> Option<Identity> {
         let ended = ended?;
         self.version += 1;
-        self.last_new = now;
+        self.last_arrival_at = now;
         if let Some(own) = &ended.membership {
             self.broken.insert((own.epoch, own.group.clone()), now);
         }
@@ -271,7 +271,7 @@
 
     /// After a reading of the whole list up to `end`: what is not among `seen`
     /// has gone, unless a record after `end` speaks of it.
-    pub fn keep_only(
+    pub fn on_full_list(
         &mut self,
         seen: &BTreeSet<InstanceId>,
         end: impl Into<LogPosition>,
@@ -331,8 +331,8 @@
     }
 
     /// When an instance last appeared that was not known before.
-    pub fn last_new(&self) -> Millis {
-        self.last_new
+    pub fn last_arrival_at(&self) -> Millis {
+        self.last_arrival_at
     }
 }
 
@@ -342,7 +342,7 @@
 /// after it. Until then an entry that is missing says nothing.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ListTrust {
-    trouble_at: Option<Millis>,
+    last_failure_at: Option<Millis>,
 }
 
 /// Longer than an entry takes to return once the store is back.
@@ -350,26 +350,27 @@
 
 impl ListTrust {
     /// The store did not answer at `at`, this node or one that reads for it.
-    pub fn on_trouble(&mut self, at: Millis) {
-        self.trouble_at = self.trouble_at.max(Some(at));
+    pub fn on_store_failure(&mut self, at: Millis) {
+        self.last_failure_at = self.last_failure_at.max(Some(at));
     }
 
     /// When the store last did not answer.
-    pub fn trouble_at(&self) -> Option<Millis> {
-        self.trouble_at
+    pub fn last_failure_at(&self) -> Option<Millis> {
+        self.last_failure_at
     }
 
     /// Whether the list may have lacked something that was so at `at`: then an instance
     /// may have been leaving although its entry does not say so.
-    pub fn may_lack(&self, at: Millis) -> bool {
-        self.trouble_at.is_some_and(|trouble_at| trouble_at + ENTRIES_RETURN >= at)
+    pub fn may_be_incomplete(&self, at: Millis) -> bool {
+        self.last_failure_at.is_some_and(|last_failure_at| last_failure_at + ENTRIES_RETURN >= at)
     }
 
     /// Whether an entry that went missing at `unlisted_since` is still to be
     /// taken for there.
-    pub fn excuses(&self, unlisted_since: Millis, now: Millis) -> bool {
-        let Some(trouble_at) = self.trouble_at else { return false };
-        now.since(trouble_at) < ENTRIES_RETURN && unlisted_since + ENTRIES_RETURN >= trouble_at
+    pub fn may_still_run(&self, unlisted_since: Millis, now: Millis) -> bool {
+        let Some(last_failure_at) = self.last_failure_at else { return false };
+        now.since(last_failure_at) < ENTRIES_RETURN
+            && unlisted_since + ENTRIES_RETURN >= last_failure_at
     }
 }
 
@@ -437,7 +438,7 @@
     /// Whether the instance takes new work as far as the list goes.
     pub fn is_in_service(&self, trust: &ListTrust, now: Millis) -> bool {
         let is_readable = self.unreadable_since.is_none();
-        is_readable && !self.is_leaving() && self.is_there(trust, now)
+        is_readable && !self.is_leaving() && self.is_present(trust, now)
     }
 
     /// Whether the instance has said that it will end, in the list or in its answers.
@@ -451,7 +452,7 @@
     }
 
     /// Whether the instance is listed, or its absence says nothing.
-    pub fn is_there(&self, trust: &ListTrust, now: Millis) -> bool {
-        self.unlisted_since.is_none_or(|since| trust.excuses(since, now))
+    pub fn is_present(&self, trust: &ListTrust, now: Millis) -> bool {
+        self.unlisted_since.is_none_or(|since| trust.may_still_run(since, now))
     }
 }
--- a/crates/workshold-core/src/hosted/sharing.rs
+++ b/crates/workshold-core/src/hosted/sharing.rs
@@ -15,25 +15,25 @@
 
 /// The nodes that may take their part, besides the one that counts them.
 #[derive(Debug, Clone)]
-pub struct Sharers<K> {
+pub struct NodeCensus<K> {
     last_signs: BTreeMap<K, Millis>,
 }
 
-impl<K> Default for Sharers<K> {
+impl<K> Default for NodeCensus<K> {
     fn default() -> Self {
         Self { last_signs: BTreeMap::new() }
     }
 }
 
-impl<K: Ord> Sharers<K> {
+impl<K: Ord> NodeCensus<K> {
     /// A node was heard, or another one named it.
-    pub fn on_sign(&mut self, node: K, now: Millis) {
+    pub fn on_seen(&mut self, node: K, now: Millis) {
         self.last_signs.insert(node, now);
     }
 
     /// The store, asked at `at`, named these.
-    pub fn on_named(&mut self, named: impl IntoIterator<Item = K>, at: Millis) {
-        named.into_iter().for_each(|node| self.on_sign(node, at));
+    pub fn on_listed(&mut self, named: impl IntoIterator<Item = K>, at: Millis) {
+        named.into_iter().for_each(|node| self.on_seen(node, at));
         self.last_signs.retain(|_, last| at.since(*last) < GONE_AFTER);
     }
 
--- a/crates/workshold-core/src/hosted/steward/planning.rs
+++ b/crates/workshold-core/src/hosted/steward/planning.rs
@@ -35,7 +35,7 @@
         groups: &[Group],
         pool: &[Free],
     ) -> Vec<Change> {
-        let is_settled = s.now.since(s.last_new) >= self.rules.list_settles;
+        let is_settled = s.now.since(s.last_arrival_at) >= self.rules.list_settles;
         if s.before_traffic && (!is_settled || pool.is_empty()) {
             return Vec::new();
         }
--- a/crates/workshold-core/src/hosted/steward/situation.rs
+++ b/crates/workshold-core/src/hosted/steward/situation.rs
@@ -75,7 +75,7 @@
     /// This steward's part of all loads, 0 to 1.
     pub load_part: f64,
     /// When an instance last appeared.
-    pub last_new: Millis,
+    pub last_arrival_at: Millis,
     /// The clock.
     pub now: Millis,
 }
@@ -135,7 +135,7 @@
         let since = self.doubted_since(id);
         let unlisted = entry.and_then(|entry| entry.unlisted_since);
         // What is missing after an outage may have gone at any time in it.
-        let is_unsure = (self.loss)(id) > Loss::None && self.trust.may_lack(since);
+        let is_unsure = (self.loss)(id) > Loss::None && self.trust.may_be_incomplete(since);
         entry.is_some_and(Entry::is_leaving)
             || unlisted.is_some_and(|unlisted| unlisted < since)
             || is_unsure
@@ -175,10 +175,10 @@
             let member = group.members.get(&rank);
             let entry = member.and_then(|member| self.entry(&member.identity));
             entry.is_none_or(|entry| {
-                let is_there = rank > 0 || entry.is_there(self.trust, self.now);
+                let is_present = rank > 0 || entry.is_present(self.trust, self.now);
                 let is_out_of_reach = self.is_lost_to_all(&entry.instance.identity);
                 let is_unreadable = entry.is_unreadable_for_long(self.now);
-                entry.is_leaving() || !is_there || is_out_of_reach || is_unreadable
+                entry.is_leaving() || !is_present || is_out_of_reach || is_unreadable
             })
         })
     }
--- a/crates/workshold-core/tests/hosted/capacity.rs
+++ b/crates/workshold-core/tests/hosted/capacity.rs
@@ -113,7 +113,7 @@
     assert!((work.prompt_tokens - 10_000.0).abs() < 500.0, "{work:?}");
     assert!((work.events - 70.0).abs() < 4.0, "{work:?}");
     assert_eq!(work.pause_goal, Millis(300));
-    assert!(demand.seen_part(Millis(20_000)) > 0.99);
+    assert!(demand.observed_fraction(Millis(20_000)) > 0.99);
     let (_, later) = demand.all(7.0, Millis(29_000))[0].clone();
     assert!(later.requests < 0.6, "{later:?}");
 }
--- a/crates/workshold-core/tests/hosted/sharing.rs
+++ b/crates/workshold-core/tests/hosted/sharing.rs
@@ -1,7 +1,7 @@
 //! What is divided among nodes: by whom, and in which window.
 
 use rstest::rstest;
-use workshold_core::hosted::sharing::Sharers;
+use workshold_core::hosted::sharing::NodeCensus;
 use workshold_core::hosted::tries::Budget;
 use workshold_core::hosted::tries::BudgetRules;
 use workshold_protocol::Millis;
@@ -9,34 +9,34 @@
 const RULES: BudgetRules = BudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
 const HOUR: Millis = Millis::from_secs(3_600);
 
-fn three() -> Sharers<u32> {
-    let mut sharers = Sharers::default();
-    (1..=3).for_each(|node| sharers.on_sign(node, Millis::ZERO));
+fn three() -> NodeCensus<u32> {
+    let mut sharers = NodeCensus::default();
+    (1..=3).for_each(|node| sharers.on_seen(node, Millis::ZERO));
     sharers
 }
 
 #[test]
 fn who_falls_silent_keeps_its_part_while_the_store_says_nothing() {
     let mut sharers = three();
-    sharers.on_sign(1, HOUR);
+    sharers.on_seen(1, HOUR);
     assert_eq!(sharers.count(), 3);
 }
 
 #[test]
 fn who_is_silent_keeps_its_part_as_long_as_the_store_names_it() {
     let mut sharers = three();
-    sharers.on_named([2], HOUR);
+    sharers.on_listed([2], HOUR);
     assert_eq!(sharers.count(), 1, "the others are gone by both signs");
-    sharers.on_named([], HOUR + Millis::from_secs(60));
+    sharers.on_listed([], HOUR + Millis::from_secs(60));
     assert_eq!(sharers.count(), 1, "the store names only some of many");
-    sharers.on_named([], HOUR + HOUR);
+    sharers.on_listed([], HOUR + HOUR);
     assert_eq!(sharers.count(), 0);
 }
 
 #[test]
 fn who_is_new_takes_its_part_at_once() {
     let mut sharers = three();
-    sharers.on_named([4, 5], Millis(100));
+    sharers.on_listed([4, 5], Millis(100));
     assert_eq!(sharers.count(), 5);
 }
 
--- a/crates/workshold-core/tests/hosted/sight.rs
+++ b/crates/workshold-core/tests/hosted/sight.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use smol_str::SmolStr;
-use workshold_core::hosted::currency::Currency;
+use workshold_core::hosted::currency::ConfigFreshness;
 use workshold_core::hosted::history::Era;
 use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::history::RESTORE_SETTLE_TIME;
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_version_never_goes_back() {
-    let mut currency = Currency::default();
+    let mut currency = ConfigFreshness::default();
     assert!(currency.take(7, Millis(1_000)));
     assert!(!currency.take(5, Millis(2_000)), "an old copy read late");
     assert_eq!(currency.version(), Some(7));
@@ -48,7 +48,7 @@
 
 #[test]
 fn freshness_comes_of_whoever_saw_the_same_version() {
-    let mut currency = Currency::default();
+    let mut currency = ConfigFreshness::default();
     currency.take(7, Millis(1_000));
     assert!(!currency.confirm(7, Millis(3_000)));
     assert!(currency.is_within(Millis(7_000), Millis(4_600)));
@@ -58,8 +58,8 @@
 
 #[test]
 fn without_any_version_no_key_is_believed() {
-    assert!(!Currency::default().is_within(Millis(1), Millis(4_600)));
-    assert!(Currency::default().confirm(1, Millis(1)));
+    assert!(!ConfigFreshness::default().is_within(Millis(1), Millis(4_600)));
+    assert!(ConfigFreshness::default().confirm(1, Millis(1)));
 }
 
 #[test]
@@ -78,10 +78,10 @@
     roster.apply(1, &id("i-1"), Some(word("i-1", false)), Millis(100));
     roster.apply(9, &id("i-2"), Some(word("i-2", false)), Millis(100));
     // Its pages began at record 5: what is newer may be missing in them.
-    roster.keep_only(&BTreeSet::new(), 5, Millis(200));
+    roster.on_full_list(&BTreeSet::new(), 5, Millis(200));
     let trust = ListTrust::default();
-    assert!(!roster.get(&id("i-1")).unwrap().is_there(&trust, Millis(200)));
-    assert!(roster.get(&id("i-2")).unwrap().is_there(&trust, Millis(200)));
+    assert!(!roster.get(&id("i-1")).unwrap().is_present(&trust, Millis(200)));
+    assert!(roster.get(&id("i-2")).unwrap().is_present(&trust, Millis(200)));
 }
 
 /// The store came back from a copy of a moment at which the instance had not said that it is
@@ -96,16 +96,16 @@
     roster.apply(9, &id("i-2"), Some(word("i-2", false)), now);
     let place = |offset| LogPosition { era: Era(1), offset };
     roster.begin_era(Era(1), true_from);
-    roster.apply_copied(place(3), &id("i-1"), word("i-1", false), now);
+    roster.apply_restored(place(3), &id("i-1"), word("i-1", false), now);
     roster.forget(now + Millis(5_000));
     assert!(roster.get(&id("i-1")).unwrap().instance.is_leaving, "nobody takes that back");
-    assert!(roster.get(&id("i-2")).unwrap().is_there(&trust, now + Millis(5_000)));
+    assert!(roster.get(&id("i-2")).unwrap().is_present(&trust, now + Millis(5_000)));
     // One that is there has written again, at a place far below its last one.
     roster.apply(place(4), &id("i-1"), Some(word("i-1", true)), now + Millis(5_100));
     roster.forget(true_from + Millis(100));
     assert!(roster.get(&id("i-1")).unwrap().instance.is_leaving);
-    assert!(roster.get(&id("i-1")).unwrap().is_there(&trust, true_from + Millis(100)));
-    assert!(!roster.get(&id("i-2")).unwrap().is_there(&trust, true_from + Millis(100)));
+    assert!(roster.get(&id("i-1")).unwrap().is_present(&trust, true_from + Millis(100)));
+    assert!(!roster.get(&id("i-2")).unwrap().is_present(&trust, true_from + Millis(100)));
 }
 
 #[test]
@@ -115,7 +115,7 @@
     roster.apply(8, &id("i-1"), Some(word("i-1", true)), now);
     roster.begin_era(Era(1), now + RESTORE_SETTLE_TIME);
     let place = LogPosition { era: Era(1), offset: 3 };
-    roster.apply_copied(place, &id("i-1"), word("i-1", false), now);
+    roster.apply_restored(place, &id("i-1"), word("i-1", false), now);
     roster.forget(now + RESTORE_SETTLE_TIME - Millis(1));
     assert!(roster.get(&id("i-1")).unwrap().instance.is_leaving);
     roster.forget(now + RESTORE_SETTLE_TIME);
@@ -127,7 +127,7 @@
     let mut roster = Roster::default();
     let mut trust = ListTrust::default();
     roster.apply(1, &id("i-1"), Some(word("i-1", false)), Millis(1_000));
-    trust.on_trouble(Millis(10_000));
+    trust.on_store_failure(Millis(10_000));
     roster.apply(2, &id("i-1"), None, Millis(10_100));
     let entry = roster.get(&id("i-1")).unwrap();
     assert!(entry.is_in_service(&trust, Millis(11_500)));
@@ -140,7 +140,7 @@
     let mut trust = ListTrust::default();
     roster.apply(1, &id("i-1"), Some(word("i-1", false)), Millis(1_000));
     roster.apply(2, &id("i-1"), None, Millis(2_000));
-    trust.on_trouble(Millis(10_000));
+    trust.on_store_failure(Millis(10_000));
     assert!(!roster.get(&id("i-1")).unwrap().is_in_service(&trust, Millis(10_100)));
 }
 
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -229,7 +229,7 @@
             may_close: self.may_close,
             before_traffic: self.before_traffic,
             load_part: 1.0,
-            last_new: Millis::ZERO,
+            last_arrival_at: Millis::ZERO,
             now: self.now,
         })
     }
@@ -344,7 +344,7 @@
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
     let since = domain.now - LONG_AGO;
-    domain.trust.on_trouble(since - Millis(100));
+    domain.trust.on_store_failure(since - Millis(100));
     domain.losses.insert(id("i-1"), (Loss::Ended, since));
     domain.entries.get_mut("i-1").unwrap().unlisted_since = Some(domain.now);
     let mut steward = steward(1);
@@ -693,7 +693,7 @@
 #[test]
 fn a_member_that_stopped_listening_after_an_outage_cuts_nothing() {
     closes_and_cuts_nothing(with_a_member_that_has_stopped_listening(|domain| {
-        domain.trust.on_trouble(domain.now - LONG_AGO - Millis(100));
+        domain.trust.on_store_failure(domain.now - LONG_AGO - Millis(100));
     }));
 }
 
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -30,7 +30,7 @@
 use workshold_core::hosted::catalog::Catalog;
 use workshold_core::hosted::catalog::Engine;
 use workshold_core::hosted::catalog::Kind;
-use workshold_core::hosted::currency::Currency;
+use workshold_core::hosted::currency::ConfigFreshness;
 use workshold_core::hosted::demand::Demand;
 use workshold_core::hosted::history::Era;
 use workshold_core::hosted::history::Fence;
@@ -151,7 +151,7 @@
     /// The same for the list of instances.
     pub list_store: Store,
     catalog: RwLock<Option<(Arc<Catalog>, Bytes)>>,
-    currency: Mutex<Currency>,
+    currency: Mutex<ConfigFreshness>,
     /// The list of instances.
     pub list: Mutex<List>,
     table: RwLock<Arc<Table>>,
@@ -228,7 +228,7 @@
     /// By model, a second.
     pub by_model: BTreeMap<ModelName, Work>,
     /// The part of it that is seen so soon after the first request.
-    pub seen_part: f64,
+    pub observed_fraction: f64,
 }
 
 /// Failures in a row, and what follows, of plain services and heads.
@@ -389,9 +389,9 @@
         }
         let settings = self.settings();
         let data_centre = settings.node.data_centre.as_str();
-        let trouble_at = self.peers.lock().list_trouble_at(data_centre, self.now());
-        if let Some(at) = trouble_at {
-            self.list.lock().trust.on_trouble(at);
+        let last_failure_at = self.peers.lock().list_trouble_at(data_centre, self.now());
+        if let Some(at) = last_failure_at {
+            self.list.lock().trust.on_store_failure(at);
         }
     }
 
@@ -427,7 +427,7 @@
         let made = *self.made.lock();
         let list = self.list.lock();
         let has_changed = list.roster.version() != made.version;
-        let is_excusing = list.trust.may_lack(now);
+        let is_excusing = list.trust.may_be_incomplete(now);
         drop(list);
         if has_changed || is_excusing || now.since(made.at) >= TABLE_STANDS {
             self.remake_table();
@@ -449,18 +449,18 @@
     pub fn own_work(&self) -> (Vec<(SmolStr, Work)>, f64) {
         let now = self.now();
         let demand = self.demand.lock();
-        (demand.all(self.usual_events(), now), demand.seen_part(now))
+        (demand.all(self.usual_events(), now), demand.observed_fraction(now))
     }
 
     /// What is asked of all nodes of the models of `engine`.
     pub fn work(&self, engine: &Engine) -> Asked {
-        let (own, seen_part) = self.own_work();
+        let (own, observed_fraction) = self.own_work();
         let now = self.now();
         let peers = self.peers.lock();
         let sums = peers.sums(now);
         let holds_own = peers.sums_hold_own(now);
         drop(peers);
-        let seen_part = seen_part.max(f64::from(sums.seen_percent) / 100.0);
+        let observed_fraction = observed_fraction.max(f64::from(sums.seen_percent) / 100.0);
         let mut by_name = sums.work().clone();
         for (model, work) in own.iter().filter(|_| !holds_own) {
             let sum = by_name.entry(name_hash(model)).or_default();
@@ -469,7 +469,7 @@
         let of = |name: &ModelName| by_name.get(&name_hash(name.as_str())).copied();
         let names = engine.models.iter().map(|shape| &shape.name);
         let by_model = names.map(|name| (name.clone(), of(name).unwrap_or_default())).collect();
-        Asked { by_model, seen_part }
+        Asked { by_model, observed_fraction }
     }
 
     /// Events of an answer, as the operator expects them.
--- a/crates/workshold-gateway/src/node/instance_limits.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -159,7 +159,7 @@
         let Some(limit) = limit else { return SenderShare { is_sender: true, senders: 1 } };
         let settings = self.settings();
         let peers = self.peers.lock();
-        let senders = instance_limits::senders(limit, peers.may_be_there());
+        let senders = instance_limits::senders(limit, peers.max_node_count());
         let is_first =
             || peers.is_among_senders(&settings.node.name, instance_hash(id), senders, self.now());
         SenderShare { is_sender: !self.is_leaving() && is_first(), senders }
--- a/crates/workshold-gateway/src/node/reading.rs
+++ b/crates/workshold-gateway/src/node/reading.rs
@@ -69,7 +69,7 @@
     /// that they tell each other may not come to it.
     pub fn hears_few(&self) -> bool {
         let peers = self.peers.lock();
-        let others = peers.may_be_there() - 1;
+        let others = peers.max_node_count() - 1;
         peers.heard(self.now()).count() * 2 < others
     }
 
@@ -79,8 +79,8 @@
         if !self.is_reader() {
             return None;
         }
-        let trouble_at = self.list.lock().trust.trouble_at();
-        let age = trouble_at.and_then(|at| u32::try_from(self.now().since(at).0).ok());
+        let last_failure_at = self.list.lock().trust.last_failure_at();
+        let age = last_failure_at.and_then(|at| u32::try_from(self.now().since(at).0).ok());
         Some(age.unwrap_or(LIST_TROUBLE_MOST).min(LIST_TROUBLE_MOST))
     }
 
--- a/crates/workshold-gateway/src/node/repeats.rs
+++ b/crates/workshold-gateway/src/node/repeats.rs
@@ -13,7 +13,7 @@
     /// Takes one repeat out of the budget of a service.
     pub fn take_repeat(&self, service: &ServiceName) -> bool {
         let now = self.now();
-        let nodes = self.peers.lock().may_be_there();
+        let nodes = self.peers.lock().max_node_count();
         let take = |budget: &mut Budget| (budget.take(now, nodes), budget.usage(now, nodes));
         let (is_taken, usage) = self.budget(service, take);
         if is_taken {
--- a/crates/workshold-gateway/src/peers.rs
+++ b/crates/workshold-gateway/src/peers.rs
@@ -23,7 +23,7 @@
 use std::net::SocketAddr;
 
 use smol_str::SmolStr;
-use workshold_core::hosted::sharing::Sharers;
+use workshold_core::hosted::sharing::NodeCensus;
 use workshold_protocol::Millis;
 use xxhash_rust::xxh3::xxh3_64;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -114,7 +114,7 @@
     /// Where to send datagrams, and since when nothing was heard from there.
     addresses: BTreeMap<SocketAddr, Millis>,
     by_address: BTreeMap<SocketAddr, Peer>,
-    sharers: Sharers<SocketAddr>,
+    sharers: NodeCensus<SocketAddr>,
     /// The newest digest of all nodes, from one of this node's own relays.
     of_all: Option<Heard>,
     /// The newest digest of each other data centre.
@@ -161,19 +161,19 @@
     /// There may be a node at this address.
     pub fn add(&mut self, address: SocketAddr, now: Millis) {
         self.addresses.entry(address).or_insert(now);
-        self.sharers.on_sign(address, now);
+        self.sharers.on_seen(address, now);
     }
 
     /// The store, asked at `at`, named nodes at these addresses.
-    pub fn on_named(&mut self, addresses: &[SocketAddr], at: Millis) {
+    pub fn on_listed(&mut self, addresses: &[SocketAddr], at: Millis) {
         for address in addresses {
             self.addresses.entry(*address).or_insert(at);
         }
-        self.sharers.on_named(addresses.iter().copied(), at);
+        self.sharers.on_listed(addresses.iter().copied(), at);
     }
 
     /// How many nodes there may be with this one, heard or not.
-    pub fn may_be_there(&self) -> usize {
+    pub fn max_node_count(&self) -> usize {
         self.sharers.count() + 1
     }
 
@@ -204,7 +204,7 @@
             self.add(*address, now);
         });
         self.addresses.insert(from, now);
-        self.sharers.on_sign(from, now);
+        self.sharers.on_seen(from, now);
         let was_gone = self.gone.remove(&from);
         let last = self.by_address.get(&from);
         let is_new = was_gone || last.is_none_or(|last| !last.is_heard(now));
--- a/crates/workshold-gateway/src/peers/exchange.rs
+++ b/crates/workshold-gateway/src/peers/exchange.rs
@@ -241,7 +241,7 @@
         let since = self.addresses.entry(told.address).or_insert(heard);
         *since = (*since).max(heard);
         if !told.is_gone {
-            self.sharers.on_sign(told.address, now);
+            self.sharers.on_seen(told.address, now);
         }
         let Some(peer) = self.by_address.get_mut(&told.address) else {
             let silent_after = if told.is_gone { Millis::ZERO } else { LEAST_KNOWN + cycle };
--- a/crates/workshold-gateway/src/tasks/asking.rs
+++ b/crates/workshold-gateway/src/tasks/asking.rs
@@ -67,7 +67,7 @@
     /// The store did not answer at `at`: entries may be missing that are there.
     fn note_trouble(self, node: &Node, at: Millis) {
         if self == Self::List {
-            node.list.lock().trust.on_trouble(at);
+            node.list.lock().trust.on_store_failure(at);
         }
     }
 }
--- a/crates/workshold-gateway/src/tasks/following.rs
+++ b/crates/workshold-gateway/src/tasks/following.rs
@@ -272,7 +272,7 @@
         take_entry(node, &id, record, now);
     }
     if is_whole {
-        node.list.lock().roster.keep_only(&seen, records.end, sent);
+        node.list.lock().roster.on_full_list(&seen, records.end, sent);
     }
     node.list_changed();
     node.steward_wanted.notify_one();
@@ -301,7 +301,7 @@
     let identity = word.as_ref().map(|word| word.identity.clone());
     let ended = match word {
         Some(word) if is_copied => {
-            list.roster.apply_copied(record.place, id, word, now);
+            list.roster.apply_restored(record.place, id, word, now);
             None
         }
         word => list.roster.apply(record.place, id, word, now),
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -159,7 +159,7 @@
 fn pulse(node: &Node, next_ms: u16) -> Pulse {
     let settings = node.settings();
     let config = node.config_age().map(|(version, age)| (version, age.0));
-    let (work, seen_part) = node.own_work();
+    let (work, observed_fraction) = node.own_work();
     // No lock may be held while the next part is asked for.
     let acts_by = node.lease.lock().acts_by();
     Pulse {
@@ -178,7 +178,7 @@
         store_age_ms: node.store_silent_for().0,
         list_trouble_ms: node.list_trouble(),
         work: work.iter().map(|(model, work)| ToldWork::new(model, *work)).collect(),
-        seen_percent: (seen_part * 100.0) as u8,
+        seen_percent: (observed_fraction * 100.0) as u8,
         loads: told_loads(node),
         requests: told_requests(node),
         limits: node.told_limits(),
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -141,7 +141,7 @@
         if let Ok(owners) = answer.and_then(|answer| node.take_answer(answer, sent)) {
             let addresses = owners.iter().filter_map(|owner| address_of(&owner.member));
             let others: Vec<SocketAddr> = addresses.filter(|address| *address != own).collect();
-            node.peers.lock().on_named(&others, sent);
+            node.peers.lock().on_listed(&others, sent);
         }
         let is_alone = node.peers.lock().heard(node.now()).next().is_none();
         let pause = if is_alone { OWNERS_EVERY_AT_FIRST } else { OWNERS_EVERY };
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -75,7 +75,7 @@
     let peers = node.peers.lock();
     let others = peers.heard(now).count();
     // Who hears less than half of all may be cut off with them, and others go on.
-    let hears_most = others > 0 && 2 * (others + 1) > peers.may_be_there();
+    let hears_most = others > 0 && 2 * (others + 1) > peers.max_node_count();
     let answered = peers.sums(now).store_answered;
     let ttl = node.settings().lease_ttl();
     hears_most && answered.is_none_or(|at| at < lease.renewed_at + ttl)
--- a/crates/workshold-gateway/src/tasks/stewarding/look.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/look.rs
@@ -127,10 +127,10 @@
                 doubted_since: &doubted_since,
                 others: &|| whole.others(domain),
                 models: &|| whole.models(&forming),
-                may_close: asked.seen_part >= SEEN_ENOUGH,
+                may_close: asked.observed_fraction >= SEEN_ENOUGH,
                 before_traffic: self.before_traffic,
                 load_part: 1.0 / domain_count.max(1) as f64,
-                last_new: self.roster.last_new(),
+                last_arrival_at: self.roster.last_arrival_at(),
                 now: self.now,
             }));
             self.log_domain(domain, &whole, &forming, steward.seen());
@@ -177,7 +177,7 @@
         let work = |shape: &ModelShape| {
             let seen = asked.by_model.get(&shape.name).copied().unwrap_or_default();
             let expected = Work::expected(engine, shape, instances);
-            seen.and(expected.times(1.0 - asked.seen_part))
+            seen.and(expected.times(1.0 - asked.observed_fraction))
         };
         let works: Vec<Work> = engine.models.iter().map(work).collect();
         let worths = |factor: f64| {
--- a/crates/workshold-gateway/tests/followers.rs
+++ b/crates/workshold-gateway/tests/followers.rs
@@ -114,13 +114,13 @@
 #[tokio::test]
 async fn a_follower_trusts_the_list_no_more_than_those_who_read_it(
     #[case] troubles: &[(&'static str, Option<u32>)],
-    #[case] may_lack: bool,
+    #[case] may_be_incomplete: bool,
 ) {
     let node = follower(troubles).await;
     let now = node.now();
     let trust = node.list.lock().trust;
-    assert_eq!(trust.may_lack(now), may_lack);
-    assert_eq!(trust.excuses(now - Millis(200), now), may_lack);
+    assert_eq!(trust.may_be_incomplete(now), may_be_incomplete);
+    assert_eq!(trust.may_still_run(now - Millis(200), now), may_be_incomplete);
 }
 
 /// It notices the trouble of its own readings, as long as it reads.
@@ -130,7 +130,7 @@
     assert!(node.is_reader());
     assert_eq!(node.list_trouble(), NEVER);
     let now = node.now();
-    node.list.lock().trust.on_trouble(now);
+    node.list.lock().trust.on_store_failure(now);
     assert!(node.list_trouble() < Some(1_000));
 }
 
--- a/crates/workshold-gateway/tests/lives.rs
+++ b/crates/workshold-gateway/tests/lives.rs
@@ -214,7 +214,7 @@
     scene.state("i-2", &gate(FIRST, "10.0.0.2:80"));
     let left = BTreeSet::from([InstanceId::new("i-2").unwrap()]);
     let now = scene.node.now();
-    scene.node.list.lock().roster.keep_only(&left, 2, now);
+    scene.node.list.lock().roster.on_full_list(&left, 2, now);
     let other = Scene::new();
     following::take_news(&other.node, &following::news(&scene.node, 0), other.node.now());
     assert_eq!(other.gate_names(), ["i-2"]);
--- a/crates/workshold-model/src/hosted.rs
+++ b/crates/workshold-model/src/hosted.rs
@@ -373,7 +373,7 @@
             if is_believed {
                 self.roster.apply(place, id, Some(word.clone()), now);
             } else {
-                self.roster.apply_copied(place, id, word.clone(), now);
+                self.roster.apply_restored(place, id, word.clone(), now);
             }
         }
     }
--- a/crates/workshold-model/src/hosted/office.rs
+++ b/crates/workshold-model/src/hosted/office.rs
@@ -236,7 +236,7 @@
             may_close: view.mode == Mode::Swings,
             before_traffic: view.mode == Mode::BeforeTraffic,
             load_part: 1.0,
-            last_new: Millis::ZERO,
+            last_arrival_at: Millis::ZERO,
             now: view.now,
         });
         if broken == Some(Broken::LeaveAwaited) {
