--- a/crates/workshold-core/src/hosted/roster.rs
+++ b/crates/workshold-core/src/hosted/roster.rs
@@ -265,7 +265,7 @@
 
     /// Whether a member of a formation has begun anew since it stated that it is in it:
     /// then the formation stands still for good, whatever the others say.
-    pub fn is_broken(&self, epoch: u64, group: &GroupId) -> bool {
+    pub fn has_restarted_member(&self, epoch: u64, group: &GroupId) -> bool {
         !self.broken.is_empty() && self.broken.contains_key(&(epoch, group.clone()))
     }
 
--- a/crates/workshold-core/src/hosted/silence.rs
+++ b/crates/workshold-core/src/hosted/silence.rs
@@ -7,7 +7,7 @@
 
 /// How silence is judged.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SilenceRules {
+pub struct StallRules {
     /// Multiple of the usual gap after which an instance is looked into.
     pub look_factor: f64,
     /// The least silence that is looked into.
@@ -21,7 +21,7 @@
     pub give_up_gaps: f64,
 }
 
-impl Default for SilenceRules {
+impl Default for StallRules {
     fn default() -> Self {
         Self {
             look_factor: 4.0,
@@ -33,16 +33,16 @@
     }
 }
 
-impl SilenceRules {
+impl StallRules {
     /// Silence after which a stream's group is looked into.
-    pub fn look_after(&self, usual_gap_ms: f64, pause_goal: Millis) -> Millis {
+    pub fn probe_after(&self, usual_gap_ms: f64, pause_goal: Millis) -> Millis {
         let by_gap = (usual_gap_ms * self.look_factor) as u64;
         let by_goal = (pause_goal.0 as f64 * self.goal_part) as u64;
         Millis(by_gap.min(by_goal.max(usual_gap_ms as u64)).max(self.least.0))
     }
 
     /// Silence after which a stream goes on elsewhere, whoever answers.
-    pub fn move_after(&self, usual_gap_ms: f64, pause_goal: Millis) -> Millis {
+    pub fn failover_after(&self, usual_gap_ms: f64, pause_goal: Millis) -> Millis {
         let by_goal = pause_goal.0 as f64 * self.give_up_factor;
         let by_gap = usual_gap_ms * self.give_up_gaps;
         Millis(by_goal.max(by_gap) as u64)
@@ -56,17 +56,17 @@
 
 /// The usual gap between two events at each head.
 #[derive(Debug, Clone)]
-pub struct Gaps<K> {
+pub struct EventGaps<K> {
     by_head: HashMap<K, f64>,
 }
 
-impl<K> Default for Gaps<K> {
+impl<K> Default for EventGaps<K> {
     fn default() -> Self {
         Self { by_head: HashMap::new() }
     }
 }
 
-impl<K: Clone + Eq + Hash> Gaps<K> {
+impl<K: Clone + Eq + Hash> EventGaps<K> {
     /// Two events came `gap` apart.
     pub fn on_gap(&mut self, head: &K, gap: Millis) {
         let sample = (gap.0 as f64).min(LONGEST_GAP_MS);
@@ -79,7 +79,7 @@
     }
 
     /// The usual gap at `head`, if anything was seen.
-    pub fn usual(&self, head: &K) -> Option<f64> {
+    pub fn mean_ms(&self, head: &K) -> Option<f64> {
         self.by_head.get(head).copied()
     }
 
--- a/crates/workshold-core/src/hosted/steward/situation.rs
+++ b/crates/workshold-core/src/hosted/steward/situation.rs
@@ -59,11 +59,11 @@
     pub head_of: &'a dyn Fn(&Group) -> Option<Identity>,
     /// Whether all nodes were asked whether they reach an instance, and had the time to say
     /// so; asking is begun where it was not.
-    pub all_asked: &'a dyn Fn(&Identity) -> bool,
+    pub all_peers_asked: &'a dyn Fn(&Identity) -> bool,
     /// Whether a member of a formation has begun anew.
-    pub is_broken: &'a dyn Fn(&Group) -> bool,
+    pub has_restarted_member: &'a dyn Fn(&Group) -> bool,
     /// Since when somebody could not reach them.
-    pub doubted_since: &'a dyn Fn(&Identity) -> Option<Millis>,
+    pub suspected_since: &'a dyn Fn(&Identity) -> Option<Millis>,
     /// All other domains, by name; worked out only for a plan over all of them.
     pub others: &'a dyn Fn() -> Vec<planner::Domain>,
     /// The models with what groups of them are worth, in the operator's order; likewise.
@@ -119,7 +119,7 @@
             loss == Loss::Ended || (loss == Loss::Confirmed && is_unlisted)
         };
         // A few nodes try an instance for all; one that none of them reaches may serve others.
-        is_gone && (self.all_asked)(id)
+        is_gone && (self.all_peers_asked)(id)
     }
 
     /// Whether an instance that takes no connections may only finish what it has: it was
@@ -132,7 +132,7 @@
     /// the list, or may have been without the list's saying so.
     fn was_leaving(&self, id: &Identity) -> bool {
         let entry = self.entry(id);
-        let since = self.doubted_since(id);
+        let since = self.suspected_since(id);
         let unlisted = entry.and_then(|entry| entry.unlisted_since);
         // What is missing after an outage may have gone at any time in it.
         let is_unsure = (self.loss)(id) > Loss::None && self.trust.may_be_incomplete(since);
@@ -141,12 +141,12 @@
             || is_unsure
     }
 
-    fn doubted_since(&self, id: &Identity) -> Millis {
-        (self.doubted_since)(id).unwrap_or(self.now)
+    fn suspected_since(&self, id: &Identity) -> Millis {
+        (self.suspected_since)(id).unwrap_or(self.now)
     }
 
     fn doubted_for(&self, id: &Identity) -> Millis {
-        self.now.since(self.doubted_since(id))
+        self.now.since(self.suspected_since(id))
     }
 
     /// Whether an instance may be put into a group.
@@ -159,7 +159,7 @@
     /// cut off. A member that finishes holds nobody up, although nobody can connect to it;
     /// and two nodes whose own links are full agree sooner than the others can answer.
     pub(super) fn has_lost_member(&self, group: &Group) -> bool {
-        if (self.is_broken)(group) {
+        if (self.has_restarted_member)(group) {
             return true;
         }
         let is_lost = |id| self.is_lost_to_all(id) && !self.may_finish(id);
@@ -176,9 +176,9 @@
             let entry = member.and_then(|member| self.entry(&member.identity));
             entry.is_none_or(|entry| {
                 let is_present = rank > 0 || entry.is_present(self.trust, self.now);
-                let is_out_of_reach = self.is_lost_to_all(&entry.instance.identity);
+                let is_unreachable = self.is_lost_to_all(&entry.instance.identity);
                 let is_unreadable = entry.is_unreadable_for_long(self.now);
-                entry.is_leaving() || !is_present || is_out_of_reach || is_unreadable
+                entry.is_leaving() || !is_present || is_unreachable || is_unreadable
             })
         })
     }
--- a/crates/workshold-core/src/hosted/suspicion.rs
+++ b/crates/workshold-core/src/hosted/suspicion.rs
@@ -14,7 +14,7 @@
 
 /// What a try to reach an instance showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum ProbeResult {
     /// It answered.
     Answers,
     /// It says nothing.
@@ -25,7 +25,7 @@
 
 /// What others did that were tried at the same moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Others {
+pub enum OtherProbes {
     /// One of them answered.
     Answer,
     /// None of them did.
@@ -36,8 +36,8 @@
 
 /// What a try shows: if others are silent too, it is this node that cannot be reached,
 /// or its link is full, and the instance's silence shows nothing. A refusal is an answer.
-pub fn shown(seen: Option<Reach>, others: Others) -> Option<Reach> {
-    seen.filter(|reach| *reach != Reach::Silent || others != Others::Silent)
+pub fn conclusive(seen: Option<ProbeResult>, others: OtherProbes) -> Option<ProbeResult> {
+    seen.filter(|reach| *reach != ProbeResult::Silent || others != OtherProbes::Silent)
 }
 
 #[derive(Debug, Clone)]
@@ -104,11 +104,11 @@
 
 impl<K: Clone + Ord> Suspicions<K> {
     /// This node tried.
-    pub fn on_own(&mut self, id: &K, reach: Reach, now: Millis) {
+    pub fn on_own_probe(&mut self, id: &K, reach: ProbeResult, now: Millis) {
         if self.is_superseded(id) {
             return;
         }
-        if reach == Reach::Answers {
+        if reach == ProbeResult::Answers {
             self.doubts.remove(id);
             return;
         }
@@ -118,8 +118,8 @@
     }
 
     /// A peer tried.
-    pub fn on_peer(&mut self, id: &K, peer: &str, reach: Reach, now: Millis) {
-        if reach == Reach::Answers {
+    pub fn on_peer(&mut self, id: &K, peer: &str, reach: ProbeResult, now: Millis) {
+        if reach == ProbeResult::Answers {
             if let Some(doubt) = self.doubts.get_mut(id) {
                 doubt.seen_by.remove(peer);
                 doubt.answered.insert(SmolStr::new(peer));
@@ -169,12 +169,12 @@
     }
 
     /// Whether this node itself could not reach it.
-    pub fn is_own(&self, id: &K) -> bool {
+    pub fn is_unreachable_from_here(&self, id: &K) -> bool {
         self.doubts.get(id).is_some_and(|doubt| doubt.own)
     }
 
     /// This node is not one of those that try an instance: it goes by what they say.
-    pub fn go_by_others(&mut self, id: &K) {
+    pub fn rely_on_peers(&mut self, id: &K) {
         if let Some(doubt) = self.doubts.get_mut(id) {
             doubt.by_word = true;
         }
@@ -182,14 +182,14 @@
 
     /// Whether nothing is to be sent to it for now: this node could not reach it, or none
     /// of those who try it for all can.
-    pub fn is_out_of_reach(&self, id: &K) -> bool {
+    pub fn is_unreachable(&self, id: &K) -> bool {
         let Some(doubt) = self.doubts.get(id) else { return false };
         let by_others = doubt.seen_by.len() >= AGREED_BY && doubt.answered.is_empty();
         doubt.own || (doubt.by_word && by_others)
     }
 
     /// Whether another node could not reach it: then that one has asked all.
-    pub fn is_seen_by_others(&self, id: &K) -> bool {
+    pub fn is_reported_by_peers(&self, id: &K) -> bool {
         self.doubts.get(id).is_some_and(|doubt| !doubt.seen_by.is_empty())
     }
 
--- a/crates/workshold-core/tests/hosted/requests.rs
+++ b/crates/workshold-core/tests/hosted/requests.rs
@@ -10,8 +10,8 @@
 use workshold_core::hosted::catalog::Team;
 use workshold_core::hosted::placement::Candidate;
 use workshold_core::hosted::placement::choose;
-use workshold_core::hosted::silence::Gaps;
-use workshold_core::hosted::silence::SilenceRules;
+use workshold_core::hosted::silence::EventGaps;
+use workshold_core::hosted::silence::StallRules;
 use workshold_core::hosted::tries::Budget;
 use workshold_core::hosted::tries::BudgetRules;
 use workshold_core::hosted::tries::Ending;
@@ -198,21 +198,21 @@
 
 #[test]
 fn silence_is_judged_by_the_usual_gap_and_the_goal() {
-    let rules = SilenceRules::default();
-    let quick = rules.look_after(26.0, Millis(200));
-    let slow = rules.look_after(220.0, Millis(300));
+    let rules = StallRules::default();
+    let quick = rules.probe_after(26.0, Millis(200));
+    let slow = rules.probe_after(220.0, Millis(300));
     assert!(quick < Millis(200), "before the pause is too long: {quick}");
     assert!(slow >= Millis(220), "a slow engine is not doubted at every event: {slow}");
-    assert!(rules.move_after(220.0, Millis(300)) >= Millis(1_500));
+    assert!(rules.failover_after(220.0, Millis(300)) >= Millis(1_500));
 }
 
 #[test]
 fn the_usual_gap_follows_and_a_lost_stream_does_not_spoil_it() {
     let head = InstanceId::new("i-1").unwrap();
-    let mut gaps = Gaps::default();
+    let mut gaps = EventGaps::default();
     gaps.on_peer(&head, 50.0);
     (0..60).for_each(|_| gaps.on_gap(&head, Millis(30)));
     gaps.on_gap(&head, Millis(60_000));
-    let usual = gaps.usual(&head).unwrap();
-    assert!((30.0..300.0).contains(&usual), "{usual}");
+    let mean_ms = gaps.mean_ms(&head).unwrap();
+    assert!((30.0..300.0).contains(&mean_ms), "{mean_ms}");
 }
--- a/crates/workshold-core/tests/hosted/sight.rs
+++ b/crates/workshold-core/tests/hosted/sight.rs
@@ -11,7 +11,7 @@
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
 use workshold_core::hosted::suspicion::Loss;
-use workshold_core::hosted::suspicion::Reach;
+use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_core::hosted::suspicion::Suspicions;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
@@ -147,20 +147,20 @@
 #[test]
 fn one_nodes_word_is_not_enough_to_call_an_instance_lost() {
     let mut suspicions = Suspicions::default();
-    suspicions.on_own(&id("i-1"), Reach::Silent, Millis(1));
+    suspicions.on_own_probe(&id("i-1"), ProbeResult::Silent, Millis(1));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Doubted, "this node may be cut off itself");
-    suspicions.on_peer(&id("i-1"), "n-2", Reach::Silent, Millis(2));
+    suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Silent, Millis(2));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Confirmed);
-    suspicions.on_peer(&id("i-1"), "n-2", Reach::Answers, Millis(3));
+    suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Answers, Millis(3));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Doubted);
-    suspicions.on_own(&id("i-1"), Reach::Answers, Millis(4));
+    suspicions.on_own_probe(&id("i-1"), ProbeResult::Answers, Millis(4));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::None);
 }
 
 #[test]
 fn a_node_alone_goes_by_its_own_tries() {
     let mut suspicions = Suspicions::default();
-    suspicions.on_own(&id("i-1"), Reach::Silent, Millis(1));
+    suspicions.on_own_probe(&id("i-1"), ProbeResult::Silent, Millis(1));
     assert_eq!(suspicions.loss(&id("i-1"), 0), Loss::Confirmed);
 }
 
@@ -174,15 +174,15 @@
 #[test]
 fn a_refused_connection_is_no_end_of_a_life_whoever_meets_it() {
     let mut suspicions = Suspicions::default();
-    suspicions.on_peer(&id("i-1"), "n-2", Reach::Refused, Millis(1));
+    suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Refused, Millis(1));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Doubted, "a peer's path may be cut");
-    suspicions.on_own(&id("i-1"), Reach::Refused, Millis(2));
+    suspicions.on_own_probe(&id("i-1"), ProbeResult::Refused, Millis(2));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Confirmed);
     // Some paths are cut, not all: it lives, and may be the head of an open group.
-    suspicions.on_peer(&id("i-1"), "n-3", Reach::Answers, Millis(3));
+    suspicions.on_peer(&id("i-1"), "n-3", ProbeResult::Answers, Millis(3));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Doubted);
     for peer in 2..9 {
-        suspicions.on_peer(&id("i-1"), &format!("n-{peer}"), Reach::Refused, Millis(4));
+        suspicions.on_peer(&id("i-1"), &format!("n-{peer}"), ProbeResult::Refused, Millis(4));
     }
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Confirmed, "all are behind the same cut");
     suspicions.on_superseded(&id("i-1"), Millis(5));
@@ -195,15 +195,15 @@
 #[test]
 fn a_loss_is_as_old_as_the_last_who_reached_it() {
     let mut suspicions = Suspicions::default();
-    suspicions.on_own(&id("i-1"), Reach::Silent, Millis(1_000));
-    suspicions.on_peer(&id("i-1"), "n-2", Reach::Answers, Millis(1_040));
+    suspicions.on_own_probe(&id("i-1"), ProbeResult::Silent, Millis(1_000));
+    suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Answers, Millis(1_040));
     assert_eq!(suspicions.loss(&id("i-1"), 1), Loss::Doubted);
     assert_eq!(suspicions.since(&id("i-1")), Some(Millis(1_000)));
-    suspicions.on_own(&id("i-1"), Reach::Refused, Millis(8_000));
-    suspicions.on_peer(&id("i-1"), "n-2", Reach::Refused, Millis(8_040));
+    suspicions.on_own_probe(&id("i-1"), ProbeResult::Refused, Millis(8_000));
+    suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Refused, Millis(8_040));
     assert_eq!(suspicions.loss(&id("i-1"), 1), Loss::Confirmed);
     assert_eq!(suspicions.since(&id("i-1")), Some(Millis(8_040)));
-    suspicions.on_own(&id("i-1"), Reach::Refused, Millis(9_500));
-    suspicions.on_peer(&id("i-1"), "n-3", Reach::Refused, Millis(9_600));
+    suspicions.on_own_probe(&id("i-1"), ProbeResult::Refused, Millis(9_500));
+    suspicions.on_peer(&id("i-1"), "n-3", ProbeResult::Refused, Millis(9_600));
     assert_eq!(suspicions.since(&id("i-1")), Some(Millis(8_040)), "it grows no younger");
 }
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -212,7 +212,7 @@
         let loss = |id: &Identity| self.losses.get(id).map_or(Loss::None, |(loss, _)| *loss);
         let since = |id: &Identity| self.losses.get(id).map(|(_, since)| *since);
         let head_of = |group: &Group| self.heads.get(&group.epoch).cloned();
-        let is_broken = |group: &Group| self.broken.contains(&group.epoch);
+        let has_restarted_member = |group: &Group| self.broken.contains(&group.epoch);
         let models = self.models();
         steward.plan(&Situation {
             domain: &domain,
@@ -221,9 +221,9 @@
             trust: &self.trust,
             loss: &loss,
             head_of: &head_of,
-            all_asked: &|id| !self.unasked.contains(id),
-            is_broken: &is_broken,
-            doubted_since: &since,
+            all_peers_asked: &|id| !self.unasked.contains(id),
+            has_restarted_member: &has_restarted_member,
+            suspected_since: &since,
             others: &|| self.others.clone(),
             models: &|| models.clone(),
             may_close: self.may_close,
--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -93,7 +93,7 @@
                 "state": own.map(|own| format!("{:?}", own.state)),
                 "requests": node.loads.of(&entry.instance.identity).requests,
                 "unread_tokens": node.loads.of(&entry.instance.identity).unread,
-                "usual_gap_ms": node.gaps.lock().usual(&entry.instance.identity),
+                "usual_gap_ms": node.gaps.lock().mean_ms(&entry.instance.identity),
             })
         })
         .collect();
--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -102,7 +102,7 @@
     parts.spawn(tasks::gossip::receive(Arc::clone(&node), Arc::clone(&socket)));
     parts.spawn(tasks::gossip::catch_up(Arc::clone(&node)));
     parts.spawn(tasks::probing::run(Arc::clone(&node), socket, probes_rx));
-    parts.spawn(tasks::probing::try_again(Arc::clone(&node)));
+    parts.spawn(tasks::probing::retry_probes(Arc::clone(&node)));
     parts.spawn(tasks::leasing::find_peers(Arc::clone(&node)));
     parts.spawn(tasks::stewarding::run(Arc::clone(&node)));
     parts.spawn(tasks::quarantining::run(Arc::clone(&node)));
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -40,8 +40,8 @@
 use workshold_core::hosted::quarantine::Quarantine;
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
-use workshold_core::hosted::silence::Gaps;
-use workshold_core::hosted::silence::SilenceRules;
+use workshold_core::hosted::silence::EventGaps;
+use workshold_core::hosted::silence::StallRules;
 use workshold_core::hosted::suspicion::Suspicions;
 use workshold_core::hosted::tenure::Tenure;
 use workshold_core::hosted::tries::Budget;
@@ -161,7 +161,7 @@
     /// Changes whenever suspicions do.
     pub suspicion_changed: watch::Sender<u64>,
     /// The usual gaps between events.
-    pub gaps: Mutex<Gaps<Identity>>,
+    pub gaps: Mutex<EventGaps<Identity>>,
     /// Which requests end whoever begins to run them.
     pub quarantine: Mutex<Quarantine>,
     is_quarantine_read: AtomicBool,
@@ -217,9 +217,9 @@
     in_flight: AtomicUsize,
     looks: Mutex<HashMap<Identity, Millis>>,
     asked: Mutex<HashMap<Identity, Millis>>,
-    all_asked: Mutex<HashMap<Identity, Millis>>,
+    all_peers_asked: Mutex<HashMap<Identity, Millis>>,
     /// How silence is judged.
-    pub silence: SilenceRules,
+    pub silence: StallRules,
 }
 
 /// What callers ask of all nodes.
@@ -305,8 +305,8 @@
             in_flight: AtomicUsize::new(0),
             looks: Mutex::default(),
             asked: Mutex::default(),
-            all_asked: Mutex::default(),
-            silence: SilenceRules::default(),
+            all_peers_asked: Mutex::default(),
+            silence: StallRules::default(),
         }
     }
 
@@ -441,7 +441,7 @@
         let mut others = others.filter(|other| other.id != target.id);
         others.any(|other| {
             let has_place = self.loads.of(&other.id).requests < other.slots;
-            has_place && !self.is_in_doubt(other) && self.check_instance_limits(&other.id).is_ok()
+            has_place && !self.is_suspected(other) && self.check_instance_limits(&other.id).is_ok()
         })
     }
 
--- a/crates/workshold-gateway/src/node/doubts.rs
+++ b/crates/workshold-gateway/src/node/doubts.rs
@@ -7,7 +7,7 @@
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::roster::Instance;
 use workshold_core::hosted::suspicion::Loss;
-use workshold_core::hosted::suspicion::Reach;
+use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_protocol::Millis;
 
 use crate::events::Event;
@@ -55,7 +55,7 @@
     /// To tell the others what this node's own try showed.
     Tell {
         /// What it showed.
-        reach: Reach,
+        reach: ProbeResult,
         /// Who is to try as well.
         asks: Ask,
     },
@@ -70,8 +70,8 @@
 
     /// Whether a member of a target's group cannot be reached from here, or by
     /// anybody.
-    pub fn is_in_doubt(&self, target: &Target) -> bool {
-        self.in_doubt(target).is_some()
+    pub fn is_suspected(&self, target: &Target) -> bool {
+        self.suspected_member(target).is_some()
     }
 
     /// Whether another life has begun at a target's id.
@@ -80,34 +80,34 @@
     }
 
     /// The first member of a target's group that cannot be reached.
-    pub fn in_doubt(&self, target: &Target) -> Option<SmolStr> {
+    pub fn suspected_member(&self, target: &Target) -> Option<SmolStr> {
         let suspicions = self.suspicions.lock();
-        let is_out = |member: &&Arc<Instance>| suspicions.is_out_of_reach(&member.identity);
+        let is_out = |member: &&Arc<Instance>| suspicions.is_unreachable(&member.identity);
         let doubted = target.members.iter().find(is_out);
         doubted.map(|member| SmolStr::new(member.identity.as_str()))
     }
 
     /// What this node's own try to reach an instance showed; tells the others, and asks
     /// them unless another one has.
-    pub fn on_reach(&self, id: &Identity, address: &SmolStr, reach: Reach) {
-        let is_first = !self.suspicions.lock().is_seen_by_others(id);
-        let is_asking = reach != Reach::Answers && is_first;
+    pub fn on_probe_result(&self, id: &Identity, address: &SmolStr, reach: ProbeResult) {
+        let is_first = !self.suspicions.lock().is_reported_by_peers(id);
+        let is_asking = reach != ProbeResult::Answers && is_first;
         let asks = if is_asking { Ask::Witnesses } else { Ask::Nobody };
-        if self.note_reach(id, reach) {
+        if self.record_probe_result(id, reach) {
             self.probe(id, address, ProbeTask::Tell { reach, asks });
         }
     }
 
     /// Notes what this node's own try showed; whether that is news.
-    pub fn note_reach(&self, id: &Identity, reach: Reach) -> bool {
+    pub fn record_probe_result(&self, id: &Identity, reach: ProbeResult) -> bool {
         let now = self.now();
-        let was = self.suspicions.lock().is_own(id);
-        let is = reach != Reach::Answers;
-        self.suspicions.lock().on_own(id, reach, now);
+        let was = self.suspicions.lock().is_unreachable_from_here(id);
+        let is = reach != ProbeResult::Answers;
+        self.suspicions.lock().on_own_probe(id, reach, now);
         if was == is {
             return false;
         }
-        if reach == Reach::Refused {
+        if reach == ProbeResult::Refused {
             self.note_ended(id);
         }
         let event = if is { Event::InstanceInDoubt } else { Event::InstanceBack };
@@ -145,17 +145,17 @@
 
     /// Whether all nodes were asked whether they reach an instance, and have had the time to
     /// answer; the first question has that begun. Few nodes are all asked from the start.
-    pub fn were_all_asked(&self, id: &Identity, address: &SmolStr) -> bool {
+    pub fn have_all_peers_probed(&self, id: &Identity, address: &SmolStr) -> bool {
         let now = self.now();
         if are_few(&self.peers.lock(), now) {
             return true;
         }
-        let mut all_asked = self.all_asked.lock();
-        all_asked.retain(|_, at| now.since(*at) < ASKED_FOR);
-        let at = all_asked.get(id).copied();
+        let mut all_peers_asked = self.all_peers_asked.lock();
+        all_peers_asked.retain(|_, at| now.since(*at) < ASKED_FOR);
+        let at = all_peers_asked.get(id).copied();
         if at.is_none() {
-            all_asked.insert(id.clone(), now);
-            let task = ProbeTask::Tell { reach: Reach::Silent, asks: Ask::All };
+            all_peers_asked.insert(id.clone(), now);
+            let task = ProbeTask::Tell { reach: ProbeResult::Silent, asks: Ask::All };
             self.probe(id, address, task);
         }
         at.is_some_and(|at| now.since(at) >= ALL_ANSWER)
@@ -163,7 +163,7 @@
 
     /// Whether an instance is to be tried because another node asks: not if it was
     /// just now, for the same reason.
-    pub fn note_asked(&self, id: &Identity) -> bool {
+    pub fn is_probe_due(&self, id: &Identity) -> bool {
         let now = self.now();
         let mut asked = self.asked.lock();
         asked.retain(|_, at| now.since(*at) < ASKED_AGAIN);
@@ -175,13 +175,13 @@
     }
 
     /// Whether a target's members were all tried just now.
-    pub fn was_looked_at(&self, id: &Identity) -> bool {
+    pub fn was_probed_recently(&self, id: &Identity) -> bool {
         let now = self.now();
         self.looks.lock().get(id).is_some_and(|at| now.since(*at) < LOOK_GOOD_FOR)
     }
 
     /// A target's members were all tried.
-    pub fn note_look(&self, id: &Identity) {
+    pub fn note_group_probe(&self, id: &Identity) {
         let now = self.now();
         let mut looks = self.looks.lock();
         looks.retain(|_, at| now.since(*at) < LOOK_GOOD_FOR);
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -16,7 +16,7 @@
 use workshold_core::hosted::quarantine::ProcessEnd;
 use workshold_core::hosted::quarantine::QuarantineRecord;
 use workshold_core::hosted::quarantine::RequestKey;
-use workshold_core::hosted::suspicion::Reach;
+use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_protocol::Millis;
 
 use crate::loads::Load;
@@ -69,7 +69,7 @@
     All,
 }
 
-/// [`Reach`] as it is sent.
+/// [`ProbeResult`] as it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WireReach {
     /// It answered.
@@ -80,17 +80,17 @@
     Refused,
 }
 
-impl From<Reach> for WireReach {
-    fn from(reach: Reach) -> Self {
+impl From<ProbeResult> for WireReach {
+    fn from(reach: ProbeResult) -> Self {
         match reach {
-            Reach::Answers => Self::Answers,
-            Reach::Silent => Self::Silent,
-            Reach::Refused => Self::Refused,
+            ProbeResult::Answers => Self::Answers,
+            ProbeResult::Silent => Self::Silent,
+            ProbeResult::Refused => Self::Refused,
         }
     }
 }
 
-impl From<WireReach> for Reach {
+impl From<WireReach> for ProbeResult {
     fn from(reach: WireReach) -> Self {
         match reach {
             WireReach::Answers => Self::Answers,
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -113,8 +113,8 @@
         let may_begin = tries::may_begin_beside(&self.job.route, self.used, under_way);
         Patience {
             since,
-            look_after: self.job.route.is_repeatable().then_some(after.0),
-            move_after: may_begin.then_some(after.1),
+            probe_after: self.job.route.is_repeatable().then_some(after.0),
+            failover_after: may_begin.then_some(after.1),
             held_until: self.held_until,
             ends: self.job.ends,
             waiting: None,
@@ -156,14 +156,14 @@
             Ok(_) if !node.take_repeat(&self.job.service) => "budget",
             Ok(_) => "nothing",
         };
-        let in_doubt = doubted.as_ref().and_then(|target| node.in_doubt(target));
+        let suspected_member = doubted.as_ref().and_then(|target| node.suspected_member(target));
         emit(
             Event::AttemptInDoubt,
             &[
                 ("request", &self.job.id),
                 ("instance", doubted.as_ref().map_or("", |target| target.id.as_str())),
                 ("why", why),
-                ("in_doubt", &in_doubt.unwrap_or_default()),
+                ("in_doubt", &suspected_member.unwrap_or_default()),
                 ("lacks", lacks),
             ],
         );
@@ -210,9 +210,9 @@
             return;
         }
         if node.note_connection_lost(&self.job, target) {
-            probing::look(node, &target.id, &target.address).await;
-        } else if !node.was_looked_at(&target.id) {
-            node.note_look(&target.id);
+            probing::probe_instance(node, &target.id, &target.address).await;
+        } else if !node.was_probed_recently(&target.id) {
+            node.note_group_probe(&target.id);
             node.probe(&target.id, &target.address, ProbeTask::Look);
         }
     }
@@ -237,7 +237,7 @@
                 ("next", next),
                 ("sent", &self.used.sent.to_string()),
                 ("lacks", lacks),
-                ("in_doubt", &node.in_doubt(target).unwrap_or_default()),
+                ("in_doubt", &node.suspected_member(target).unwrap_or_default()),
             ],
         );
     }
@@ -366,8 +366,8 @@
 fn opening_patience(node: &Node, course: &Course, attempts: &mut Attempts) -> Patience {
     let under_way = attempts.len();
     let newest = attempts.newest().expect("one was begun");
-    let usual = node.gaps.lock().usual(&newest.target.id).unwrap_or(newest.target.quiet_gap_ms);
-    let patience = course.patience(newest.since, first_patience(course, usual), under_way);
+    let mean_ms = node.gaps.lock().mean_ms(&newest.target.id).unwrap_or(newest.target.quiet_gap_ms);
+    let patience = course.patience(newest.since, first_patience(course, mean_ms), under_way);
     Patience { waiting: Some(course.job.fingerprint), ..patience }
 }
 
@@ -502,9 +502,9 @@
             load: load.requests,
             unread_ms: f64::from(load.unread) * target.read_ms,
             slots: target.slots,
-            pace_ms: gaps.usual(&target.id).unwrap_or(target.quiet_gap_ms),
+            pace_ms: gaps.mean_ms(&target.id).unwrap_or(target.quiet_gap_ms),
             is_near: target.data_centre == settings.node.data_centre,
-            is_aside: outliers.is_set_aside(&target.id, now) || node.is_in_doubt(target),
+            is_aside: outliers.is_set_aside(&target.id, now) || node.is_suspected(target),
         })
         .collect();
     if course.is_new() && placement::are_full(&candidates, MAY_WAIT) {
--- a/crates/workshold-gateway/src/relay/stream.rs
+++ b/crates/workshold-gateway/src/relay/stream.rs
@@ -143,13 +143,13 @@
         let under_way = self.attempts.len();
         let newest = self.attempts.newest().expect("somebody is waited for");
         let (id, since) = (&newest.target.id, newest.since);
-        let usual = self.node.gaps.lock().usual(id).unwrap_or(newest.target.quiet_gap_ms);
+        let mean_ms = self.node.gaps.lock().mean_ms(id).unwrap_or(newest.target.quiet_gap_ms);
         let goal = self.course.job.route.pause_goal;
         let rules = self.node.silence;
         let after = if newest.is_opening() {
-            relay::first_patience(&self.course, usual)
+            relay::first_patience(&self.course, mean_ms)
         } else {
-            (rules.look_after(usual, goal), rules.move_after(usual, goal))
+            (rules.probe_after(mean_ms, goal), rules.failover_after(mean_ms, goal))
         };
         let waiting = newest.is_opening().then_some(self.course.job.fingerprint);
         Patience { waiting, ..self.course.patience(since, after, under_way) }
@@ -243,8 +243,8 @@
         let is_whole = job.last_event.is_none();
         if let Some(model) = job.model.as_ref().filter(|_| is_whole) {
             let events = (self.events_before + self.events) as f64;
-            let usual = self.node.usual_events();
-            self.node.demand.lock().on_answer(model, events, usual, now);
+            let mean_ms = self.node.usual_events();
+            self.node.demand.lock().on_answer(model, events, mean_ms, now);
         }
     }
 
--- a/crates/workshold-gateway/src/relay/watching.rs
+++ b/crates/workshold-gateway/src/relay/watching.rs
@@ -29,10 +29,10 @@
     pub since: Millis,
     /// Silence after which it is looked into; `None` if the request must not run
     /// twice, whatever is seen.
-    pub look_after: Option<Millis>,
+    pub probe_after: Option<Millis>,
     /// Silence after which there is doubt although all answer; `None` if the request may
     /// not be sent to another one: then no doubt is told at all.
-    pub move_after: Option<Millis>,
+    pub failover_after: Option<Millis>,
     /// No doubt is told before this: nothing followed from the last one.
     pub held_until: Millis,
     /// When the request's time is up.
@@ -55,15 +55,15 @@
 pub async fn doubt(node: &Node, target: &Target, patience: Patience) -> WaitOver {
     let mut changed = node.suspicion_changed.subscribe();
     let ends = patience.ends - ANSWER_LEAD;
-    let mut look_at = patience.look_after.map(|after| patience.since + after);
+    let mut look_at = patience.probe_after.map(|after| patience.since + after);
     let mut move_at =
-        patience.move_after.map(|after| (patience.since + after).max(patience.held_until));
+        patience.failover_after.map(|after| (patience.since + after).max(patience.held_until));
     // With others' word that a member is lost, less silence is enough.
-    let half = patience.look_after.filter(|_| patience.move_after.is_some());
+    let half = patience.probe_after.filter(|_| patience.failover_after.is_some());
     let doubt_at =
         half.map(|after| (patience.since + Millis(after.0 / 2)).max(patience.held_until));
     loop {
-        let is_doubted = doubt_at.is_some() && node.is_in_doubt(target);
+        let is_doubted = doubt_at.is_some() && node.is_suspected(target);
         let now = node.now();
         if is_doubted && doubt_at.is_some_and(|at| now >= at) {
             return WaitOver::Suspect("a member is out of reach");
@@ -103,11 +103,13 @@
 /// Tries to reach all members of a target's group at once; what it shows is noted at
 /// the node, for all who wait for them.
 async fn look(node: &Node, target: &Target) {
-    if node.was_looked_at(&target.id) {
+    if node.was_probed_recently(&target.id) {
         return;
     }
-    let tries =
-        target.members.iter().map(|member| probing::look(node, &member.identity, &member.address));
+    let tries = target
+        .members
+        .iter()
+        .map(|member| probing::probe_instance(node, &member.identity, &member.address));
     join_all(tries).await;
-    node.note_look(&target.id);
+    node.note_group_probe(&target.id);
 }
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -15,7 +15,7 @@
 use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::quarantine::QuarantineRecord;
-use workshold_core::hosted::suspicion::Reach;
+use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_http::client;
 use workshold_platform::config;
 use workshold_protocol::Millis;
@@ -197,7 +197,7 @@
     let loads = node.loads.all_own();
     let gaps = node.gaps.lock();
     let told = loads.iter();
-    told.map(|(id, load)| ToldLoad::new(id, *load, gaps.usual(id).unwrap_or_default())).collect()
+    told.map(|(id, load)| ToldLoad::new(id, *load, gaps.mean_ms(id).unwrap_or_default())).collect()
 }
 
 fn list_end(node: &Node) -> Option<(LogPosition, u64)> {
@@ -362,7 +362,7 @@
     node: &Node,
     from: SocketAddr,
     peer: &str,
-    (instance, reach): (u32, Reach),
+    (instance, reach): (u32, ProbeResult),
     ask: Ask,
 ) {
     let list = node.list.lock();
@@ -375,7 +375,7 @@
         let mut suspicions = node.suspicions.lock();
         suspicions.on_peer(id, peer, reach, node.now());
         if !is_witness {
-            suspicions.go_by_others(id);
+            suspicions.rely_on_peers(id);
         }
     }
     let task = match ask {
@@ -383,7 +383,7 @@
         Ask::All => Some(ProbeTask::AnswerOne(from)),
         Ask::Nobody | Ask::Witnesses => None,
     };
-    if let Some(task) = task.filter(|_| node.note_asked(id)) {
+    if let Some(task) = task.filter(|_| node.is_probe_due(id)) {
         node.probe(id, &instance.address, task);
     }
     node.suspicions_changed();
--- a/crates/workshold-gateway/src/tasks/probing.rs
+++ b/crates/workshold-gateway/src/tasks/probing.rs
@@ -12,8 +12,8 @@
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::roster::Entry;
 use workshold_core::hosted::suspicion;
-use workshold_core::hosted::suspicion::Others;
-use workshold_core::hosted::suspicion::Reach;
+use workshold_core::hosted::suspicion::OtherProbes;
+use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_protocol::Millis;
 
 use crate::loads::instance_hash;
@@ -42,21 +42,23 @@
 const ASK_AGAIN: Duration = Duration::from_millis(100);
 
 /// Tries to reach an instance; `None` if the try shows nothing.
-pub async fn reach(node: &Node, address: &str) -> Option<Reach> {
+pub async fn reach(node: &Node, address: &str) -> Option<ProbeResult> {
     let began = node.now();
     node.metrics.count(Metric::Looks);
     let tried = tokio::time::timeout(REACH_TIME.to_duration(), TcpStream::connect(address)).await;
     let took = node.now().since(began);
     let seen = match tried {
-        Ok(Ok(_)) => Some(Reach::Answers),
-        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => Some(Reach::Refused),
-        Ok(Err(_)) => Some(Reach::Silent),
+        Ok(Ok(_)) => Some(ProbeResult::Answers),
+        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => {
+            Some(ProbeResult::Refused)
+        }
+        Ok(Err(_)) => Some(ProbeResult::Silent),
         Err(_) if took > REACH_TIME + OWN_DELAY => None,
-        Err(_) => Some(Reach::Silent),
+        Err(_) => Some(ProbeResult::Silent),
     };
     match seen {
         None => node.metrics.count(Metric::LooksVoid),
-        Some(Reach::Silent) => node.metrics.count(Metric::LooksSilent),
+        Some(ProbeResult::Silent) => node.metrics.count(Metric::LooksSilent),
         Some(_) => {}
     }
     seen
@@ -67,28 +69,28 @@
 /// kilobytes fills a small link for a tenth of a second, at all nodes at once. On a day of
 /// planned work with 61 nodes 790 of 1,156 doubts were wrong without this, 19 of 202 with
 /// it, by the nodes' logs.
-async fn try_twice(node: &Node, id: &Identity, address: &str) -> Option<Reach> {
+async fn try_twice(node: &Node, id: &Identity, address: &str) -> Option<ProbeResult> {
     let first = reach(node, address).await;
-    if first == Some(Reach::Answers) {
+    if first == Some(ProbeResult::Answers) {
         return first;
     }
     let (again, others) = tokio::join!(reach(node, address), try_others(node, id));
-    let shown = suspicion::shown(again, others);
-    if shown.is_none() && again.is_some() {
+    let conclusive = suspicion::conclusive(again, others);
+    if conclusive.is_none() && again.is_some() {
         node.metrics.count(Metric::LooksVoid);
     }
-    shown
+    conclusive
 }
 
 /// Tries others than `id`, at this moment.
-async fn try_others(node: &Node, id: &Identity) -> Others {
+async fn try_others(node: &Node, id: &Identity) -> OtherProbes {
     let addresses = others(node, id);
     if addresses.is_empty() {
-        return Others::Nobody;
+        return OtherProbes::Nobody;
     }
     let tries = addresses.iter().map(|address| Box::pin(is_there(address)));
     let answer = select_ok(tries).await;
-    if answer.is_ok() { Others::Answer } else { Others::Silent }
+    if answer.is_ok() { OtherProbes::Answer } else { OtherProbes::Silent }
 }
 
 /// Whom to try beside an instance: peers, and an instance that is not in doubt, for
@@ -119,10 +121,10 @@
 }
 
 /// Tries an instance, and tells the others if what it shows is news.
-pub async fn look(node: &Node, id: &Identity, address: &SmolStr) -> Option<Reach> {
+pub async fn probe_instance(node: &Node, id: &Identity, address: &SmolStr) -> Option<ProbeResult> {
     let seen = try_twice(node, id, address).await;
     if let Some(seen) = seen {
-        node.on_reach(id, address, seen);
+        node.on_probe_result(id, address, seen);
     }
     seen
 }
@@ -136,20 +138,20 @@
             let (reach, ask) = match probe.task {
                 ProbeTask::Look => {
                     // What it shows is told by itself, if it is news.
-                    look(&node, &probe.id, &probe.address).await;
+                    probe_instance(&node, &probe.id, &probe.address).await;
                     return;
                 }
                 ProbeTask::AnswerOthers => {
                     let Some(reach) = try_twice(&node, &probe.id, &probe.address).await else {
                         return;
                     };
-                    node.note_reach(&probe.id, reach);
+                    node.record_probe_result(&probe.id, reach);
                     (reach, Ask::Nobody)
                 }
                 ProbeTask::AnswerOne(asker) => {
                     let seen = try_twice(&node, &probe.id, &probe.address).await;
-                    if seen == Some(Reach::Answers) {
-                        let message = verdict(&probe.id, Reach::Answers, Ask::Nobody);
+                    if seen == Some(ProbeResult::Answers) {
+                        let message = verdict(&probe.id, ProbeResult::Answers, Ask::Nobody);
                         gossip::send(&node, &socket, &[asker], message).await;
                     }
                     return;
@@ -162,30 +164,33 @@
                 return;
             }
             tokio::time::sleep(ASK_AGAIN).await;
-            if node.suspicions.lock().is_own(&probe.id) {
+            if node.suspicions.lock().is_unreachable_from_here(&probe.id) {
                 gossip::broadcast(&node, &socket, message).await;
             }
         });
     }
 }
 
-fn verdict(id: &Identity, reach: Reach, ask: Ask) -> Message {
+fn verdict(id: &Identity, reach: ProbeResult, ask: Ask) -> Message {
     Message::Verdict { instance: instance_hash(id), reach: reach.into(), ask }
 }
 
 /// Tries instances in doubt again, until the node ends.
-pub async fn try_again(node: Arc<Node>) {
+pub async fn retry_probes(node: Arc<Node>) {
     loop {
         tokio::time::sleep(AGAIN_EVERY).await;
         let doubted: Vec<Identity> = node.suspicions.lock().iter().cloned().collect();
-        let is_own = |id: &Identity| node.suspicions.lock().is_own(id);
-        for id in doubted.into_iter().filter(|id| is_own(id) || node.is_witness(id)) {
+        let is_unreachable_from_here =
+            |id: &Identity| node.suspicions.lock().is_unreachable_from_here(id);
+        for id in
+            doubted.into_iter().filter(|id| is_unreachable_from_here(id) || node.is_witness(id))
+        {
             let entry = node.list.lock().roster.incarnation(&id).cloned();
             let Some(entry) = entry.filter(|entry| entry.unlisted_since.is_none()) else {
                 continue;
             };
             if let Some(reach) = reach(&node, &entry.instance.address).await {
-                node.on_reach(&id, &entry.instance.address, reach);
+                node.on_probe_result(&id, &entry.instance.address, reach);
             }
         }
     }
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -123,9 +123,10 @@
     let list_read_at = list.read_at;
     let peers = node.peers.lock().heard(now).count();
     let suspicions = node.suspicions.lock().clone();
-    let all_asked = |id: &Identity, address: &SmolStr| node.were_all_asked(id, address);
+    let all_peers_asked =
+        |id: &Identity, address: &SmolStr| node.have_all_peers_probed(id, address);
     let look = Look {
-        all_asked: &all_asked,
+        all_peers_asked: &all_peers_asked,
         roster: &list.roster,
         trust: &list.trust,
         suspicions: &suspicions,
--- a/crates/workshold-gateway/src/tasks/stewarding/look.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/look.rs
@@ -68,7 +68,7 @@
     /// How many other nodes could be asked.
     pub peers: usize,
     /// Whether all were asked about an instance that listens there.
-    pub all_asked: &'a dyn Fn(&Identity, &SmolStr) -> bool,
+    pub all_peers_asked: &'a dyn Fn(&Identity, &SmolStr) -> bool,
     /// When domains were last told of.
     pub told: &'a Told,
     /// Whether no request has come yet.
@@ -99,13 +99,14 @@
         let (own, domain_count) = self.own_domains(service);
         let whole = Whole::new(self, service, engine, asked);
         let loss = |id: &Identity| -> Loss { self.suspicions.loss(id, self.peers) };
-        let doubted_since = |id: &Identity| self.suspicions.since(id);
+        let suspected_since = |id: &Identity| self.suspicions.since(id);
         let head_of = |group: &Group| self.roster.head_of(group.epoch, &group.id).cloned();
-        let all_asked = |id: &Identity| {
+        let all_peers_asked = |id: &Identity| {
             let entry = self.roster.incarnation(id);
-            entry.is_none_or(|entry| (self.all_asked)(id, &entry.instance.address))
+            entry.is_none_or(|entry| (self.all_peers_asked)(id, &entry.instance.address))
         };
-        let is_broken = |group: &Group| self.roster.is_broken(group.epoch, &group.id);
+        let has_restarted_member =
+            |group: &Group| self.roster.has_restarted_member(group.epoch, &group.id);
         let mut commands = Vec::new();
         for (domain, entries) in &own {
             let forming = forming(stewards);
@@ -122,9 +123,9 @@
                 trust: self.trust,
                 loss: &loss,
                 head_of: &head_of,
-                all_asked: &all_asked,
-                is_broken: &is_broken,
-                doubted_since: &doubted_since,
+                all_peers_asked: &all_peers_asked,
+                has_restarted_member: &has_restarted_member,
+                suspected_since: &suspected_since,
                 others: &|| whole.others(domain),
                 models: &|| whole.models(&forming),
                 may_close: asked.observed_fraction >= SEEN_ENOUGH,
--- a/crates/workshold-gateway/tests/doubts.rs
+++ b/crates/workshold-gateway/tests/doubts.rs
@@ -22,7 +22,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::roster::Instance;
-use workshold_core::hosted::suspicion::Reach;
+use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_core::hosted::suspicion::Suspicions;
 use workshold_gateway::node::Node;
 use workshold_gateway::node::Probe;
@@ -55,28 +55,31 @@
 fn who_finds_an_instance_silent_first_asks_all_others_once() {
     let (node, _, mut rx) = node();
     let address = SmolStr::new("10.0.0.1:80");
-    node.on_reach(&id(), &address, Reach::Silent);
-    node.on_reach(&id(), &address, Reach::Silent);
-    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: Reach::Silent, asks: Ask::Witnesses }]);
-    node.on_reach(&id(), &address, Reach::Answers);
-    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: Reach::Answers, asks: Ask::Nobody }]);
+    node.on_probe_result(&id(), &address, ProbeResult::Silent);
+    node.on_probe_result(&id(), &address, ProbeResult::Silent);
+    assert_eq!(
+        told(&mut rx),
+        [ProbeTask::Tell { reach: ProbeResult::Silent, asks: Ask::Witnesses }]
+    );
+    node.on_probe_result(&id(), &address, ProbeResult::Answers);
+    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: ProbeResult::Answers, asks: Ask::Nobody }]);
 }
 
 #[test]
 fn who_has_heard_of_it_tells_what_it_saw_and_asks_nobody() {
     let (node, _, mut rx) = node();
-    node.suspicions.lock().on_peer(&id(), "n-2", Reach::Silent, node.now());
-    node.on_reach(&id(), &SmolStr::new("10.0.0.1:80"), Reach::Silent);
-    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: Reach::Silent, asks: Ask::Nobody }]);
+    node.suspicions.lock().on_peer(&id(), "n-2", ProbeResult::Silent, node.now());
+    node.on_probe_result(&id(), &SmolStr::new("10.0.0.1:80"), ProbeResult::Silent);
+    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: ProbeResult::Silent, asks: Ask::Nobody }]);
 }
 
 #[test]
 fn one_try_answers_all_who_ask_at_the_same_time() {
     let (node, clock, _rx) = node();
-    let asked: Vec<bool> = (0..90).map(|_| node.note_asked(&id())).collect();
+    let asked: Vec<bool> = (0..90).map(|_| node.is_probe_due(&id())).collect();
     assert_eq!(asked.iter().filter(|is_tried| **is_tried).count(), 1);
     clock.go_on(Millis(200));
-    assert!(node.note_asked(&id()), "what was seen then may have changed");
+    assert!(node.is_probe_due(&id()), "what was seen then may have changed");
 }
 
 async fn way(way: Way) -> Proxy {
@@ -86,13 +89,13 @@
 }
 
 #[rstest]
-#[case::it_reaches_its_peers(Some(Way::Open), Some(Reach::Silent))]
+#[case::it_reaches_its_peers(Some(Way::Open), Some(ProbeResult::Silent))]
 #[case::it_reaches_nobody_at_the_moment(Some(Way::Silent), None)]
-#[case::it_knows_of_nobody_else(None, Some(Reach::Silent))]
+#[case::it_knows_of_nobody_else(None, Some(ProbeResult::Silent))]
 #[tokio::test]
 async fn silence_shows_something_only_to_a_node_that_others_answer(
     #[case] peers: Option<Way>,
-    #[case] shown: Option<Reach>,
+    #[case] conclusive: Option<ProbeResult>,
 ) {
     let (node, _, mut rx) = node();
     let instance = way(Way::Silent).await;
@@ -105,9 +108,9 @@
         node.peers.lock().on_pulse(own, from, SmolStr::new("n"), said, node.now());
     }
     let address = SmolStr::new(instance.address.to_string());
-    assert_eq!(probing::look(&node, &id(), &address).await, shown);
-    assert_eq!(node.suspicions.lock().is_own(&id()), shown.is_some());
-    assert_eq!(told(&mut rx).is_empty(), shown.is_none());
+    assert_eq!(probing::probe_instance(&node, &id(), &address).await, conclusive);
+    assert_eq!(node.suspicions.lock().is_unreachable_from_here(&id()), conclusive.is_some());
+    assert_eq!(told(&mut rx).is_empty(), conclusive.is_none());
 }
 
 #[tokio::test]
@@ -118,8 +121,8 @@
     let own = node.settings().control();
     let said = pulse(peer.address);
     node.peers.lock().on_pulse(own, peer.address, SmolStr::new("n"), said, node.now());
-    let seen = probing::look(&node, &id(), &SmolStr::new(gone.to_string())).await;
-    assert_eq!(seen, Some(Reach::Refused));
+    let seen = probing::probe_instance(&node, &id(), &SmolStr::new(gone.to_string())).await;
+    assert_eq!(seen, Some(ProbeResult::Refused));
 }
 
 /// The way to another node loses the first ask.
@@ -131,7 +134,7 @@
     node.peers.lock().add(other.local_addr().unwrap(), node.now());
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
     let tells = tokio::spawn(probing::run(Arc::clone(&node), socket, rx));
-    node.on_reach(&id(), &SmolStr::new("10.0.0.1:80"), Reach::Silent);
+    node.on_probe_result(&id(), &SmolStr::new("10.0.0.1:80"), ProbeResult::Silent);
     let lost = next_ask(&other).await;
     let began = Instant::now();
     assert_eq!(next_ask(&other).await, lost, "the same once more");
@@ -177,7 +180,7 @@
     let other_id = entry.identity.id.clone();
     node.list.lock().roster.apply(1, &other_id, Some(entry), node.now());
     let address = SmolStr::new(instance.address.to_string());
-    assert_eq!(probing::look(&node, &id(), &address).await, Some(Reach::Silent));
+    assert_eq!(probing::probe_instance(&node, &id(), &address).await, Some(ProbeResult::Silent));
 }
 
 /// Who hears nobody may be cut off from the others, which are still there and repeat as
@@ -255,11 +258,11 @@
     let (node, clock, mut rx) = common::node();
     hear_of_many(&node, 300);
     let address = SmolStr::new("10.0.0.1:80");
-    assert!(!node.were_all_asked(&id(), &address));
-    assert!(!node.were_all_asked(&id(), &address));
-    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: Reach::Silent, asks: Ask::All }]);
+    assert!(!node.have_all_peers_probed(&id(), &address));
+    assert!(!node.have_all_peers_probed(&id(), &address));
+    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: ProbeResult::Silent, asks: Ask::All }]);
     clock.go_on(Millis(300));
-    assert!(node.were_all_asked(&id(), &address), "they have had the time to answer");
+    assert!(node.have_all_peers_probed(&id(), &address), "they have had the time to answer");
 }
 
 /// Who does not try an instance goes by those who do, as long as none of them reaches it.
@@ -268,10 +271,10 @@
     let mut suspicions = Suspicions::default();
     let mut say = |peer: &str, reach| {
         suspicions.on_peer(&id(), peer, reach, Millis(1_000));
-        suspicions.go_by_others(&id());
-        suspicions.is_out_of_reach(&id())
+        suspicions.rely_on_peers(&id());
+        suspicions.is_unreachable(&id())
     };
-    assert!(!say("n-2", Reach::Silent), "one of them may be cut off itself");
-    assert!(say("n-3", Reach::Refused));
-    assert!(!say("n-4", Reach::Answers), "only some paths to it are cut");
+    assert!(!say("n-2", ProbeResult::Silent), "one of them may be cut off itself");
+    assert!(say("n-3", ProbeResult::Refused));
+    assert!(!say("n-4", ProbeResult::Answers), "only some paths to it are cut");
 }
--- a/crates/workshold-gateway/tests/lives.rs
+++ b/crates/workshold-gateway/tests/lives.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use serde_json::json;
 use smol_str::SmolStr;
-use workshold_core::hosted::suspicion::Reach;
+use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::ListNews;
 use workshold_gateway::peers::ListRecord;
@@ -93,10 +93,10 @@
     let earlier = Arc::clone(&scene.gates()[0]);
     scene.state("i-1", &gate(NEXT, "10.0.0.1:80"));
     // A try that began before, whose result comes only now.
-    scene.node.note_reach(&earlier.id, Reach::Refused);
+    scene.node.record_probe_result(&earlier.id, ProbeResult::Refused);
     let next = &scene.gates()[0];
-    assert!(!scene.node.is_in_doubt(next), "it refused connections in an earlier life");
-    assert!(scene.node.is_in_doubt(&earlier));
+    assert!(!scene.node.is_suspected(next), "it refused connections in an earlier life");
+    assert!(scene.node.is_suspected(&earlier));
 }
 
 #[test]
--- a/crates/workshold-gateway/tests/relay.rs
+++ b/crates/workshold-gateway/tests/relay.rs
@@ -36,7 +36,7 @@
 use workshold_core::hosted::roster::Instance;
 use workshold_core::hosted::roster::MemberState;
 use workshold_core::hosted::roster::Membership;
-use workshold_core::hosted::suspicion::Reach;
+use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_gateway::callers::answers::AnswerBody;
 use workshold_gateway::callers::requests::Job;
 use workshold_gateway::node::Node;
@@ -227,7 +227,7 @@
     /// From here on no member of any group can be reached, as far as this node sees.
     fn doubt_all(&self) {
         for id in &self.members {
-            self.node.note_reach(id, Reach::Silent);
+            self.node.record_probe_result(id, ProbeResult::Silent);
         }
     }
 
@@ -238,7 +238,7 @@
         let serving = list.roster.iter().find(|entry| entry.instance.address == at.to_string());
         let id = serving.unwrap().instance.identity.clone();
         drop(list);
-        self.node.note_reach(&id, Reach::Silent);
+        self.node.record_probe_result(&id, ProbeResult::Silent);
     }
 
     /// From here on only the instance that serves takes connections; the list lacks that.
@@ -372,15 +372,15 @@
     }
     let reach = |ids: &[Identity], reach| {
         ids.iter().for_each(|id| {
-            scene.node.note_reach(id, reach);
+            scene.node.record_probe_result(id, reach);
         });
     };
     for _ in 0..2 {
-        reach(others, Reach::Answers);
-        reach(beside, Reach::Silent);
+        reach(others, ProbeResult::Answers);
+        reach(beside, ProbeResult::Silent);
         let res = scene.ask().await;
-        reach(others, Reach::Silent);
-        reach(beside, Reach::Answers);
+        reach(others, ProbeResult::Silent);
+        reach(beside, ProbeResult::Answers);
         assert_eq!(events(res).await, Ok(vec![1, 2, 3]));
     }
     assert_eq!(scene.arrived(), 4);
--- a/crates/workshold-model/src/hosted/office.rs
+++ b/crates/workshold-model/src/hosted/office.rs
@@ -219,7 +219,8 @@
         let loss = |id: &Identity| loss(view, id);
         let since = |id: &Identity| loss_since(view, id);
         let head_of = |group: &Group| roster.head_of(group.epoch, &group.id).cloned();
-        let is_broken = |group: &Group| roster.is_broken(group.epoch, &group.id);
+        let has_restarted_member =
+            |group: &Group| roster.has_restarted_member(group.epoch, &group.id);
         let models = counted(view, &entries);
         let commands = steward.plan(&Situation {
             domain: &domain,
@@ -228,9 +229,9 @@
             trust: view.trust,
             loss: &loss,
             head_of: &head_of,
-            all_asked: &|_| true,
-            is_broken: &is_broken,
-            doubted_since: &since,
+            all_peers_asked: &|_| true,
+            has_restarted_member: &has_restarted_member,
+            suspected_since: &since,
             others: &Vec::new,
             models: &|| models.clone(),
             may_close: view.mode == Mode::Swings,
