--- a/crates/workshold-core/src/hosted/tries.rs
+++ b/crates/workshold-core/src/hosted/tries.rs
@@ -8,7 +8,7 @@
 
 /// How one try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptEnd {
     /// No byte of it left this node.
     NotSent,
     /// The same: its instance takes nothing from this node for now, by its own word.
@@ -26,7 +26,7 @@
 
 /// What a request has used up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Used {
+pub struct AttemptsUsed {
     /// Upstream instances that it was sent to.
     pub sent: u32,
     /// Tries that never left.
@@ -37,7 +37,7 @@
 
 /// What follows a try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Another try elsewhere.
     Again,
     /// The caller is told that it has not run.
@@ -53,37 +53,43 @@
 const MOST_NOT_SENT: u32 = 4;
 
 /// The one place that says whether a request may be tried again.
-pub fn next(route: &Route, ending: Ending, used: Used, has_budget: bool, has_time: bool) -> Next {
+pub fn next(
+    route: &Route,
+    ending: AttemptEnd,
+    used: AttemptsUsed,
+    has_budget: bool,
+    has_time: bool,
+) -> NextStep {
     let may_send = used.sent < route.attempts.max(1) && has_time;
     let again = match ending {
-        Ending::NotSent | Ending::Withheld => {
+        AttemptEnd::NotSent | AttemptEnd::Withheld => {
             let is_first = used.sent == 0;
             used.not_sent < MOST_NOT_SENT && may_send && (is_first || route.is_repeatable())
         }
-        Ending::Refused => may_send && has_budget,
-        Ending::Unknown | Ending::Broken | Ending::Failed => {
+        AttemptEnd::Refused => may_send && has_budget,
+        AttemptEnd::Unknown | AttemptEnd::Broken | AttemptEnd::Failed => {
             may_send && has_budget && route.is_repeatable()
         }
     };
     if again {
-        return Next::Again;
+        return NextStep::Again;
     }
-    if ending == Ending::Failed {
-        return Next::PassOn;
+    if ending == AttemptEnd::Failed {
+        return NextStep::PassOn;
     }
-    if used.may_have_run { Next::Unknown } else { Next::NotRun }
+    if used.may_have_run { NextStep::Unknown } else { NextStep::NotRun }
 }
 
 /// Whether another try may begin beside `under_way` ones that have not ended: they may
 /// all run, and each may be the one that answers.
-pub fn may_begin_beside(route: &Route, used: Used, under_way: u32) -> bool {
+pub fn may_hedge(route: &Route, used: AttemptsUsed, under_way: u32) -> bool {
     let has_attempts = used.sent + under_way < route.attempts.max(1);
     route.is_repeatable() && has_attempts && used.not_sent < MOST_NOT_SENT
 }
 
 /// How repeats are bounded over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetRules {
+pub struct RetryBudgetRules {
     /// Repeats for each request.
     pub ratio: f64,
     /// The time over which they count.
@@ -104,15 +110,15 @@
 
 /// One node's part of the budget for one service.
 #[derive(Debug, Clone)]
-pub struct Budget {
-    rules: BudgetRules,
+pub struct RetryBudget {
+    rules: RetryBudgetRules,
     whole_from: Millis,
     steps: VecDeque<(u64, u32, u32)>,
 }
 
 /// How far a budget is used.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Usage {
+pub struct RetryBudgetUsage {
     /// Requests in the window.
     pub requests: u32,
     /// Repeats that were taken in it.
@@ -121,16 +127,16 @@
     pub allowed: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Nothing used yet, by nobody.
-    pub fn new(rules: BudgetRules) -> Self {
+    pub fn new(rules: RetryBudgetRules) -> Self {
         Self { rules, whole_from: Millis::ZERO, steps: VecDeque::new() }
     }
 
     /// Of a process that `began` when the system ran already: it has its whole part once
     /// all has left the window that another one may have taken in its place, or that
     /// others took before they heard of a new node.
-    pub fn of_later_start(rules: BudgetRules, began: Millis) -> Self {
+    pub fn for_restart(rules: RetryBudgetRules, began: Millis) -> Self {
         let whole_from = began + rules.window + step_len(rules);
         Self { whole_from, ..Self::new(rules) }
     }
@@ -151,7 +157,7 @@
     }
 
     /// How far it is used.
-    pub fn usage(&mut self, now: Millis, nodes: usize) -> Usage {
+    pub fn usage(&mut self, now: Millis, nodes: usize) -> RetryBudgetUsage {
         let number = self.step(now).0;
         let recent = self.steps.iter().filter(|step| step.0 + STEPS > number);
         let requests = recent.map(|step| step.1).sum();
@@ -161,12 +167,12 @@
         let is_whole = now >= self.whole_from;
         let allowed =
             if is_whole { (earned + own_slack) * USED_PART } else { earned * PART_AT_FIRST };
-        Usage { requests, repeats, allowed }
+        RetryBudgetUsage { requests, repeats, allowed }
     }
 
     /// The step under way. A repeat counts until its whole step is older than a window.
     /// Gives the last repeat back: it never left.
-    pub fn give_back(&mut self) {
+    pub fn refund(&mut self) {
         if let Some(step) = self.steps.iter_mut().rev().find(|step| step.2 > 0) {
             step.2 -= 1;
         }
@@ -184,6 +190,6 @@
     }
 }
 
-fn step_len(rules: BudgetRules) -> Millis {
+fn step_len(rules: RetryBudgetRules) -> Millis {
     Millis(rules.window.0.div_ceil(STEPS).max(1))
 }
--- a/crates/workshold-core/tests/hosted/requests.rs
+++ b/crates/workshold-core/tests/hosted/requests.rs
@@ -12,11 +12,11 @@
 use workshold_core::hosted::placement::choose;
 use workshold_core::hosted::silence::EventGaps;
 use workshold_core::hosted::silence::StallRules;
-use workshold_core::hosted::tries::Budget;
-use workshold_core::hosted::tries::BudgetRules;
-use workshold_core::hosted::tries::Ending;
-use workshold_core::hosted::tries::Next;
-use workshold_core::hosted::tries::Used;
+use workshold_core::hosted::tries::AttemptEnd;
+use workshold_core::hosted::tries::AttemptsUsed;
+use workshold_core::hosted::tries::NextStep;
+use workshold_core::hosted::tries::RetryBudget;
+use workshold_core::hosted::tries::RetryBudgetRules;
 use workshold_core::hosted::tries::next;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::InstanceId;
@@ -87,33 +87,33 @@
     assert_eq!(second.count(), 100);
 }
 
-const fn used(sent: u32, not_sent: u32, may_have_run: bool) -> Used {
-    Used { sent, not_sent, may_have_run }
+const fn used(sent: u32, not_sent: u32, may_have_run: bool) -> AttemptsUsed {
+    AttemptsUsed { sent, not_sent, may_have_run }
 }
 
 #[rstest]
 // Nothing left this node: anything may be tried elsewhere.
-#[case(Kind::AtMostOnce, Ending::NotSent, used(0, 1, false), true, Next::Again)]
-#[case(Kind::AtMostOnce, Ending::NotSent, used(0, 4, false), true, Next::NotRun)]
+#[case(Kind::AtMostOnce, AttemptEnd::NotSent, used(0, 1, false), true, NextStep::Again)]
+#[case(Kind::AtMostOnce, AttemptEnd::NotSent, used(0, 4, false), true, NextStep::NotRun)]
 // What must run at most once is never sent again after it may have run.
-#[case(Kind::AtMostOnce, Ending::Unknown, used(1, 0, true), true, Next::Unknown)]
-#[case(Kind::AtMostOnce, Ending::Failed, used(1, 0, true), true, Next::PassOn)]
+#[case(Kind::AtMostOnce, AttemptEnd::Unknown, used(1, 0, true), true, NextStep::Unknown)]
+#[case(Kind::AtMostOnce, AttemptEnd::Failed, used(1, 0, true), true, NextStep::PassOn)]
 // The upstream's word that it has not run lets anything be sent again.
-#[case(Kind::AtMostOnce, Ending::Refused, used(1, 0, false), true, Next::Again)]
-#[case(Kind::Idempotent, Ending::Unknown, used(1, 0, true), true, Next::Again)]
-#[case(Kind::Idempotent, Ending::Failed, used(1, 0, true), true, Next::Again)]
+#[case(Kind::AtMostOnce, AttemptEnd::Refused, used(1, 0, false), true, NextStep::Again)]
+#[case(Kind::Idempotent, AttemptEnd::Unknown, used(1, 0, true), true, NextStep::Again)]
+#[case(Kind::Idempotent, AttemptEnd::Failed, used(1, 0, true), true, NextStep::Again)]
 // Attempts and budget bound all of it, and "not run" stays true.
-#[case(Kind::Idempotent, Ending::Unknown, used(2, 0, true), true, Next::Unknown)]
-#[case(Kind::Idempotent, Ending::Unknown, used(1, 0, true), false, Next::Unknown)]
-#[case(Kind::Idempotent, Ending::Refused, used(2, 0, true), true, Next::Unknown)]
-#[case(Kind::Idempotent, Ending::Refused, used(2, 0, false), true, Next::NotRun)]
-#[case(Kind::Idempotent, Ending::Refused, used(1, 0, false), false, Next::NotRun)]
+#[case(Kind::Idempotent, AttemptEnd::Unknown, used(2, 0, true), true, NextStep::Unknown)]
+#[case(Kind::Idempotent, AttemptEnd::Unknown, used(1, 0, true), false, NextStep::Unknown)]
+#[case(Kind::Idempotent, AttemptEnd::Refused, used(2, 0, true), true, NextStep::Unknown)]
+#[case(Kind::Idempotent, AttemptEnd::Refused, used(2, 0, false), true, NextStep::NotRun)]
+#[case(Kind::Idempotent, AttemptEnd::Refused, used(1, 0, false), false, NextStep::NotRun)]
 fn what_may_be_tried_again(
     #[case] kind: Kind,
-    #[case] ending: Ending,
-    #[case] used: Used,
+    #[case] ending: AttemptEnd,
+    #[case] used: AttemptsUsed,
     #[case] has_budget: bool,
-    #[case] expected: Next,
+    #[case] expected: NextStep,
 ) {
     let route = route("/a/", kind, false);
     assert_eq!(next(&route, ending, used, has_budget, true), expected);
@@ -122,15 +122,15 @@
 #[test]
 fn without_time_nothing_is_tried_again() {
     let route = route("/a/", Kind::Stream, true);
-    let given_up = next(&route, Ending::Refused, used(1, 0, false), true, false);
-    assert_eq!(given_up, Next::NotRun);
+    let given_up = next(&route, AttemptEnd::Refused, used(1, 0, false), true, false);
+    assert_eq!(given_up, NextStep::NotRun);
 }
 
 #[test]
 fn all_nodes_together_keep_to_the_budget_in_every_window() {
-    let rules = BudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
+    let rules = RetryBudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
     let nodes = 9;
-    let mut budgets: Vec<Budget> = (0..nodes).map(|_| Budget::new(rules)).collect();
+    let mut budgets: Vec<RetryBudget> = (0..nodes).map(|_| RetryBudget::new(rules)).collect();
     let mut taken: Vec<u64> = Vec::new();
     let mut asked: Vec<u64> = Vec::new();
     for ms in (0..40_000_u64).step_by(10) {
@@ -156,9 +156,9 @@
 /// just within a window were each given the whole allowance.
 #[test]
 fn two_bursts_within_a_window_share_one_allowance() {
-    let rules = BudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
+    let rules = RetryBudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
     for (first, second) in [(499, 10_001), (250, 10_249), (0, 9_999), (499, 10_498)] {
-        let mut budget = Budget::new(rules);
+        let mut budget = RetryBudget::new(rules);
         let mut taken = |at| (0..200).filter(|_| budget.take(Millis(at), 1)).count();
         let both = taken(first) + taken(second);
         assert!(both <= 100, "{both} at {first} and {second} ms");
--- a/crates/workshold-core/tests/hosted/sharing.rs
+++ b/crates/workshold-core/tests/hosted/sharing.rs
@@ -2,11 +2,12 @@
 
 use rstest::rstest;
 use workshold_core::hosted::sharing::NodeCensus;
-use workshold_core::hosted::tries::Budget;
-use workshold_core::hosted::tries::BudgetRules;
+use workshold_core::hosted::tries::RetryBudget;
+use workshold_core::hosted::tries::RetryBudgetRules;
 use workshold_protocol::Millis;
 
-const RULES: BudgetRules = BudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
+const RULES: RetryBudgetRules =
+    RetryBudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
 const HOUR: Millis = Millis::from_secs(3_600);
 
 fn three() -> NodeCensus<u32> {
@@ -46,11 +47,11 @@
     #[values(300, 2_000, 9_000, 10_400, 10_600, 13_000, 19_000)] every: u64,
     #[values(0, 10_000, 12_900, 17_000)] trouble_from: u64,
 ) {
-    let mut budget = Budget::new(RULES);
+    let mut budget = RetryBudget::new(RULES);
     let mut taken = Vec::new();
     for ms in (0..60_000_u64).step_by(20) {
         if ms > 0 && ms % every < 20 {
-            budget = Budget::of_later_start(RULES, Millis(ms));
+            budget = RetryBudget::for_restart(RULES, Millis(ms));
         }
         budget.on_request(Millis(ms));
         // Everything fails, and bursts of streams move at once.
@@ -66,7 +67,7 @@
 
 #[test]
 fn a_process_has_its_whole_part_once_a_window_has_passed() {
-    let mut budget = Budget::of_later_start(RULES, Millis(5_000));
+    let mut budget = RetryBudget::for_restart(RULES, Millis(5_000));
     let mut taken = |at| (0..200).filter(|_| budget.take(Millis(at), 1)).count();
     assert_eq!(taken(15_400), 0);
     assert_eq!(taken(15_500), 80);
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -44,7 +44,7 @@
 use workshold_core::hosted::silence::StallRules;
 use workshold_core::hosted::suspicion::Suspicions;
 use workshold_core::hosted::tenure::Tenure;
-use workshold_core::hosted::tries::Budget;
+use workshold_core::hosted::tries::RetryBudget;
 use workshold_core::outlier::OutlierRules;
 use workshold_core::outlier::Outliers;
 use workshold_platform::store::Store;
@@ -177,7 +177,7 @@
     pub metrics: Metrics,
     /// What callers ask of this node.
     pub demand: Mutex<Demand>,
-    budgets: Mutex<HashMap<ServiceName, Budget>>,
+    budgets: Mutex<HashMap<ServiceName, RetryBudget>>,
     /// Other nodes.
     pub peers: Mutex<Peers>,
     /// The right to give orders.
@@ -435,7 +435,7 @@
     }
 
     /// Whether another target of the same kind has room for one more.
-    pub fn has_room_beside(&self, target: &Target) -> bool {
+    pub fn has_alternative_to(&self, target: &Target) -> bool {
         let table = self.table();
         let others = table.like(target);
         let mut others = others.filter(|other| other.id != target.id);
--- a/crates/workshold-gateway/src/node/repeats.rs
+++ b/crates/workshold-gateway/src/node/repeats.rs
@@ -1,7 +1,7 @@
 //! What this node may repeat of each upstream's requests.
 
-use workshold_core::hosted::tries::Budget;
-use workshold_core::hosted::tries::Usage;
+use workshold_core::hosted::tries::RetryBudget;
+use workshold_core::hosted::tries::RetryBudgetUsage;
 use workshold_protocol::ids::ServiceName;
 
 use crate::events::Event;
@@ -11,10 +11,10 @@
 
 impl Node {
     /// Takes one repeat out of the budget of a service.
-    pub fn take_repeat(&self, service: &ServiceName) -> bool {
+    pub fn take_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let nodes = self.peers.lock().max_node_count();
-        let take = |budget: &mut Budget| (budget.take(now, nodes), budget.usage(now, nodes));
+        let take = |budget: &mut RetryBudget| (budget.take(now, nodes), budget.usage(now, nodes));
         let (is_taken, usage) = self.budget(service, take);
         if is_taken {
             self.metrics.count(Metric::Repeats);
@@ -26,8 +26,8 @@
     }
 
     /// Gives a repeat back to the budget of a service: it never left.
-    pub fn give_back_repeat(&self, service: &ServiceName) {
-        self.budget(service, Budget::give_back);
+    pub fn return_retry(&self, service: &ServiceName) {
+        self.budget(service, RetryBudget::refund);
     }
 
     /// Counts a request towards the budget of a service.
@@ -36,7 +36,7 @@
         self.budget(service, |budget| budget.on_request(now));
     }
 
-    fn budget<T>(&self, service: &ServiceName, act: impl FnOnce(&mut Budget) -> T) -> T {
+    fn budget<T>(&self, service: &ServiceName, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut budgets = self.budgets.lock();
         if !budgets.contains_key(service) {
             budgets.insert(service.clone(), self.new_budget());
@@ -44,16 +44,16 @@
         act(budgets.get_mut(service).expect("it was just put in"))
     }
 
-    fn new_budget(&self) -> Budget {
+    fn new_budget(&self) -> RetryBudget {
         let settings = self.settings();
         if settings.node.is_first_start {
-            return Budget::new(settings.budget());
+            return RetryBudget::new(settings.budget());
         }
-        Budget::of_later_start(settings.budget(), self.began)
+        RetryBudget::for_restart(settings.budget(), self.began)
     }
 }
 
-fn log_refusal(service: &ServiceName, usage: Usage, nodes: usize) {
+fn log_refusal(service: &ServiceName, usage: RetryBudgetUsage, nodes: usize) {
     emit(
         Event::RepeatRefused,
         &[
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -24,9 +24,9 @@
 use workshold_core::hosted::placement;
 use workshold_core::hosted::placement::Candidate;
 use workshold_core::hosted::tries;
-use workshold_core::hosted::tries::Ending;
-use workshold_core::hosted::tries::Next;
-use workshold_core::hosted::tries::Used;
+use workshold_core::hosted::tries::AttemptEnd;
+use workshold_core::hosted::tries::AttemptsUsed;
+use workshold_core::hosted::tries::NextStep;
 use workshold_protocol::Millis;
 
 use crate::callers::answers;
@@ -74,7 +74,7 @@
     /// What is to be done.
     pub job: Arc<Job>,
     /// What has ended of it.
-    pub used: Used,
+    pub used: AttemptsUsed,
     /// Instances that it was tried at.
     pub tried: Vec<Identity>,
     /// Why the last attempt ended.
@@ -89,7 +89,7 @@
 
 impl Course {
     fn new(job: Job) -> Self {
-        let used = Used { sent: 0, not_sent: 0, may_have_run: false };
+        let used = AttemptsUsed { sent: 0, not_sent: 0, may_have_run: false };
         Self {
             job: Arc::new(job),
             used,
@@ -110,7 +110,7 @@
     /// How long to wait for the newest of `under_way` attempts, which was last heard at
     /// `since`; `after` says when it is looked into and when silence alone is doubt.
     pub fn patience(&self, since: Millis, after: (Millis, Millis), under_way: u32) -> Patience {
-        let may_begin = tries::may_begin_beside(&self.job.route, self.used, under_way);
+        let may_begin = tries::may_hedge(&self.job.route, self.used, under_way);
         Patience {
             since,
             probe_after: self.job.route.is_repeatable().then_some(after.0),
@@ -153,7 +153,7 @@
         let lacks = match &place {
             _ if node.is_suspect(self.job.fingerprint) => "proof that it ends nobody",
             Err(_) => "place",
-            Ok(_) if !node.take_repeat(&self.job.service) => "budget",
+            Ok(_) if !node.take_retry(&self.job.service) => "budget",
             Ok(_) => "nothing",
         };
         let suspected_member = doubted.as_ref().and_then(|target| node.suspected_member(target));
@@ -174,17 +174,17 @@
     }
 
     /// Notes how an attempt ended beside `others`; what never left was no repeat.
-    fn note(&mut self, node: &Node, ending: Ending, why: &'static str, others: u32) {
+    fn note(&mut self, node: &Node, ending: AttemptEnd, why: &'static str, others: u32) {
         self.why = why;
         match ending {
-            Ending::NotSent | Ending::Withheld => {
+            AttemptEnd::NotSent | AttemptEnd::Withheld => {
                 self.used.not_sent += 1;
                 if self.used.sent + others > 0 {
-                    node.give_back_repeat(&self.job.service);
+                    node.return_retry(&self.job.service);
                 }
             }
-            Ending::Refused => self.used.sent += 1,
-            Ending::Unknown | Ending::Broken | Ending::Failed => {
+            AttemptEnd::Refused => self.used.sent += 1,
+            AttemptEnd::Unknown | AttemptEnd::Broken | AttemptEnd::Failed => {
                 self.used.sent += 1;
                 self.used.may_have_run = true;
             }
@@ -205,8 +205,8 @@
 
     /// Whether the instance of a broken attempt has ended is looked into: at once and before
     /// anything else if that may keep the request from others.
-    pub async fn look_into(&self, node: &Node, target: &Target, ending: Ending) {
-        if ending != Ending::Broken {
+    pub async fn look_into(&self, node: &Node, target: &Target, ending: AttemptEnd) {
+        if ending != AttemptEnd::Broken {
             return;
         }
         if node.note_connection_lost(&self.job, target) {
@@ -220,11 +220,18 @@
     /// Gives back what [`Self::after`] took: there is no place for another attempt.
     pub fn give_up_repeat(&self, node: &Node) {
         if self.used.sent > 0 {
-            node.give_back_repeat(&self.job.service);
+            node.return_retry(&self.job.service);
         }
     }
 
-    fn log_failure(&self, node: &Node, target: &Target, ending: Ending, next: &str, lacks: &str) {
+    fn log_failure(
+        &self,
+        node: &Node,
+        target: &Target,
+        ending: AttemptEnd,
+        next: &str,
+        lacks: &str,
+    ) {
         node.metrics.count(Metric::AttemptsFailed);
         emit(
             Event::AttemptFailed,
@@ -247,9 +254,9 @@
         &mut self,
         node: &Node,
         target: &Target,
-        ending: Ending,
+        ending: AttemptEnd,
         why: &'static str,
-    ) -> Next {
+    ) -> NextStep {
         self.note(node, ending, why, 0);
         let has_time = self.left(node) > LEAST_TIME;
         let is_held = node.held_until(self.job.fingerprint).is_some();
@@ -257,8 +264,8 @@
         let may_go_on = has_time && !is_held;
         let next =
             |has_budget| tries::next(&self.job.route, ending, self.used, has_budget, may_go_on);
-        let is_repeat = self.used.sent > 0 && next(true) == Next::Again;
-        let has_budget = !is_repeat || node.take_repeat(&self.job.service);
+        let is_repeat = self.used.sent > 0 && next(true) == NextStep::Again;
+        let has_budget = !is_repeat || node.take_retry(&self.job.service);
         let lacks = match (has_time, has_attempts, has_budget) {
             _ if is_held => HELD,
             (false, ..) => "time",
@@ -293,14 +300,15 @@
                     course.free_at = free_at;
                     course.why = free_at.map_or(course.why, |_| ALL_WITHHELD);
                     course.give_up_repeat(node);
-                    let next = if course.used.may_have_run { Next::Unknown } else { Next::NotRun };
+                    let next =
+                        if course.used.may_have_run { NextStep::Unknown } else { NextStep::NotRun };
                     return give_up(node, &course, next);
                 }
             };
             if let Some(until) = node.held_until(course.job.fingerprint) {
                 course.give_up_repeat(node);
                 if course.used.may_have_run {
-                    return give_up(node, &course, Next::Unknown);
+                    return give_up(node, &course, NextStep::Unknown);
                 }
                 return refuse_held(node, &course.job, until);
             }
@@ -315,7 +323,7 @@
             AttemptEvent::Opened(target, Opened::Whole(res))
                 if is_worth_repeating(&course, &res) =>
             {
-                (target, (Ending::Failed, "the upstream failed"), Some(res))
+                (target, (AttemptEnd::Failed, "the upstream failed"), Some(res))
             }
             AttemptEvent::Opened(target, Opened::Whole(res)) => {
                 attempts.drop_all(node, &course.job.id);
@@ -342,8 +350,8 @@
             continue;
         }
         match (course.after(node, &target, ending, why), res) {
-            (Next::Again, _) => {}
-            (Next::PassOn, Some(res)) => {
+            (NextStep::Again, _) => {}
+            (NextStep::PassOn, Some(res)) => {
                 log_end(node, &course, &target, res.status());
                 return res;
             }
@@ -353,11 +361,11 @@
 }
 
 /// Counts a failure against an instance, unless all it did is to say how much it takes.
-pub fn note_failure(node: &Node, target: &Target, ending: Ending) {
+pub fn note_failure(node: &Node, target: &Target, ending: AttemptEnd) {
     let now = node.now();
-    let has_said =
-        ending == Ending::Refused && node.instance_limits.lock().restricts_sending(&target.id, now);
-    if ending != Ending::Withheld && !has_said {
+    let has_said = ending == AttemptEnd::Refused
+        && node.instance_limits.lock().restricts_sending(&target.id, now);
+    if ending != AttemptEnd::Withheld && !has_said {
         node.outliers.lock().on_failure(&target.id, now);
     }
 }
@@ -417,7 +425,7 @@
 }
 
 /// The final answer of a request that is given up, at once.
-fn give_up(node: &Node, course: &Course, next: Next) -> Response<AnswerBody> {
+fn give_up(node: &Node, course: &Course, next: NextStep) -> Response<AnswerBody> {
     let is_time_up = course.left(node) <= LEAST_TIME;
     let took = node.now().since(course.job.began).0.to_string();
     let sent = course.used.sent.to_string();
@@ -429,7 +437,7 @@
         ("ms", &*took),
         ("sent", &*sent),
     ];
-    if next == Next::NotRun {
+    if next == NextStep::NotRun {
         emit(Event::RequestNotRun, &fields);
         node.metrics.count(Metric::NotRun);
         if let Some(model) = &course.job.model {
--- a/crates/workshold-gateway/src/relay/attempt.rs
+++ b/crates/workshold-gateway/src/relay/attempt.rs
@@ -16,7 +16,7 @@
 use hyper::header::HeaderValue;
 use hyper::http::response::Parts;
 use workshold_core::hosted::catalog::Kind;
-use workshold_core::hosted::tries::Ending;
+use workshold_core::hosted::tries::AttemptEnd;
 use workshold_http::body::Body;
 use workshold_http::body::full;
 use workshold_http::client;
@@ -74,7 +74,7 @@
 pub const HELD: &str = "whoever begins to run it ends";
 
 /// How an attempt failed, and why.
-pub type Failure = (Ending, &'static str);
+pub type Failure = (AttemptEnd, &'static str);
 
 /// What is sent, and where.
 #[derive(Debug, Clone)]
@@ -101,22 +101,22 @@
     let connected = client::connect(&target.address, CONNECT_TIME.to_duration()).await;
     let connected = connected.map_err(|_| {
         node.probe(&target.id, &target.address, ProbeTask::Look);
-        (Ending::NotSent, "no connection")
+        (AttemptEnd::NotSent, "no connection")
     })?;
     let left = job.left(node.now());
     if left <= LEAST_TIME {
-        return Err((Ending::NotSent, "no time is left"));
+        return Err((AttemptEnd::NotSent, "no time is left"));
     }
     let permit =
-        node.permit(&target.id).map_err(|withheld| (Ending::Withheld, withheld.why.text()))?;
+        node.permit(&target.id).map_err(|withheld| (AttemptEnd::Withheld, withheld.why.text()))?;
     let sent = node.now();
     is_sent.store(true, Ordering::Relaxed);
     let req = request(&job, &target, last, left);
     let sending = permit.send(connected, req, left.to_duration());
     let (res, driver) = match sending.await {
         Ok(got) => got,
-        Err(CallError::TimedOut { .. }) => return Err((Ending::Unknown, TIME_UP)),
-        Err(_) => return Err((Ending::Broken, "the connection broke")),
+        Err(CallError::TimedOut { .. }) => return Err((AttemptEnd::Unknown, TIME_UP)),
+        Err(_) => return Err((AttemptEnd::Broken, "the connection broke")),
     };
     if is_of(&job, &res) {
         node.on_rate_limit(&target.id, words::limit(res.headers()), sent);
@@ -178,19 +178,19 @@
 fn check_head(job: &Job, res: &Response<Incoming>) -> Result<(), Failure> {
     let (status, headers) = (res.status(), res.headers());
     if headers.contains_key(names::NOT_RUN) {
-        return Err((Ending::Refused, "the upstream has not run it"));
+        return Err((AttemptEnd::Refused, "the upstream has not run it"));
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Err((Ending::Refused, "another instance is there"));
+        return Err((AttemptEnd::Refused, "another instance is there"));
     }
     if is_foreign(job, headers) {
-        return Err((Ending::Unknown, "an answer to another request"));
+        return Err((AttemptEnd::Unknown, "an answer to another request"));
     }
     if headers.contains_key(header::CONTENT_ENCODING) {
-        return Err((Ending::Unknown, "an answer in an encoding that nobody asked for"));
+        return Err((AttemptEnd::Unknown, "an answer in an encoding that nobody asked for"));
     }
     if status.is_success() && !headers.contains_key(names::STAMP) {
-        return Err((Ending::Unknown, "an answer without its proof"));
+        return Err((AttemptEnd::Unknown, "an answer without its proof"));
     }
     // These would tell the caller that it has not run; only the upstream's own word
     // says so.
@@ -200,7 +200,7 @@
         StatusCode::REQUEST_TIMEOUT,
     ];
     if promises.contains(&status) {
-        return Err((Ending::Unknown, "a refusal without the word that it has not run"));
+        return Err((AttemptEnd::Unknown, "a refusal without the word that it has not run"));
     }
     Ok(())
 }
@@ -213,7 +213,7 @@
 async fn read_whole(res: Response<Incoming>) -> Result<Response<AnswerBody>, Failure> {
     let (mut parts, body) = res.into_parts();
     let collected = Limited::new(body, MOST_HELD).collect().await;
-    let bytes = collected.map_err(|_| (Ending::Broken, "the answer broke off"))?.to_bytes();
+    let bytes = collected.map_err(|_| (AttemptEnd::Broken, "the answer broke off"))?.to_bytes();
     answers::strip(&mut parts.headers);
     Ok(Response::from_parts(parts, answers::whole(bytes)))
 }
@@ -230,13 +230,13 @@
             Some(Ok(frame)) => {
                 let Ok(data) = frame.into_data() else { return Ok(()) };
                 let ready = self.framer.push(&data);
-                self.ready = ready.ok_or((Ending::Unknown, "bytes that are no events"))?;
+                self.ready = ready.ok_or((AttemptEnd::Unknown, "bytes that are no events"))?;
                 Ok(())
             }
-            Some(Err(_)) => Err((Ending::Broken, "the stream broke off")),
+            Some(Err(_)) => Err((AttemptEnd::Broken, "the stream broke off")),
             // However its end is told, a stream that is whole ends with an event.
             None if self.framer.has_rest() => {
-                Err((Ending::Broken, "the stream ended within an event"))
+                Err((AttemptEnd::Broken, "the stream ended within an event"))
             }
             None => {
                 self.is_over = true;
--- a/crates/workshold-gateway/src/relay/attempts.rs
+++ b/crates/workshold-gateway/src/relay/attempts.rs
@@ -13,7 +13,7 @@
 
 use futures_util::future::select_all;
 use workshold_core::hosted::quarantine::START_WINDOW;
-use workshold_core::hosted::tries::Ending;
+use workshold_core::hosted::tries::AttemptEnd;
 use workshold_protocol::Millis;
 
 use crate::callers::requests::Job;
@@ -102,12 +102,16 @@
     /// beginning to run.
     fn failed(&self, (ending, why): Failure, now: Millis) -> Failure {
         let is_through = self.spoke.is_some_and(|spoke| now.since(spoke) > START_WINDOW);
-        if ending == Ending::Broken && is_through { (Ending::Unknown, why) } else { (ending, why) }
+        if ending == AttemptEnd::Broken && is_through {
+            (AttemptEnd::Unknown, why)
+        } else {
+            (ending, why)
+        }
     }
 
     /// How it ended if it is given up now.
-    fn given_up(&self) -> Ending {
-        if self.is_sent.load(Ordering::Relaxed) { Ending::Unknown } else { Ending::NotSent }
+    fn given_up(&self) -> AttemptEnd {
+        if self.is_sent.load(Ordering::Relaxed) { AttemptEnd::Unknown } else { AttemptEnd::NotSent }
     }
 }
 
@@ -199,7 +203,7 @@
         };
         let newest = self.live.pop().expect("somebody was waited for");
         let ending = match newest.given_up() {
-            Ending::Unknown if is_broken => newest.failed((Ending::Broken, why), now).0,
+            AttemptEnd::Unknown if is_broken => newest.failed((AttemptEnd::Broken, why), now).0,
             ending => ending,
         };
         AttemptEvent::Failed(newest.target, (ending, why))
@@ -208,7 +212,7 @@
     /// Ends all: another one has spoken. Says how many of them had been sent. Only those
     /// that began before that one had their time and failed.
     pub fn drop_all(&mut self, node: &Node, request: &str) -> u32 {
-        let sent = self.live.iter().filter(|attempt| attempt.given_up() == Ending::Unknown);
+        let sent = self.live.iter().filter(|attempt| attempt.given_up() == AttemptEnd::Unknown);
         let sent = sent.count() as u32;
         for (place, attempt) in self.live.drain(..).enumerate() {
             if place < self.older {
--- a/crates/workshold-gateway/src/relay/stream.rs
+++ b/crates/workshold-gateway/src/relay/stream.rs
@@ -9,8 +9,8 @@
 use hyper::Response;
 use hyper::body::Frame;
 use hyper::http::response::Parts;
-use workshold_core::hosted::tries::Ending;
-use workshold_core::hosted::tries::Next;
+use workshold_core::hosted::tries::AttemptEnd;
+use workshold_core::hosted::tries::NextStep;
 use workshold_protocol::Millis;
 
 use crate::callers::answers;
@@ -126,7 +126,7 @@
             }
             AttemptEvent::Opened(_, Opened::Stream(begun)) => self.move_to(begun.1),
             AttemptEvent::Opened(target, Opened::Whole(_)) => {
-                let failure = (Ending::Failed, "an answer that is no stream");
+                let failure = (AttemptEnd::Failed, "an answer that is no stream");
                 return self.on_failure(&target, failure).await;
             }
             AttemptEvent::Failed(target, failure) => {
@@ -208,7 +208,7 @@
             self.course.ended_beside(&self.node, target, (ending, why), others);
             return Ok(());
         }
-        if self.course.after(&self.node, target, ending, why) != Next::Again {
+        if self.course.after(&self.node, target, ending, why) != NextStep::Again {
             return Err(self.cut());
         }
         let Ok(next) = relay::pick(&self.node, &self.course) else {
--- a/crates/workshold-gateway/src/relay/watching.rs
+++ b/crates/workshold-gateway/src/relay/watching.rs
@@ -80,7 +80,7 @@
             return WaitOver::Ended;
         }
         if move_at.is_some_and(|at| now >= at) {
-            if node.has_room_beside(target) {
+            if node.has_alternative_to(target) {
                 return WaitOver::Suspect("it has been silent for too long");
             }
             move_at = Some(now + LOOK_AGAIN);
--- a/crates/workshold-gateway/src/settings.rs
+++ b/crates/workshold-gateway/src/settings.rs
@@ -6,7 +6,7 @@
 use displaydoc::Display;
 use serde::Deserialize;
 use workshold_core::hosted::asking::LongPollRules;
-use workshold_core::hosted::tries::BudgetRules;
+use workshold_core::hosted::tries::RetryBudgetRules;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
 
@@ -234,8 +234,8 @@
     }
 
     /// How repeats are bounded.
-    pub fn budget(&self) -> BudgetRules {
-        BudgetRules {
+    pub fn budget(&self) -> RetryBudgetRules {
+        RetryBudgetRules {
             ratio: self.bounds.repeat_ratio,
             window: Millis((self.bounds.repeat_window_s * 1000.0) as u64),
             slack: self.bounds.repeat_slack,
--- a/crates/workshold-gateway/tests/doubts.rs
+++ b/crates/workshold-gateway/tests/doubts.rs
@@ -196,11 +196,11 @@
     }
     let service = ServiceName::new("llm").unwrap();
     let mut taken = 0;
-    while node.take_repeat(&service) {
+    while node.take_retry(&service) {
         taken += 1;
     }
     clock.go_on(Millis(1_500));
-    assert!(!node.take_repeat(&service), "beyond {taken} that are its part");
+    assert!(!node.take_retry(&service), "beyond {taken} that are its part");
 }
 
 fn hear_of_many(node: &Node, nodes: usize) {
--- a/crates/workshold-gateway/tests/relay.rs
+++ b/crates/workshold-gateway/tests/relay.rs
@@ -398,6 +398,6 @@
     scene.stop_others();
     assert_eq!(events(res).await, Ok(vec![1, 2, 3]));
     assert_eq!(scene.arrived(), 1, "nothing was repeated");
-    let left = std::iter::repeat(()).take_while(|()| scene.node.take_repeat(&service)).count();
+    let left = std::iter::repeat(()).take_while(|()| scene.node.take_retry(&service)).count();
     assert_eq!(left, 8, "four fifths of the slack");
 }
--- a/crates/workshold-gateway/tests/repeats.rs
+++ b/crates/workshold-gateway/tests/repeats.rs
@@ -100,7 +100,7 @@
             let node = &self.nodes[(ms / REQUEST_EVERY_MS) as usize % self.nodes.len()];
             node.count_request(&self.service);
             self.asked.push(ms);
-            if ms >= self.trouble_from && node.take_repeat(&self.service) {
+            if ms >= self.trouble_from && node.take_retry(&self.service) {
                 self.repeated.push(ms);
             }
         }
