--- a/crates/workshold-core/src/hosted.rs
+++ b/crates/workshold-core/src/hosted.rs
@@ -5,7 +5,7 @@
 //! here: the instances' statements are the state, and what is left is to read
 //! them, to order instances safely, and to place requests.
 //!
-//! - What is to be served: [`catalog`], and how fresh it is: [`currency`]; when the store is
+//! - What is to be served: [`serving_config`], and how fresh it is: [`currency`]; when the store is
 //!   asked again: [`asking`].
 //! - What there is: [`roster`] with [`groups`]; which life of an instance: [`identity`]; who
 //!   cannot be reached: [`suspicion`]; which past of the store says so: [`history`].
@@ -18,7 +18,6 @@
 
 pub mod asking;
 pub mod capacity;
-pub mod catalog;
 pub mod currency;
 pub mod demand;
 pub mod fingerprint;
@@ -30,6 +29,7 @@
 pub mod planner;
 pub mod quarantine;
 pub mod roster;
+pub mod serving_config;
 pub mod sharing;
 pub mod silence;
 pub mod steward;
--- a/crates/workshold-core/src/hosted/capacity.rs
+++ b/crates/workshold-core/src/hosted/capacity.rs
@@ -10,8 +10,8 @@
 
 use workshold_protocol::Millis;
 
-use super::catalog::Engine;
-use super::catalog::ModelShape;
+use super::serving_config::Engine;
+use super::serving_config::ModelSpec;
 
 /// What is asked of one model, a second, over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -45,18 +45,18 @@
 
     /// What the operator expects of a model before any request has come: its part of
     /// the work, so much of it that [`EXPECTED_USE`] of the instances would be needed.
-    pub fn expected(engine: &Engine, shape: &ModelShape, instances: usize) -> Self {
+    pub fn expected(engine: &Engine, spec: &ModelSpec, instances: usize) -> Self {
         let stride = f64::from(engine.stride.max(1));
         let one = Self {
             requests: 1.0,
-            prompt_tokens: engine.usual_prompt,
-            events: (engine.usual_answer / stride).max(1.0),
+            prompt_tokens: engine.typical_prompt_tokens,
+            events: (engine.typical_answer_tokens / stride).max(1.0),
             pause_goal: USUAL_PAUSE_GOAL,
         };
         let shares: f64 = engine.models.iter().map(|model| model.share).sum();
-        let share = if shares > 0.0 { shape.share / shares } else { 1.0 };
-        let groups = share * instances as f64 / shape.size as f64;
-        let least = Load::new(engine, shape, one).least_groups();
+        let share = if shares > 0.0 { spec.share / shares } else { 1.0 };
+        let groups = share * instances as f64 / spec.size as f64;
+        let least = Load::new(engine, spec, one).least_groups();
         one.times(groups * EXPECTED_USE / least.max(f64::MIN_POSITIVE))
     }
 
@@ -92,19 +92,19 @@
 const FULL_IN_TIME: f64 = 0.8;
 
 impl Load {
-    /// What `work` asks of groups of `shape`.
-    pub fn new(engine: &Engine, shape: &ModelShape, work: Work) -> Self {
+    /// What `work` asks of groups of `spec`.
+    pub fn new(engine: &Engine, spec: &ModelSpec, work: Work) -> Self {
         let stride = f64::from(engine.stride.max(1));
         let prompt = if work.requests > 0.0 { work.prompt_tokens / work.requests } else { 0.0 };
-        let reading_ms = work.prompt_tokens / engine.read_per_ms
-            + work.requests * prompt * prompt / 2.0 / 1e6 * engine.pairs_ms_per_m;
+        let reading_ms = work.prompt_tokens / engine.prefill_tokens_per_ms
+            + work.requests * prompt * prompt / 2.0 / 1e6 * engine.attention_ms_per_m_pairs;
         let per_event_ms =
             stride * (engine.per_request_ms + prompt / 1000.0 * engine.context_ms_per_k);
-        let quiet_pass_ms = engine.event_gap_ms(shape);
+        let quiet_pass_ms = engine.event_gap_ms(spec);
         let goal = work.pause_goal;
         let goal = if goal == Millis::ZERO { USUAL_PAUSE_GOAL } else { goal };
         Self {
-            busy: shape.pace * (reading_ms + work.events * per_event_ms) / 1000.0,
+            busy: spec.pace * (reading_ms + work.events * per_event_ms) / 1000.0,
             writers: work.events * quiet_pass_ms / 1000.0,
             quiet_pass_ms,
             slots: f64::from(engine.slots.max(1)),
@@ -170,25 +170,25 @@
     pub fn of_all(
         engine: &Engine,
         works: &[Work],
-        most: impl Fn(&ModelShape) -> usize,
+        most: impl Fn(&ModelSpec) -> usize,
     ) -> Vec<Self> {
         let pairs = || engine.models.iter().zip(works);
-        let instances = |(shape, work): (&ModelShape, &Work)| {
-            Load::new(engine, shape, *work).least_groups() * shape.size as f64
+        let instances = |(spec, work): (&ModelSpec, &Work)| {
+            Load::new(engine, spec, *work).least_groups() * spec.size as f64
         };
         let all: f64 = pairs().map(instances).sum();
         let requests: f64 = works.iter().map(|work| work.requests).sum();
-        let worth = |(shape, work): (&ModelShape, &Work)| {
+        let worth = |(spec, work): (&ModelSpec, &Work)| {
             let by_requests = all * work.requests / requests.max(f64::MIN_POSITIVE);
-            let counts = (instances((shape, work)) + by_requests) / 2.0;
-            Self::new(engine, shape, *work, counts, most(shape))
+            let counts = (instances((spec, work)) + by_requests) / 2.0;
+            Self::new(engine, spec, *work, counts, most(spec))
         };
         pairs().map(worth).collect()
     }
 
-    /// The worth of up to `most` groups of `shape` for `work` that counts as `instances`.
-    fn new(engine: &Engine, shape: &ModelShape, work: Work, instances: f64, most: usize) -> Self {
-        let loads = MORE_WORK.map(|factor| Load::new(engine, shape, work.times(factor)));
+    /// The worth of up to `most` groups of `spec` for `work` that counts as `instances`.
+    fn new(engine: &Engine, spec: &ModelSpec, work: Work, instances: f64, most: usize) -> Self {
+        let loads = MORE_WORK.map(|factor| Load::new(engine, spec, work.times(factor)));
         let worth = |groups: usize| {
             let cases = loads.iter().zip(MORE_WORK).flat_map(|(load, factor)| {
                 FEWER_GROUPS.map(|fewer| fair(load.in_time(groups as f64 - fewer)) * factor)
--- a/crates/workshold-core/src/hosted/catalog.rs
+++ b/crates/workshold-core/src/hosted/serving_config.rs
@@ -11,7 +11,7 @@
 
 /// What may be done with a request more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// It may run any number of times.
     Idempotent,
     /// It runs at most once.
@@ -30,11 +30,11 @@
     /// How paths begin that it takes.
     pub path_prefix: SmolStr,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// The longest that the operator wants a request held.
     pub timeout: Millis,
     /// The time within which an answer, or its first event, earns its worth.
-    pub goal: Millis,
+    pub latency_goal: Millis,
     /// The longest pause between events that is still in time.
     pub pause_goal: Millis,
     /// The most upstream instances that one request may be sent to.
@@ -53,9 +53,9 @@
     /// Whether a request that may have run may be run again.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
-            Kind::Idempotent => true,
-            Kind::AtMostOnce => false,
-            Kind::Stream => self.is_resumable,
+            RequestKind::Idempotent => true,
+            RequestKind::AtMostOnce => false,
+            RequestKind::Stream => self.is_resumable,
         }
     }
 
@@ -79,7 +79,7 @@
 
 /// A model that groups of instances serve.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ModelShape {
+pub struct ModelSpec {
     /// Its name.
     pub name: ModelName,
     /// Instances of one group.
@@ -91,7 +91,7 @@
     /// Loading from the weight store.
     pub load: Millis,
     /// Loading from the instance's own host.
-    pub warm: Millis,
+    pub warm_load: Millis,
 }
 
 /// What the operator says of a service's model engines.
@@ -108,31 +108,31 @@
     /// What each thousand tokens of its context add to that, in milliseconds.
     pub context_ms_per_k: f64,
     /// Prompt tokens that are read in a millisecond.
-    pub read_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// What a million pairs of a prompt's tokens add to reading it, in milliseconds.
-    pub pairs_ms_per_m: f64,
+    pub attention_ms_per_m_pairs: f64,
     /// How long a group that is ready takes to open.
-    pub form: Millis,
+    pub group_open_time: Millis,
     /// Tokens of a usual prompt.
-    pub usual_prompt: f64,
+    pub typical_prompt_tokens: f64,
     /// Tokens of a usual answer.
-    pub usual_answer: f64,
+    pub typical_answer_tokens: f64,
     /// Loads that may begin in a second, over all instances.
     pub loads_per_s: f64,
     /// Loads at once that the weight store serves at full speed.
     pub loads_at_once: u32,
     /// The models, in the operator's order.
-    pub models: Vec<ModelShape>,
+    pub models: Vec<ModelSpec>,
 }
 
 impl Engine {
     /// The shape of `model`.
-    pub fn model(&self, name: &str) -> Option<&ModelShape> {
+    pub fn model(&self, name: &str) -> Option<&ModelSpec> {
         self.models.iter().find(|model| model.name.as_str() == name)
     }
 
     /// The usual time between two events of a stream that runs alone.
-    pub fn event_gap_ms(&self, model: &ModelShape) -> f64 {
+    pub fn event_gap_ms(&self, model: &ModelSpec) -> f64 {
         self.step_ms * f64::from(self.stride.max(1)) * model.pace
     }
 }
@@ -170,7 +170,7 @@
 
 /// One version of the configuration, in whole.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Catalog {
+pub struct ServingConfig {
     /// Its number; only rises.
     pub version: u64,
     /// Bounds on callers.
@@ -187,14 +187,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller<'a> {
     /// No key is asked for.
-    Anyone,
+    Anonymous,
     /// The key's team.
     Team(&'a Team),
     /// The key is missing or not known.
     Unknown,
 }
 
-impl Catalog {
+impl ServingConfig {
     /// Puts a version together; `teams` is `None` where no keys are in use.
     pub fn new(
         version: u64,
@@ -231,12 +231,12 @@
     /// Whose a request on `route` with this key is.
     pub fn caller(&self, route: &Route, key: Option<&str>) -> Caller<'_> {
         if !self.asks_for_keys {
-            return Caller::Anyone;
+            return Caller::Anonymous;
         }
         let team = key.and_then(|key| self.keys.get(key)).map(|at| &self.teams[*at]);
         match team {
             Some(team) => Caller::Team(team),
-            None if route.is_keyless => Caller::Anyone,
+            None if route.is_keyless => Caller::Anonymous,
             None => Caller::Unknown,
         }
     }
--- a/crates/workshold-core/src/hosted/steward/planning.rs
+++ b/crates/workshold-core/src/hosted/steward/planning.rs
@@ -4,7 +4,6 @@
 
 use workshold_protocol::Millis;
 
-use crate::hosted::catalog::ModelShape;
 use crate::hosted::groups;
 use crate::hosted::groups::Group;
 use crate::hosted::identity::Identity;
@@ -16,6 +15,7 @@
 use crate::hosted::planner::Ready;
 use crate::hosted::roster::Entry;
 use crate::hosted::roster::MemberState;
+use crate::hosted::serving_config::ModelSpec;
 
 use super::Command;
 use super::Forming;
@@ -111,11 +111,11 @@
         let mut free: Vec<&Identity> = pool.iter().map(|free| &free.instance().identity).collect();
         let mut left = Vec::new();
         for mut change in changes {
-            let shape = &s.engine.models[change.model];
-            if let Some(at) = begun.iter().position(|model| *model == shape.name.as_str()) {
+            let spec = &s.engine.models[change.model];
+            if let Some(at) = begun.iter().position(|model| *model == spec.name.as_str()) {
                 begun.swap_remove(at);
-            } else if free.len() >= shape.size {
-                change.members = free.drain(..shape.size).cloned().collect();
+            } else if free.len() >= spec.size {
+                change.members = free.drain(..spec.size).cloned().collect();
                 left.push(change);
             }
         }
@@ -132,21 +132,21 @@
         commands: &mut Vec<Command>,
     ) {
         for change in changes {
-            let shape = &s.engine.models[change.model];
+            let spec = &s.engine.models[change.model];
             let instances = change.members.iter().filter_map(|id| s.entry(id));
             if !change.loads.is_empty() {
                 let lacking = instances.filter(|e| change.loads.contains(&e.instance.identity));
                 for entry in lacking {
-                    self.stage_one(&entry.instance, shape, s, commands);
+                    self.stage_one(&entry.instance, spec, s, commands);
                 }
             } else if change.waits {
                 // Those that are ready wait for the last one's weights.
             } else if change.closes.is_empty() && are_free(&change.members, pool) {
-                for members in change.members.chunks_exact(shape.size) {
-                    self.start_forming(shape, members.to_vec(), s.now);
+                for members in change.members.chunks_exact(spec.size) {
+                    self.start_forming(spec, members.to_vec(), s.now);
                 }
             } else {
-                self.close_for(change, shape, s, groups, commands);
+                self.close_for(change, spec, s, groups, commands);
             }
         }
     }
@@ -154,7 +154,7 @@
     fn close_for(
         &mut self,
         change: &Change,
-        shape: &ModelShape,
+        spec: &ModelSpec,
         s: &Situation<'_>,
         groups: &[Group],
         commands: &mut Vec<Command>,
@@ -166,8 +166,8 @@
             }
         }
         let until = s.now + LEAVING_LINGERS;
-        for members in change.members.chunks_exact(shape.size) {
-            let (domain, model) = (s.domain.clone(), shape.name.clone());
+        for members in change.members.chunks_exact(spec.size) {
+            let (domain, model) = (s.domain.clone(), spec.name.clone());
             self.intended.push(Intended { domain, model, members: members.to_vec(), until });
         }
     }
@@ -177,8 +177,8 @@
         let is_fit = |id: &Identity| s.entry(id).is_some_and(|entry| s.can_serve(entry));
         let mut kept = Vec::new();
         for intended in std::mem::take(&mut self.intended) {
-            let shape = s.engine.model(intended.model.as_str());
-            let Some(shape) = shape.filter(|_| &intended.domain == s.domain) else {
+            let spec = s.engine.model(intended.model.as_str());
+            let Some(spec) = spec.filter(|_| &intended.domain == s.domain) else {
                 kept.push(intended);
                 continue;
             };
@@ -187,7 +187,7 @@
                 continue;
             }
             if are_free(&intended.members, pool) {
-                self.start_forming(shape, intended.members, s.now);
+                self.start_forming(spec, intended.members, s.now);
             } else {
                 kept.push(intended);
             }
@@ -195,7 +195,7 @@
         self.intended = kept;
     }
 
-    fn start_forming(&mut self, model: &ModelShape, members: Vec<Identity>, now: Millis) {
+    fn start_forming(&mut self, model: &ModelSpec, members: Vec<Identity>, now: Millis) {
         let epoch = self.next_epoch();
         let group = groups::group_id(model.name.as_str(), epoch);
         let give_up_at = now + model.load + self.rules.patience;
--- a/crates/workshold-core/src/hosted/steward/situation.rs
+++ b/crates/workshold-core/src/hosted/steward/situation.rs
@@ -3,12 +3,12 @@
 use workshold_protocol::Millis;
 use workshold_protocol::ids::FabricDomain;
 
-use crate::hosted::catalog::Engine;
 use crate::hosted::groups::Group;
 use crate::hosted::identity::Identity;
 use crate::hosted::planner;
 use crate::hosted::roster::Entry;
 use crate::hosted::roster::ListTrust;
+use crate::hosted::serving_config::Engine;
 use crate::hosted::suspicion::Loss;
 
 /// The times that a steward keeps to.
--- a/crates/workshold-core/src/hosted/steward/staging.rs
+++ b/crates/workshold-core/src/hosted/steward/staging.rs
@@ -5,11 +5,11 @@
 use workshold_protocol::Millis;
 use workshold_protocol::ids::ModelName;
 
-use crate::hosted::catalog::ModelShape;
 use crate::hosted::identity::Identity;
 use crate::hosted::planner;
 use crate::hosted::roster::Instance;
 use crate::hosted::roster::MemberState;
+use crate::hosted::serving_config::ModelSpec;
 
 use super::Command;
 use super::Order;
@@ -80,7 +80,7 @@
     pub(super) fn stage_one(
         &mut self,
         instance: &Instance,
-        model: &ModelShape,
+        model: &ModelSpec,
         s: &Situation<'_>,
         commands: &mut Vec<Command>,
     ) {
@@ -131,15 +131,15 @@
 }
 
 /// The models, the one first whose next group brings most for each instance.
-fn by_gain<'a>(s: &Situation<'a>) -> Vec<&'a ModelShape> {
+fn by_gain<'a>(s: &Situation<'a>) -> Vec<&'a ModelSpec> {
     let gain = |model: &planner::Model| model.worth.gain(model.groups, 1.0) / model.size as f64;
-    let mut models: Vec<(&ModelShape, f64)> = s
+    let mut models: Vec<(&ModelSpec, f64)> = s
         .engine
         .models
         .iter()
         .zip((s.models)())
-        .map(|(shape, model)| (shape, gain(&model)))
+        .map(|(spec, model)| (spec, gain(&model)))
         .collect();
     models.sort_by(|a, b| b.1.total_cmp(&a.1));
-    models.into_iter().map(|(shape, _)| shape).collect()
+    models.into_iter().map(|(spec, _)| spec).collect()
 }
--- a/crates/workshold-core/src/hosted/steward/view.rs
+++ b/crates/workshold-core/src/hosted/steward/view.rs
@@ -6,8 +6,6 @@
 use workshold_protocol::ids::FabricDomain;
 use workshold_protocol::ids::ModelName;
 
-use crate::hosted::catalog::Engine;
-use crate::hosted::catalog::ModelShape;
 use crate::hosted::groups;
 use crate::hosted::groups::Group;
 use crate::hosted::identity::Identity;
@@ -18,6 +16,8 @@
 use crate::hosted::roster::Entry;
 use crate::hosted::roster::Instance;
 use crate::hosted::roster::MemberState;
+use crate::hosted::serving_config::Engine;
+use crate::hosted::serving_config::ModelSpec;
 
 use super::Situation;
 use super::Steward;
@@ -109,14 +109,18 @@
     fn host(&self, instance: &Instance, is_bound: bool, s: &Situation<'_>) -> Host {
         let mut host = host(instance, is_bound, s.engine, s.before_traffic);
         let Some((coming, since)) = self.staging_since(instance, s) else { return host };
-        let load = s.engine.model(coming.as_str()).map_or(Millis::ZERO, |shape| shape.load);
+        let load = s.engine.model(coming.as_str()).map_or(Millis::ZERO, |spec| spec.load);
         let left = load.since(s.now.since(since));
-        for (shape, ready) in s.engine.models.iter().zip(&mut host.ready) {
-            let is_coming = shape.name == coming;
+        for (spec, ready) in s.engine.models.iter().zip(&mut host.ready) {
+            let is_coming = spec.name == coming;
             // What its memory has needs nothing of the host; all else comes after the load.
-            if !instance.loaded.contains(&shape.name) && (is_coming || !ready.needs_load) {
-                *ready =
-                    Ready { needs_load: false, waits: true, after: left + shape.warm, ..*ready };
+            if !instance.loaded.contains(&spec.name) && (is_coming || !ready.needs_load) {
+                *ready = Ready {
+                    needs_load: false,
+                    waits: true,
+                    after: left + spec.warm_load,
+                    ..*ready
+                };
             }
         }
         host
@@ -168,26 +172,26 @@
 }
 
 fn is_standing(group: &Group, engine: &Engine) -> bool {
-    let shape = engine.model(group.model());
-    let is_whole = shape.is_some_and(|shape| group.members.len() == shape.size);
+    let spec = engine.model(group.model());
+    let is_whole = spec.is_some_and(|spec| group.members.len() == spec.size);
     is_whole && group.state() == Some(MemberState::Open)
 }
 
 fn model_index(group: &Group, engine: &Engine) -> Option<usize> {
-    engine.models.iter().position(|shape| shape.name.as_str() == group.model())
+    engine.models.iter().position(|spec| spec.name.as_str() == group.model())
 }
 
 fn host(instance: &Instance, is_bound: bool, engine: &Engine, before_traffic: bool) -> Host {
-    let ready = |shape: &ModelShape| {
-        let load = Millis(shape.load.0 / if before_traffic { QUICK_LOADS } else { 1 });
-        let (needs_load, after) = if instance.loaded.contains(&shape.name) {
+    let ready = |spec: &ModelSpec| {
+        let load = Millis(spec.load.0 / if before_traffic { QUICK_LOADS } else { 1 });
+        let (needs_load, after) = if instance.loaded.contains(&spec.name) {
             (false, REJOINS)
-        } else if instance.staged.contains(&shape.name) {
-            (false, shape.warm)
+        } else if instance.staged.contains(&spec.name) {
+            (false, spec.warm_load)
         } else {
-            (true, load + shape.warm)
+            (true, load + spec.warm_load)
         };
-        Ready { needs_load, waits: false, after: after + engine.form, is_bound }
+        Ready { needs_load, waits: false, after: after + engine.group_open_time, is_bound }
     };
     Host { id: instance.identity.clone(), ready: engine.models.iter().map(ready).collect() }
 }
--- a/crates/workshold-core/src/hosted/tries.rs
+++ b/crates/workshold-core/src/hosted/tries.rs
@@ -4,7 +4,7 @@
 
 use workshold_protocol::Millis;
 
-use super::catalog::Route;
+use super::serving_config::Route;
 
 /// How one try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/workshold-core/tests/hosted/capacity.rs
+++ b/crates/workshold-core/tests/hosted/capacity.rs
@@ -5,21 +5,21 @@
 use workshold_core::hosted::capacity::Load;
 use workshold_core::hosted::capacity::Work;
 use workshold_core::hosted::capacity::Worth;
-use workshold_core::hosted::catalog::Engine;
-use workshold_core::hosted::catalog::ModelShape;
 use workshold_core::hosted::demand::Asked;
 use workshold_core::hosted::demand::Demand;
+use workshold_core::hosted::serving_config::Engine;
+use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::ModelName;
 
 fn engine() -> Engine {
-    let shape = |name: &str, size, pace, share| ModelShape {
+    let spec = |name: &str, size, pace, share| ModelSpec {
         name: ModelName::new(name).unwrap(),
         size,
         share,
         pace,
         load: Millis(12_000),
-        warm: Millis(1_100),
+        warm_load: Millis(1_100),
     };
     Engine {
         slots: 17,
@@ -27,14 +27,14 @@
         step_ms: 7.8,
         per_request_ms: 0.0947,
         context_ms_per_k: 0.0096,
-        read_per_ms: 45.9,
-        pairs_ms_per_m: 0.433,
-        form: Millis(300),
-        usual_prompt: 1_000.0,
-        usual_answer: 120.0,
+        prefill_tokens_per_ms: 45.9,
+        attention_ms_per_m_pairs: 0.433,
+        group_open_time: Millis(300),
+        typical_prompt_tokens: 1_000.0,
+        typical_answer_tokens: 120.0,
         loads_per_s: 5.0,
         loads_at_once: 7,
-        models: vec![shape("big", 4, 1.0, 0.5), shape("small", 2, 0.6, 0.5)],
+        models: vec![spec("big", 4, 1.0, 0.5), spec("small", 2, 0.6, 0.5)],
     }
 }
 
@@ -61,11 +61,11 @@
     #[case] seen: f64,
 ) {
     let engine = engine();
-    let shape = engine.model(model).unwrap();
+    let spec = engine.model(model).unwrap();
     let one =
         if model == "big" { work(1.0, 1_680.0, 20.0, 300) } else { work(1.0, 674.0, 35.0, 200) };
-    let asked = one.times(least / Load::new(&engine, shape, one).least_groups());
-    let load = Load::new(&engine, shape, asked);
+    let asked = one.times(least / Load::new(&engine, spec, one).least_groups());
+    let load = Load::new(&engine, spec, asked);
     assert!((load.least_groups() - least).abs() < 1e-9);
     let in_time = load.in_time(groups);
     assert!((in_time - seen).abs() < 0.06, "{in_time} for {seen}");
@@ -93,9 +93,9 @@
 #[test]
 fn before_traffic_each_model_is_expected_to_need_its_share() {
     let engine = engine();
-    for shape in &engine.models {
-        let expected = Work::expected(&engine, shape, 60);
-        let instances = Load::new(&engine, shape, expected).least_groups() * shape.size as f64;
+    for spec in &engine.models {
+        let expected = Work::expected(&engine, spec, 60);
+        let instances = Load::new(&engine, spec, expected).least_groups() * spec.size as f64;
         assert!((instances - 18.0).abs() < 0.1, "six tenths of half of 60, not {instances}");
     }
 }
--- a/crates/workshold-core/tests/hosted/planning.rs
+++ b/crates/workshold-core/tests/hosted/planning.rs
@@ -6,8 +6,6 @@
 use workshold_core::hosted::capacity::Load;
 use workshold_core::hosted::capacity::Work;
 use workshold_core::hosted::capacity::Worth;
-use workshold_core::hosted::catalog::Engine;
-use workshold_core::hosted::catalog::ModelShape;
 use workshold_core::hosted::planner;
 use workshold_core::hosted::planner::Change;
 use workshold_core::hosted::planner::Domain;
@@ -16,6 +14,8 @@
 use workshold_core::hosted::planner::Model;
 use workshold_core::hosted::planner::Ready;
 use workshold_core::hosted::planner::Standing;
+use workshold_core::hosted::serving_config::Engine;
+use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::FabricDomain;
 use workshold_protocol::ids::InstanceId;
@@ -24,13 +24,13 @@
 use crate::planned_anew;
 
 fn engine() -> Engine {
-    let shape = |name: &str, size, pace, share| ModelShape {
+    let spec = |name: &str, size, pace, share| ModelSpec {
         name: ModelName::new(name).unwrap(),
         size,
         share,
         pace,
         load: Millis(16_000),
-        warm: Millis(1_600),
+        warm_load: Millis(1_600),
     };
     Engine {
         slots: 26,
@@ -38,14 +38,14 @@
         step_ms: 6.07,
         per_request_ms: 0.241,
         context_ms_per_k: 0.005,
-        read_per_ms: 46.0,
-        pairs_ms_per_m: 0.7,
-        form: Millis(300),
-        usual_prompt: 1_076.0,
-        usual_answer: 116.0,
+        prefill_tokens_per_ms: 46.0,
+        attention_ms_per_m_pairs: 0.7,
+        group_open_time: Millis(300),
+        typical_prompt_tokens: 1_076.0,
+        typical_answer_tokens: 116.0,
         loads_per_s: 4.0,
         loads_at_once: 6,
-        models: vec![shape("big", 4, 1.0, 0.67), shape("small", 2, 0.6, 0.33)],
+        models: vec![spec("big", 4, 1.0, 0.67), spec("small", 2, 0.6, 0.33)],
     }
 }
 
@@ -56,14 +56,14 @@
         Worth::of_all(engine, &works, |_| 60)
     };
     let (worth, least, most) = (worths(1.0), worths(0.85), worths(1.15));
-    let model = |(i, shape): (usize, &ModelShape)| Model {
-        size: shape.size,
+    let model = |(i, spec): (usize, &ModelSpec)| Model {
+        size: spec.size,
         worth: worth[i].clone(),
         worth_at_least: least[i].clone(),
         worth_at_most: most[i].clone(),
         groups: groups[i],
         drains: Millis(2_000),
-        load: shape.load,
+        load: spec.load,
     };
     engine.models.iter().enumerate().map(model).collect()
 }
@@ -97,7 +97,7 @@
 fn before_traffic_both_models_get_as_much_beyond_their_need() {
     let engine = engine();
     let works: Vec<Work> =
-        engine.models.iter().map(|shape| Work::expected(&engine, shape, 48)).collect();
+        engine.models.iter().map(|spec| Work::expected(&engine, spec, 48)).collect();
     let models = models(&engine, &works, [0.0, 0.0]);
     let changes = planner::plan(empty_domains(6, 8), &models, BEFORE_TRAFFIC);
     let [big, small] = formed(&changes, &models);
@@ -113,8 +113,8 @@
 fn a_plan_for_all_of_a_large_fleet_leaves_nobody_out() {
     let engine = engine();
     let works: Vec<Work> =
-        engine.models.iter().map(|shape| Work::expected(&engine, shape, 920)).collect();
-    let worth = Worth::of_all(&engine, &works, |shape| 920 / shape.size + 1);
+        engine.models.iter().map(|spec| Work::expected(&engine, spec, 920)).collect();
+    let worth = Worth::of_all(&engine, &works, |spec| 920 / spec.size + 1);
     let mut models = models(&engine, &works, [0.0, 0.0]);
     for (model, worth) in models.iter_mut().zip(worth) {
         model.worth = worth;
--- a/crates/workshold-core/tests/hosted/requests.rs
+++ b/crates/workshold-core/tests/hosted/requests.rs
@@ -2,14 +2,14 @@
 
 use rstest::rstest;
 use smol_str::SmolStr;
-use workshold_core::hosted::catalog::Caller;
-use workshold_core::hosted::catalog::Catalog;
-use workshold_core::hosted::catalog::Kind;
-use workshold_core::hosted::catalog::Limits;
-use workshold_core::hosted::catalog::Route;
-use workshold_core::hosted::catalog::Team;
 use workshold_core::hosted::placement::Candidate;
 use workshold_core::hosted::placement::choose;
+use workshold_core::hosted::serving_config::Caller;
+use workshold_core::hosted::serving_config::Limits;
+use workshold_core::hosted::serving_config::RequestKind;
+use workshold_core::hosted::serving_config::Route;
+use workshold_core::hosted::serving_config::ServingConfig;
+use workshold_core::hosted::serving_config::Team;
 use workshold_core::hosted::silence::EventGaps;
 use workshold_core::hosted::silence::StallRules;
 use workshold_core::hosted::tries::AttemptEnd;
@@ -23,14 +23,14 @@
 use workshold_protocol::ids::ServiceName;
 use workshold_protocol::ids::TeamName;
 
-fn route(prefix: &str, kind: Kind, is_resumable: bool) -> Route {
+fn route(prefix: &str, kind: RequestKind, is_resumable: bool) -> Route {
     Route {
         name: SmolStr::new(prefix),
         host: SmolStr::new("lot.example"),
         path_prefix: SmolStr::new(prefix),
         kind,
         timeout: Millis(6_000),
-        goal: Millis(300),
+        latency_goal: Millis(300),
         pause_goal: Millis(200),
         attempts: 2,
         priority: 1,
@@ -43,15 +43,18 @@
     }
 }
 
-fn catalog(teams: Option<Vec<(Team, Vec<SmolStr>)>>) -> Catalog {
+fn serving_config(teams: Option<Vec<(Team, Vec<SmolStr>)>>) -> ServingConfig {
     let limits = Limits {
         head_len: 16_384,
         body_len: 1_024,
         head_time: Millis(3_000),
         idle_time: Millis(15_000),
     };
-    let routes = vec![route("/a/", Kind::Stream, true), route("/a/b/", Kind::Idempotent, false)];
-    Catalog::new(1, limits, routes, Vec::new(), teams)
+    let routes = vec![
+        route("/a/", RequestKind::Stream, true),
+        route("/a/b/", RequestKind::Idempotent, false),
+    ];
+    ServingConfig::new(1, limits, routes, Vec::new(), teams)
 }
 
 #[rstest]
@@ -65,24 +68,24 @@
     #[case] path: &str,
     #[case] found: Option<&str>,
 ) {
-    let catalog = catalog(None);
-    assert_eq!(catalog.route(host, path).map(|route| route.name.as_str()), found);
+    let serving_config = serving_config(None);
+    assert_eq!(serving_config.route(host, path).map(|route| route.name.as_str()), found);
 }
 
 #[test]
 fn a_key_that_nobody_holds_is_unknown() {
     let team = Team { name: TeamName::new("night-desk").unwrap(), priority: 1 };
-    let catalog = catalog(Some(vec![(team.clone(), vec![SmolStr::new("k1")])]));
-    let route = catalog.route("lot.example", "/a/x").unwrap();
-    assert_eq!(catalog.caller(route, Some("k1")), Caller::Team(&team));
-    assert_eq!(catalog.caller(route, Some("k2")), Caller::Unknown);
-    assert_eq!(catalog.caller(route, None), Caller::Unknown);
-    assert!(catalog.needs_key(route));
+    let serving_config = serving_config(Some(vec![(team.clone(), vec![SmolStr::new("k1")])]));
+    let route = serving_config.route("lot.example", "/a/x").unwrap();
+    assert_eq!(serving_config.caller(route, Some("k1")), Caller::Team(&team));
+    assert_eq!(serving_config.caller(route, Some("k2")), Caller::Unknown);
+    assert_eq!(serving_config.caller(route, None), Caller::Unknown);
+    assert!(serving_config.needs_key(route));
 }
 
 #[test]
 fn a_split_gives_each_service_its_weight() {
-    let route = route("/a/", Kind::Stream, true);
+    let route = route("/a/", RequestKind::Stream, true);
     let second = (0..1_000_u64).filter(|draw| route.target(*draw).unwrap().as_str() == "second");
     assert_eq!(second.count(), 100);
 }
@@ -93,23 +96,23 @@
 
 #[rstest]
 // Nothing left this node: anything may be tried elsewhere.
-#[case(Kind::AtMostOnce, AttemptEnd::NotSent, used(0, 1, false), true, NextStep::Again)]
-#[case(Kind::AtMostOnce, AttemptEnd::NotSent, used(0, 4, false), true, NextStep::NotRun)]
+#[case(RequestKind::AtMostOnce, AttemptEnd::NotSent, used(0, 1, false), true, NextStep::Again)]
+#[case(RequestKind::AtMostOnce, AttemptEnd::NotSent, used(0, 4, false), true, NextStep::NotRun)]
 // What must run at most once is never sent again after it may have run.
-#[case(Kind::AtMostOnce, AttemptEnd::Unknown, used(1, 0, true), true, NextStep::Unknown)]
-#[case(Kind::AtMostOnce, AttemptEnd::Failed, used(1, 0, true), true, NextStep::PassOn)]
+#[case(RequestKind::AtMostOnce, AttemptEnd::Unknown, used(1, 0, true), true, NextStep::Unknown)]
+#[case(RequestKind::AtMostOnce, AttemptEnd::Failed, used(1, 0, true), true, NextStep::PassOn)]
 // The upstream's word that it has not run lets anything be sent again.
-#[case(Kind::AtMostOnce, AttemptEnd::Refused, used(1, 0, false), true, NextStep::Again)]
-#[case(Kind::Idempotent, AttemptEnd::Unknown, used(1, 0, true), true, NextStep::Again)]
-#[case(Kind::Idempotent, AttemptEnd::Failed, used(1, 0, true), true, NextStep::Again)]
+#[case(RequestKind::AtMostOnce, AttemptEnd::Refused, used(1, 0, false), true, NextStep::Again)]
+#[case(RequestKind::Idempotent, AttemptEnd::Unknown, used(1, 0, true), true, NextStep::Again)]
+#[case(RequestKind::Idempotent, AttemptEnd::Failed, used(1, 0, true), true, NextStep::Again)]
 // Attempts and budget bound all of it, and "not run" stays true.
-#[case(Kind::Idempotent, AttemptEnd::Unknown, used(2, 0, true), true, NextStep::Unknown)]
-#[case(Kind::Idempotent, AttemptEnd::Unknown, used(1, 0, true), false, NextStep::Unknown)]
-#[case(Kind::Idempotent, AttemptEnd::Refused, used(2, 0, true), true, NextStep::Unknown)]
-#[case(Kind::Idempotent, AttemptEnd::Refused, used(2, 0, false), true, NextStep::NotRun)]
-#[case(Kind::Idempotent, AttemptEnd::Refused, used(1, 0, false), false, NextStep::NotRun)]
+#[case(RequestKind::Idempotent, AttemptEnd::Unknown, used(2, 0, true), true, NextStep::Unknown)]
+#[case(RequestKind::Idempotent, AttemptEnd::Unknown, used(1, 0, true), false, NextStep::Unknown)]
+#[case(RequestKind::Idempotent, AttemptEnd::Refused, used(2, 0, true), true, NextStep::Unknown)]
+#[case(RequestKind::Idempotent, AttemptEnd::Refused, used(2, 0, false), true, NextStep::NotRun)]
+#[case(RequestKind::Idempotent, AttemptEnd::Refused, used(1, 0, false), false, NextStep::NotRun)]
 fn what_may_be_tried_again(
-    #[case] kind: Kind,
+    #[case] kind: RequestKind,
     #[case] ending: AttemptEnd,
     #[case] used: AttemptsUsed,
     #[case] has_budget: bool,
@@ -121,7 +124,7 @@
 
 #[test]
 fn without_time_nothing_is_tried_again() {
-    let route = route("/a/", Kind::Stream, true);
+    let route = route("/a/", RequestKind::Stream, true);
     let given_up = next(&route, AttemptEnd::Refused, used(1, 0, false), true, false);
     assert_eq!(given_up, NextStep::NotRun);
 }
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -8,8 +8,6 @@
 use workshold_core::hosted::capacity::Load;
 use workshold_core::hosted::capacity::Work;
 use workshold_core::hosted::capacity::Worth;
-use workshold_core::hosted::catalog::Engine;
-use workshold_core::hosted::catalog::ModelShape;
 use workshold_core::hosted::groups::Group;
 use workshold_core::hosted::groups::group_id;
 use workshold_core::hosted::identity::Identity;
@@ -19,6 +17,8 @@
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::MemberState;
 use workshold_core::hosted::roster::Membership;
+use workshold_core::hosted::serving_config::Engine;
+use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_core::hosted::steward;
 use workshold_core::hosted::steward::Command;
 use workshold_core::hosted::steward::Order;
@@ -80,13 +80,13 @@
 
 impl Domain {
     fn new() -> Self {
-        let shape = |name: &str, size| ModelShape {
+        let spec = |name: &str, size| ModelSpec {
             name: model(name),
             size,
             share: 0.5,
             pace: 1.0,
             load: Millis(12_000),
-            warm: Millis(1_600),
+            warm_load: Millis(1_600),
         };
         Self {
             name: "d".to_owned(),
@@ -96,14 +96,14 @@
                 step_ms: 7.8,
                 per_request_ms: 0.1,
                 context_ms_per_k: 0.01,
-                read_per_ms: 45.9,
-                pairs_ms_per_m: 0.4,
-                form: Millis(300),
-                usual_prompt: 1_000.0,
-                usual_answer: 100.0,
+                prefill_tokens_per_ms: 45.9,
+                attention_ms_per_m_pairs: 0.4,
+                group_open_time: Millis(300),
+                typical_prompt_tokens: 1_000.0,
+                typical_answer_tokens: 100.0,
                 loads_per_s: 5.0,
                 loads_at_once: 7,
-                models: vec![shape("big", 4), shape("small", 2)],
+                models: vec![spec("big", 4), spec("small", 2)],
             },
             entries: BTreeMap::new(),
             losses: BTreeMap::new(),
@@ -451,9 +451,9 @@
     let mut least = [0.0, 0.0];
     for turn in 0..DOMAINS {
         let mut domain = fresh(turn);
-        for (i, shape) in domain.engine.models.iter().enumerate() {
-            domain.works[i] = Work::expected(&domain.engine, shape, 18 * DOMAINS);
-            least[i] = Load::new(&domain.engine, shape, domain.works[i]).least_groups();
+        for (i, spec) in domain.engine.models.iter().enumerate() {
+            domain.works[i] = Work::expected(&domain.engine, spec, 18 * DOMAINS);
+            least[i] = Load::new(&domain.engine, spec, domain.works[i]).least_groups();
         }
         domain.counts = formed;
         for other in (0..DOMAINS).filter(|other| *other != turn).map(fresh) {
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -14,12 +14,12 @@
 use hyper::header::HeaderName;
 use hyper::header::HeaderValue;
 use smol_str::SmolStr;
-use workshold_core::hosted::catalog::Caller;
-use workshold_core::hosted::catalog::Catalog;
-use workshold_core::hosted::catalog::Route;
 use workshold_core::hosted::fingerprint::Fingerprint;
 use workshold_core::hosted::quarantine;
 use workshold_core::hosted::quarantine::RequestKey;
+use workshold_core::hosted::serving_config::Caller;
+use workshold_core::hosted::serving_config::Route;
+use workshold_core::hosted::serving_config::ServingConfig;
 use workshold_http::body;
 use workshold_http::body::BodyError;
 use workshold_platform::names;
@@ -106,20 +106,21 @@
 async fn prepare(node: &Node, req: Request<Incoming>) -> Result<Job, Box<Response<AnswerBody>>> {
     let began = node.now();
     let (parts, incoming) = req.into_parts();
-    let catalog = node.catalog();
-    let catalog = catalog.ok_or_else(|| refuse("this node has no configuration yet"))?;
+    let serving_config = node.serving_config();
+    let serving_config =
+        serving_config.ok_or_else(|| refuse("this node has no configuration yet"))?;
     let id = text(&parts.headers, &names::REQUEST_ID).unwrap_or_default();
     let host = text(&parts.headers, &header::HOST);
     let host = host.or_else(|| parts.uri.authority().map(|host| SmolStr::new(host.as_str())));
     let path = parts.uri.path();
-    let route = host.as_deref().and_then(|host| catalog.route(host, path));
+    let route = host.as_deref().and_then(|host| serving_config.route(host, path));
     let route = route.ok_or_else(|| deny(&id, StatusCode::NOT_FOUND, "no such route"))?;
     if !node.takes(route.kind) {
         return Err(refuse_stopping(&id));
     }
-    let team = authorize(node, &catalog, route, &parts.headers, &id)?;
+    let team = authorize(node, &serving_config, route, &parts.headers, &id)?;
     let time = time_of(&parts.headers).min(route.timeout);
-    let body = read_body(incoming, &catalog, time).await.map_err(Box::new)?;
+    let body = read_body(incoming, &serving_config, time).await.map_err(Box::new)?;
     let draw = xxh3_64(id.as_bytes());
     let service = route.target(draw);
     let service = service.ok_or_else(|| refuse("the route has no service"))?.clone();
@@ -173,19 +174,19 @@
 /// Whose a request is, if it may be believed.
 fn authorize(
     node: &Node,
-    catalog: &Catalog,
+    serving_config: &ServingConfig,
     route: &Route,
     headers: &HeaderMap,
     id: &str,
 ) -> Result<Option<TeamAndRank>, Box<Response<AnswerBody>>> {
-    if catalog.needs_key(route) && !node.are_keys_believed() {
+    if serving_config.needs_key(route) && !node.are_keys_believed() {
         let why = "keys may be out of date here";
         emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
         return Err(refuse(why));
     }
     let key = text(headers, &names::KEY);
-    match catalog.caller(route, key.as_deref()) {
-        Caller::Anyone => Ok(None),
+    match serving_config.caller(route, key.as_deref()) {
+        Caller::Anonymous => Ok(None),
         Caller::Team(team) => Ok(Some((SmolStr::new(team.name.as_str()), team.priority))),
         Caller::Unknown => Err(deny(id, StatusCode::UNAUTHORIZED, "the key is not known")),
     }
@@ -214,15 +215,15 @@
 
 async fn read_body(
     incoming: Incoming,
-    catalog: &Catalog,
+    serving_config: &ServingConfig,
     time: Millis,
 ) -> Result<Bytes, Response<AnswerBody>> {
-    let within = time.min(catalog.limits.idle_time).to_duration();
+    let within = time.min(serving_config.limits.idle_time).to_duration();
     // A length that is too long by its own word need not be waited for.
-    if incoming.size_hint().lower() > catalog.limits.body_len as u64 {
+    if incoming.size_hint().lower() > serving_config.limits.body_len as u64 {
         return Err(answers::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
-    body::read(incoming, catalog.limits.body_len, within).await.map_err(|err| match err {
+    body::read(incoming, serving_config.limits.body_len, within).await.map_err(|err| match err {
         BodyError::TooLarge(_) => {
             answers::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
         }
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -27,9 +27,6 @@
 use tokio::sync::Notify;
 use tokio::sync::watch;
 use workshold_core::hosted::capacity::Work;
-use workshold_core::hosted::catalog::Catalog;
-use workshold_core::hosted::catalog::Engine;
-use workshold_core::hosted::catalog::Kind;
 use workshold_core::hosted::currency::ConfigFreshness;
 use workshold_core::hosted::demand::Demand;
 use workshold_core::hosted::history::Era;
@@ -40,6 +37,9 @@
 use workshold_core::hosted::quarantine::Quarantine;
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
+use workshold_core::hosted::serving_config::Engine;
+use workshold_core::hosted::serving_config::RequestKind;
+use workshold_core::hosted::serving_config::ServingConfig;
 use workshold_core::hosted::silence::EventGaps;
 use workshold_core::hosted::silence::StallRules;
 use workshold_core::hosted::suspicion::Suspicions;
@@ -150,7 +150,7 @@
     pub config_store: Store,
     /// The same for the list of instances.
     pub list_store: Store,
-    catalog: RwLock<Option<(Arc<Catalog>, Bytes)>>,
+    serving_config: RwLock<Option<(Arc<ServingConfig>, Bytes)>>,
     currency: Mutex<ConfigFreshness>,
     /// The list of instances.
     pub list: Mutex<List>,
@@ -266,7 +266,7 @@
             store,
             config_store,
             list_store,
-            catalog: RwLock::new(None),
+            serving_config: RwLock::new(None),
             currency: Mutex::default(),
             list: Mutex::default(),
             table: RwLock::default(),
@@ -331,25 +331,25 @@
     }
 
     /// The configuration in force.
-    pub fn catalog(&self) -> Option<Arc<Catalog>> {
-        self.catalog.read().as_ref().map(|(catalog, _)| Arc::clone(catalog))
+    pub fn serving_config(&self) -> Option<Arc<ServingConfig>> {
+        self.serving_config.read().as_ref().map(|(serving_config, _)| Arc::clone(serving_config))
     }
 
     /// The configuration as the operator wrote it, for peers.
     pub fn config_bytes(&self) -> Option<Bytes> {
-        self.catalog.read().as_ref().map(|(_, bytes)| bytes.clone())
+        self.serving_config.read().as_ref().map(|(_, bytes)| bytes.clone())
     }
 
     /// Takes a configuration that was the newest at `at`; an older one changes nothing.
-    pub fn take_config(&self, catalog: Catalog, bytes: Bytes, at: Millis) {
-        let version = catalog.version;
+    pub fn take_config(&self, serving_config: ServingConfig, bytes: Bytes, at: Millis) {
+        let version = serving_config.version;
         let len = bytes.len();
         {
-            let mut held = self.catalog.write();
+            let mut held = self.serving_config.write();
             if !self.currency.lock().take(version, at) {
                 return;
             }
-            *held = Some((Arc::new(catalog), bytes));
+            *held = Some((Arc::new(serving_config), bytes));
         }
         emit(Event::ConfigTaken, &[("version", &version.to_string()), ("bytes", &len.to_string())]);
         self.remake_table();
@@ -398,10 +398,10 @@
     /// Makes the table anew.
     pub fn remake_table(&self) {
         self.hear_of_list_trouble();
-        let Some(catalog) = self.catalog() else { return };
+        let Some(serving_config) = self.serving_config() else { return };
         let now = self.now();
         let list = self.list.lock();
-        let table = Table::make(&catalog, &list.roster, &list.trust, now);
+        let table = Table::make(&serving_config, &list.roster, &list.trust, now);
         let made = MadeTable { version: list.roster.version(), at: now };
         drop(list);
         *self.table.write() = Arc::new(table);
@@ -449,7 +449,7 @@
     pub fn own_work(&self) -> (Vec<(SmolStr, Work)>, f64) {
         let now = self.now();
         let demand = self.demand.lock();
-        (demand.all(self.usual_events(), now), demand.observed_fraction(now))
+        (demand.all(self.expected_answer_events(), now), demand.observed_fraction(now))
     }
 
     /// What is asked of all nodes of the models of `engine`.
@@ -467,19 +467,19 @@
             *sum = sum.and(*work);
         }
         let of = |name: &ModelName| by_name.get(&name_hash(name.as_str())).copied();
-        let names = engine.models.iter().map(|shape| &shape.name);
+        let names = engine.models.iter().map(|spec| &spec.name);
         let by_model = names.map(|name| (name.clone(), of(name).unwrap_or_default())).collect();
         Asked { by_model, observed_fraction }
     }
 
     /// Events of an answer, as the operator expects them.
-    pub fn usual_events(&self) -> f64 {
-        let engine = |catalog: Arc<Catalog>| {
-            let engines = catalog.upstreams.values().filter_map(|up| up.engine.as_ref());
-            let events = engines.map(|e| e.usual_answer / f64::from(e.stride.max(1)));
+    pub fn expected_answer_events(&self) -> f64 {
+        let engine = |serving_config: Arc<ServingConfig>| {
+            let engines = serving_config.upstreams.values().filter_map(|up| up.engine.as_ref());
+            let events = engines.map(|e| e.typical_answer_tokens / f64::from(e.stride.max(1)));
             events.fold(1.0, f64::max)
         };
-        self.catalog().map_or(1.0, engine)
+        self.serving_config().map_or(1.0, engine)
     }
 
     /// Notes that a request came.
@@ -523,9 +523,10 @@
 
     /// Whether a request of this kind is still taken by a node that is stopping: a
     /// stream may last longer than is left, and what is cut is lost.
-    pub fn takes(&self, kind: Kind) -> bool {
+    pub fn takes(&self, kind: RequestKind) -> bool {
         let takes_streams = !self.is_closing();
-        !self.takes_nothing.load(Ordering::Relaxed) && (takes_streams || kind != Kind::Stream)
+        !self.takes_nothing.load(Ordering::Relaxed)
+            && (takes_streams || kind != RequestKind::Stream)
     }
 
     /// Whether connections end with their answer.
@@ -553,7 +554,7 @@
         if self.is_leaving() {
             return Err(NotReady::Leaving);
         }
-        if self.catalog().is_none() {
+        if self.serving_config().is_none() {
             return Err(NotReady::NoConfig);
         }
         if !self.are_keys_believed() {
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -17,12 +17,12 @@
 use hyper::Response;
 use hyper::StatusCode;
 use rand::Rng;
-use workshold_core::hosted::catalog::Kind;
 use workshold_core::hosted::demand::Asked;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::instance_limits::Withheld;
 use workshold_core::hosted::placement;
 use workshold_core::hosted::placement::Candidate;
+use workshold_core::hosted::serving_config::RequestKind;
 use workshold_core::hosted::tries;
 use workshold_core::hosted::tries::AttemptEnd;
 use workshold_core::hosted::tries::AttemptsUsed;
@@ -469,7 +469,7 @@
 /// Waits a little for a target: a moment without any is often shorter than the
 /// way back to the caller.
 async fn wait_for_target(node: &Node, course: &Course) -> Result<Arc<Target>, NoTarget> {
-    let patience = Millis(course.job.route.goal.0 / WAIT_PART);
+    let patience = Millis(course.job.route.latency_goal.0 / WAIT_PART);
     let until = node.now() + patience;
     loop {
         let none = match pick(node, course) {
@@ -544,15 +544,15 @@
 /// How long a stream or answer may stay away before its instance is looked into,
 /// and before it is tried elsewhere.
 pub fn first_patience(course: &Course, usual_gap_ms: f64) -> (Millis, Millis) {
-    let goal = course.job.route.goal;
+    let latency_goal = course.job.route.latency_goal;
     match course.job.route.kind {
-        Kind::Stream => {
-            let look = Millis((goal.0 * 4 / 5).max((usual_gap_ms * 3.0) as u64));
-            (look, Millis(goal.0 * 4).max(LEAST_FIRST_MOVE))
+        RequestKind::Stream => {
+            let look = Millis((latency_goal.0 * 4 / 5).max((usual_gap_ms * 3.0) as u64));
+            (look, Millis(latency_goal.0 * 4).max(LEAST_FIRST_MOVE))
         }
-        Kind::Idempotent | Kind::AtMostOnce => {
+        RequestKind::Idempotent | RequestKind::AtMostOnce => {
             let half = Millis(course.job.ends.since(course.job.began).0 / 2);
-            (Millis(goal.0 * 2 / 3), Millis(goal.0 * 3).min(half))
+            (Millis(latency_goal.0 * 2 / 3), Millis(latency_goal.0 * 3).min(half))
         }
     }
 }
--- a/crates/workshold-gateway/src/relay/attempt.rs
+++ b/crates/workshold-gateway/src/relay/attempt.rs
@@ -15,7 +15,7 @@
 use hyper::header::HeaderMap;
 use hyper::header::HeaderValue;
 use hyper::http::response::Parts;
-use workshold_core::hosted::catalog::Kind;
+use workshold_core::hosted::serving_config::RequestKind;
 use workshold_core::hosted::tries::AttemptEnd;
 use workshold_http::body::Body;
 use workshold_http::body::full;
@@ -124,7 +124,7 @@
         node.on_leaving(&target.id, words::leaves(res.headers()));
     }
     check_head(&job, &res)?;
-    let is_stream = job.route.kind == Kind::Stream && res.status().is_success();
+    let is_stream = job.route.kind == RequestKind::Stream && res.status().is_success();
     if !is_stream {
         let whole = read_whole(res).await?;
         let took = node.now().since(sent);
--- a/crates/workshold-gateway/src/relay/stream.rs
+++ b/crates/workshold-gateway/src/relay/stream.rs
@@ -243,7 +243,7 @@
         let is_whole = job.last_event.is_none();
         if let Some(model) = job.model.as_ref().filter(|_| is_whole) {
             let events = (self.events_before + self.events) as f64;
-            let mean_ms = self.node.usual_events();
+            let mean_ms = self.node.expected_answer_events();
             self.node.demand.lock().on_answer(model, events, mean_ms, now);
         }
     }
@@ -265,7 +265,7 @@
                 ("instance", self.speaker.id.as_str()),
                 ("status", "stream"),
                 ("first_ms", &self.first_at.since(job.began).0.to_string()),
-                ("first_goal_ms", &job.route.goal.0.to_string()),
+                ("first_goal_ms", &job.route.latency_goal.0.to_string()),
                 ("gap_ms", &self.longest_gap.0.to_string()),
                 ("gap_goal_ms", &job.route.pause_goal.0.to_string()),
                 ("load", &self.course.load.to_string()),
--- a/crates/workshold-gateway/src/table.rs
+++ b/crates/workshold-gateway/src/table.rs
@@ -4,7 +4,6 @@
 use std::sync::Arc;
 
 use smol_str::SmolStr;
-use workshold_core::hosted::catalog::Catalog;
 use workshold_core::hosted::groups;
 use workshold_core::hosted::groups::Group;
 use workshold_core::hosted::identity::Identity;
@@ -13,6 +12,7 @@
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::MemberState;
 use workshold_core::hosted::roster::Roster;
+use workshold_core::hosted::serving_config::ServingConfig;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
 use workshold_protocol::ids::ServiceName;
@@ -52,9 +52,14 @@
 
 impl Table {
     /// Judges every instance by its entry.
-    pub fn make(catalog: &Catalog, roster: &Roster, trust: &ListTrust, now: Millis) -> Self {
+    pub fn make(
+        serving_config: &ServingConfig,
+        roster: &Roster,
+        trust: &ListTrust,
+        now: Millis,
+    ) -> Self {
         let mut by_service = HashMap::new();
-        for upstream in catalog.upstreams.values() {
+        for upstream in serving_config.upstreams.values() {
             let of_service = |entry: &&Entry| entry.instance.service == upstream.name;
             let serving = |entry: &&Entry| entry.is_in_service(trust, now);
             let entries = roster.iter().filter(of_service);
@@ -115,12 +120,15 @@
     }
 }
 
-fn head_of(group: &Group, engine: &workshold_core::hosted::catalog::Engine) -> Option<Target> {
+fn head_of(
+    group: &Group,
+    engine: &workshold_core::hosted::serving_config::Engine,
+) -> Option<Target> {
     if group.state() != Some(MemberState::Open) {
         return None;
     }
-    let shape = engine.model(group.model())?;
-    if group.members.len() < shape.size {
+    let spec = engine.model(group.model())?;
+    if group.members.len() < spec.size {
         return None;
     }
     let head = group.head()?;
@@ -131,8 +139,8 @@
         data_centre: head.data_centre.clone(),
         slots: engine.slots,
         model: Some(SmolStr::new(group.model())),
-        quiet_gap_ms: engine.event_gap_ms(shape),
-        read_ms: shape.pace / engine.read_per_ms,
+        quiet_gap_ms: engine.event_gap_ms(spec),
+        read_ms: spec.pace / engine.prefill_tokens_per_ms,
         members: group.members.values().cloned().collect(),
     })
 }
--- a/crates/workshold-gateway/src/tasks/following.rs
+++ b/crates/workshold-gateway/src/tasks/following.rs
@@ -156,14 +156,15 @@
 
 /// Whether others may hold a newer configuration than the one that the store gives.
 fn is_surpassed(node: &Node, record: &Record) -> bool {
-    config::decode(&record.value).is_ok_and(|catalog| node.is_surpassed(catalog.version))
+    config::decode(&record.value)
+        .is_ok_and(|serving_config| node.is_surpassed(serving_config.version))
 }
 
 fn take_config(node: &Node, record: &Record, sent: Millis, followed: &mut Followed) {
     match config::decode(&record.value) {
-        Ok(catalog) => {
-            followed.newest = Some(catalog.version);
-            node.take_config(catalog, record.value.clone(), sent);
+        Ok(serving_config) => {
+            followed.newest = Some(serving_config.version);
+            node.take_config(serving_config, record.value.clone(), sent);
         }
         Err(err) => emit(Event::ConfigUnreadable, &[("why", &err.to_string())]),
     }
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -490,10 +490,10 @@
 
 async fn fetch_config(node: &Node, peer: SocketAddr) {
     let Some(bytes) = fetch(peer, CONFIG_PATH).await else { return };
-    let Ok(catalog) = config::decode(&bytes) else { return };
-    let version = catalog.version.to_string();
+    let Ok(serving_config) = config::decode(&bytes) else { return };
+    let version = serving_config.version.to_string();
     // How fresh it is comes with the peer's next pulse.
-    node.take_config(catalog, bytes, Millis::ZERO);
+    node.take_config(serving_config, bytes, Millis::ZERO);
     emit(Event::ConfigFromPeer, &[("version", &version), ("peer", &peer.to_string())]);
 }
 
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -112,7 +112,7 @@
         node.is_steward_busy.store(false, Ordering::Relaxed);
         return Vec::new();
     };
-    let Some(catalog) = node.catalog() else { return Vec::new() };
+    let Some(serving_config) = node.serving_config() else { return Vec::new() };
     stewards.retain(|part, _| lease.parts.contains_key(part));
     node.hear_of_list_trouble();
     let now = node.now();
@@ -141,7 +141,7 @@
         now,
     };
     let mut commands = Vec::new();
-    for upstream in catalog.upstreams.values() {
+    for upstream in serving_config.upstreams.values() {
         if let Some(engine) = upstream.engine.as_ref().filter(|engine| !engine.models.is_empty()) {
             let asked = node.work(engine);
             commands.extend(look.plan(&upstream.name, engine, &asked, &mut stewards));
--- a/crates/workshold-gateway/src/tasks/stewarding/look.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/look.rs
@@ -11,8 +11,6 @@
 use workshold_core::hosted::capacity::Load;
 use workshold_core::hosted::capacity::Work;
 use workshold_core::hosted::capacity::Worth;
-use workshold_core::hosted::catalog::Engine;
-use workshold_core::hosted::catalog::ModelShape;
 use workshold_core::hosted::groups;
 use workshold_core::hosted::groups::Group;
 use workshold_core::hosted::identity::Identity;
@@ -21,6 +19,8 @@
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::MemberState;
 use workshold_core::hosted::roster::Roster;
+use workshold_core::hosted::serving_config::Engine;
+use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_core::hosted::steward;
 use workshold_core::hosted::steward::Command;
 use workshold_core::hosted::steward::Seen;
@@ -175,27 +175,27 @@
     /// What groups of each model are worth; what is asked and not seen yet is as the
     /// operator expects.
     fn models(&self, engine: &Engine, instances: usize, asked: &Asked) -> Vec<planner::Model> {
-        let work = |shape: &ModelShape| {
-            let seen = asked.by_model.get(&shape.name).copied().unwrap_or_default();
-            let expected = Work::expected(engine, shape, instances);
+        let work = |spec: &ModelSpec| {
+            let seen = asked.by_model.get(&spec.name).copied().unwrap_or_default();
+            let expected = Work::expected(engine, spec, instances);
             seen.and(expected.times(1.0 - asked.observed_fraction))
         };
         let works: Vec<Work> = engine.models.iter().map(work).collect();
         let worths = |factor: f64| {
             let works: Vec<Work> = works.iter().map(|work| work.times(factor)).collect();
-            Worth::of_all(engine, &works, |shape| instances / shape.size + 1)
+            Worth::of_all(engine, &works, |spec| instances / spec.size + 1)
         };
         let worths =
             worths(1.0).into_iter().zip(worths(1.0 - WORK_UNSURE)).zip(worths(1.0 + WORK_UNSURE));
         let model =
-            |(shape, ((worth, worth_at_least), worth_at_most)): (&ModelShape, _)| planner::Model {
-                size: shape.size,
+            |(spec, ((worth, worth_at_least), worth_at_most)): (&ModelSpec, _)| planner::Model {
+                size: spec.size,
                 worth,
                 worth_at_least,
                 worth_at_most,
                 groups: 0.0,
                 drains: DRAINS,
-                load: shape.load,
+                load: spec.load,
             };
         engine.models.iter().zip(worths).map(model).collect()
     }
@@ -208,9 +208,9 @@
             return;
         }
         told.insert(domain.clone(), self.now);
-        let least = |shape: &ModelShape| {
-            let work = whole.asked.by_model.get(&shape.name).copied().unwrap_or_default();
-            (shape.name.clone(), Load::new(whole.engine, shape, work).least_groups())
+        let least = |spec: &ModelSpec| {
+            let work = whole.asked.by_model.get(&spec.name).copied().unwrap_or_default();
+            (spec.name.clone(), Load::new(whole.engine, spec, work).least_groups())
         };
         let least: BTreeMap<ModelName, f64> = whole.engine.models.iter().map(least).collect();
         emit(
@@ -240,12 +240,12 @@
         let mut known = BTreeSet::new();
         let mut counts = BTreeMap::new();
         for group in groups::collate(serving) {
-            let Some(shape) = engine.model(group.model()) else { continue };
+            let Some(spec) = engine.model(group.model()) else { continue };
             let is_open =
-                group.members.len() == shape.size && group.state() == Some(MemberState::Open);
+                group.members.len() == spec.size && group.state() == Some(MemberState::Open);
             if is_open || steward::is_forming(&group) {
                 known.insert(group.epoch);
-                *counts.entry(shape.name.clone()).or_default() += 1.0;
+                *counts.entry(spec.name.clone()).or_default() += 1.0;
             }
         }
         (known, counts)
@@ -321,8 +321,8 @@
         let worked_out = || self.look.models(self.engine, self.entries().len(), self.asked);
         let mut models = self.models.get_or_init(worked_out).clone();
         let counts = self.counts(forming);
-        for (shape, model) in self.engine.models.iter().zip(&mut models) {
-            model.groups = counts.get(&shape.name).copied().unwrap_or_default();
+        for (spec, model) in self.engine.models.iter().zip(&mut models) {
+            model.groups = counts.get(&spec.name).copied().unwrap_or_default();
         }
         models
     }
--- a/crates/workshold-gateway/tests/followers.rs
+++ b/crates/workshold-gateway/tests/followers.rs
@@ -16,9 +16,9 @@
 use rstest::rstest;
 use smol_str::SmolStr;
 use tokio::net::UdpSocket;
-use workshold_core::hosted::catalog::Catalog;
-use workshold_core::hosted::catalog::Limits;
 use workshold_core::hosted::history::LogPosition;
+use workshold_core::hosted::serving_config::Limits;
+use workshold_core::hosted::serving_config::ServingConfig;
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::Datagram;
 use workshold_gateway::peers::LIST_TROUBLE_MOST;
@@ -157,7 +157,7 @@
     for topic in [Topic::Config, Topic::List] {
         let (store, asked) = common::peer().await;
         let node = follower_of(&store.to_string(), said).await;
-        node.take_config(catalog(), Bytes::from_static(b"{}"), node.now());
+        node.take_config(serving_config(), Bytes::from_static(b"{}"), node.now());
         {
             let now = node.now();
             let mut list = node.list.lock();
@@ -174,12 +174,12 @@
     }
 }
 
-fn catalog() -> Catalog {
+fn serving_config() -> ServingConfig {
     let limits = Limits {
         head_len: 16_384,
         body_len: 2_000,
         head_time: Millis(3_000),
         idle_time: Millis(1_000),
     };
-    Catalog::new(1, limits, Vec::new(), Vec::new(), None)
+    ServingConfig::new(1, limits, Vec::new(), Vec::new(), None)
 }
--- a/crates/workshold-gateway/tests/lives.rs
+++ b/crates/workshold-gateway/tests/lives.rs
@@ -37,8 +37,8 @@
     fn new() -> Self {
         let (node, clock, _) = common::node();
         let text = deployment::config(1, "k1");
-        let catalog = config::decode(text.as_bytes()).unwrap();
-        node.take_config(catalog, text.into(), node.now());
+        let serving_config = config::decode(text.as_bytes()).unwrap();
+        node.take_config(serving_config, text.into(), node.now());
         Self { node, clock, next: 0 }
     }
 
--- a/crates/workshold-gateway/tests/relay.rs
+++ b/crates/workshold-gateway/tests/relay.rs
@@ -195,15 +195,15 @@
             }
         }
         let text = deployment::config(1, "k1");
-        let catalog = config::decode(text.as_bytes()).unwrap();
-        node.take_config(catalog, Bytes::from(text), node.now());
+        let serving_config = config::decode(text.as_bytes()).unwrap();
+        node.take_config(serving_config, Bytes::from(text), node.now());
         Self { node: Arc::new(node), script, members }
     }
 
     /// Sends a request; its answer begins.
     async fn ask(&self) -> Response<AnswerBody> {
-        let catalog = self.node.catalog().unwrap();
-        let route = Arc::clone(catalog.route("lot.example", "/chat/x").unwrap());
+        let serving_config = self.node.serving_config().unwrap();
+        let route = Arc::clone(serving_config.route("lot.example", "/chat/x").unwrap());
         let began = self.node.now();
         let job = Job {
             id: SmolStr::new("r-1"),
--- a/crates/workshold-gateway/tests/sleep.rs
+++ b/crates/workshold-gateway/tests/sleep.rs
@@ -36,8 +36,8 @@
     let (node, clock, _) = common::node();
     let node = Arc::new(node);
     let text = deployment::config(1, "k1");
-    let catalog = config::decode(text.as_bytes()).unwrap();
-    node.take_config(catalog, text.into(), node.now());
+    let serving_config = config::decode(text.as_bytes()).unwrap();
+    node.take_config(serving_config, text.into(), node.now());
     let news = ListNews {
         from: 0.into(),
         next: 4.into(),
--- a/crates/workshold-model/src/hosted.rs
+++ b/crates/workshold-model/src/hosted.rs
@@ -16,8 +16,6 @@
 use rand_chacha::ChaCha8Rng;
 use workshold_core::hosted::capacity::Work;
 use workshold_core::hosted::capacity::Worth;
-use workshold_core::hosted::catalog::Engine;
-use workshold_core::hosted::catalog::ModelShape;
 use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::history::RESTORE_SETTLE_TIME;
@@ -25,6 +23,8 @@
 use workshold_core::hosted::roster::Instance;
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
+use workshold_core::hosted::serving_config::Engine;
+use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_core::hosted::steward::Command;
 use workshold_core::hosted::steward::OrderReply;
 use workshold_protocol::Millis;
@@ -125,13 +125,13 @@
 
 /// Makes the platform's engines for two models, one of three and one of two.
 pub fn engine() -> Engine {
-    let model = |name: &str, size, share| ModelShape {
+    let model = |name: &str, size, share| ModelSpec {
         name: ModelName::new(name).expect("a plain name"),
         size,
         share,
         pace: 1.0,
         load: Millis(3_000),
-        warm: Millis(400),
+        warm_load: Millis(400),
     };
     Engine {
         slots: 8,
@@ -139,11 +139,11 @@
         step_ms: 8.0,
         per_request_ms: 0.2,
         context_ms_per_k: 0.01,
-        read_per_ms: 46.0,
-        pairs_ms_per_m: 0.5,
-        form: Millis(300),
-        usual_prompt: 1_000.0,
-        usual_answer: 100.0,
+        prefill_tokens_per_ms: 46.0,
+        attention_ms_per_m_pairs: 0.5,
+        group_open_time: Millis(300),
+        typical_prompt_tokens: 1_000.0,
+        typical_answer_tokens: 100.0,
         loads_per_s: 5.0,
         loads_at_once: 7,
         models: vec![model("big", 3, 0.5), model("small", 2, 0.5)],
@@ -161,14 +161,14 @@
     };
     [[200.0, 200.0], [25.0, 5.0], [5.0, 25.0]].map(|asked| {
         let worths = Worth::of_all(engine, &asked.map(ask), |_| INSTANCES);
-        let model = |(shape, worth): (&ModelShape, Worth)| planner::Model {
-            size: shape.size,
+        let model = |(spec, worth): (&ModelSpec, Worth)| planner::Model {
+            size: spec.size,
             worth_at_least: worth.clone(),
             worth_at_most: worth.clone(),
             worth,
             groups: 0.0,
             drains: Millis(500),
-            load: shape.load,
+            load: spec.load,
         };
         engine.models.iter().zip(worths).map(model).collect()
     })
@@ -284,7 +284,7 @@
 
     fn add_instance(&mut self, name: &str) {
         let id = InstanceId::new(name).expect("a plain name");
-        let names = self.engine.models.iter().map(|shape| shape.name.clone());
+        let names = self.engine.models.iter().map(|spec| spec.name.clone());
         let near_by = if self.mode == Mode::Short { names.collect() } else { Vec::new() };
         self.instances.insert(id.clone(), Simulated::new(id.clone(), near_by));
         self.state(&id);
--- a/crates/workshold-model/src/hosted/office.rs
+++ b/crates/workshold-model/src/hosted/office.rs
@@ -5,7 +5,6 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 
-use workshold_core::hosted::catalog::Engine;
 use workshold_core::hosted::groups;
 use workshold_core::hosted::groups::Group;
 use workshold_core::hosted::history::Fence;
@@ -16,6 +15,7 @@
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::MemberState;
 use workshold_core::hosted::roster::Roster;
+use workshold_core::hosted::serving_config::Engine;
 use workshold_core::hosted::steward::Command;
 use workshold_core::hosted::steward::Order;
 use workshold_core::hosted::steward::OrderReply;
@@ -259,7 +259,7 @@
     let of = |name: &str| open.iter().filter(|model| **model == name).count() as f64;
     let models = view.engine.models.iter().zip(view.models);
     models
-        .map(|(shape, model)| planner::Model { groups: of(shape.name.as_str()), ..model.clone() })
+        .map(|(spec, model)| planner::Model { groups: of(spec.name.as_str()), ..model.clone() })
         .collect()
 }
 
