--- a/crates/workshold-core/src/hosted/capacity.rs
+++ b/crates/workshold-core/src/hosted/capacity.rs
@@ -15,7 +15,7 @@
 
 /// What is asked of one model, a second, over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Work {
+pub struct Workload {
     /// Requests, those that were refused included.
     pub requests: f64,
     /// Tokens of their prompts.
@@ -32,9 +32,9 @@
 /// Where nobody has said how long a pause may be.
 const USUAL_PAUSE_GOAL: Millis = Millis(250);
 
-impl Work {
+impl Workload {
     /// The same work, but `factor` times as much of it.
-    pub fn times(self, factor: f64) -> Self {
+    pub fn scaled(self, factor: f64) -> Self {
         Self {
             requests: self.requests * factor,
             prompt_tokens: self.prompt_tokens * factor,
@@ -56,8 +56,8 @@
         let shares: f64 = engine.models.iter().map(|model| model.share).sum();
         let share = if shares > 0.0 { spec.share / shares } else { 1.0 };
         let groups = share * instances as f64 / spec.size as f64;
-        let least = Load::new(engine, spec, one).least_groups();
-        one.times(groups * EXPECTED_USE / least.max(f64::MIN_POSITIVE))
+        let least = CapacityEstimate::new(engine, spec, one).least_groups();
+        one.scaled(groups * EXPECTED_USE / least.max(f64::MIN_POSITIVE))
     }
 
     /// Both together.
@@ -77,7 +77,7 @@
 
 /// What the work of a model asks of its groups, in groups.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Load {
+pub struct CapacityEstimate {
     /// Time that grows with the work: reading, and what each writer adds.
     busy: f64,
     /// Requests under way if groups were otherwise idle.
@@ -91,9 +91,9 @@
 /// With every place taken, part of what is served is in time.
 const FULL_IN_TIME: f64 = 0.8;
 
-impl Load {
+impl CapacityEstimate {
     /// What `work` asks of groups of `spec`.
-    pub fn new(engine: &Engine, spec: &ModelSpec, work: Work) -> Self {
+    pub fn new(engine: &Engine, spec: &ModelSpec, work: Workload) -> Self {
         let stride = f64::from(engine.stride.max(1));
         let prompt = if work.requests > 0.0 { work.prompt_tokens / work.requests } else { 0.0 };
         let reading_ms = work.prompt_tokens / engine.prefill_tokens_per_ms
@@ -160,43 +160,44 @@
 /// Half of what is asked counts by the work that it takes, half by requests: long ones
 /// are worth more to callers, but not as much more as they cost.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Worth {
+pub struct Utility {
     by_groups: Vec<f64>,
 }
 
-impl Worth {
+impl Utility {
     /// The worth of up to `most` groups of each model of `engine`, for the work that is
     /// asked of it.
     pub fn of_all(
         engine: &Engine,
-        works: &[Work],
+        works: &[Workload],
         most: impl Fn(&ModelSpec) -> usize,
     ) -> Vec<Self> {
         let pairs = || engine.models.iter().zip(works);
-        let instances = |(spec, work): (&ModelSpec, &Work)| {
-            Load::new(engine, spec, *work).least_groups() * spec.size as f64
+        let instances = |(spec, work): (&ModelSpec, &Workload)| {
+            CapacityEstimate::new(engine, spec, *work).least_groups() * spec.size as f64
         };
         let all: f64 = pairs().map(instances).sum();
         let requests: f64 = works.iter().map(|work| work.requests).sum();
-        let worth = |(spec, work): (&ModelSpec, &Work)| {
+        let utility = |(spec, work): (&ModelSpec, &Workload)| {
             let by_requests = all * work.requests / requests.max(f64::MIN_POSITIVE);
             let counts = (instances((spec, work)) + by_requests) / 2.0;
             Self::new(engine, spec, *work, counts, most(spec))
         };
-        pairs().map(worth).collect()
+        pairs().map(utility).collect()
     }
 
     /// The worth of up to `most` groups of `spec` for `work` that counts as `instances`.
-    fn new(engine: &Engine, spec: &ModelSpec, work: Work, instances: f64, most: usize) -> Self {
-        let loads = MORE_WORK.map(|factor| Load::new(engine, spec, work.times(factor)));
-        let worth = |groups: usize| {
+    fn new(engine: &Engine, spec: &ModelSpec, work: Workload, instances: f64, most: usize) -> Self {
+        let loads =
+            MORE_WORK.map(|factor| CapacityEstimate::new(engine, spec, work.scaled(factor)));
+        let utility = |groups: usize| {
             let cases = loads.iter().zip(MORE_WORK).flat_map(|(load, factor)| {
                 FEWER_GROUPS.map(|fewer| fair(load.in_time(groups as f64 - fewer)) * factor)
             });
             let cases: Vec<f64> = cases.collect();
             instances * cases.iter().sum::<f64>() / cases.len() as f64
         };
-        Self { by_groups: (0..=most).map(worth).collect() }
+        Self { by_groups: (0..=most).map(utility).collect() }
     }
 
     /// What `groups` are worth; beyond what was worked out, no more.
--- a/crates/workshold-core/src/hosted/demand.rs
+++ b/crates/workshold-core/src/hosted/demand.rs
@@ -5,11 +5,11 @@
 use smol_str::SmolStr;
 use workshold_protocol::Millis;
 
-use super::capacity::Work;
+use super::capacity::Workload;
 
 /// A request as far as demand is concerned.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Asked {
+pub struct RequestCost {
     /// Tokens of its prompt.
     pub prompt_tokens: f64,
     /// The longest pause that is in time.
@@ -34,7 +34,7 @@
 }
 
 impl Arrivals {
-    fn add(&mut self, asked: Asked, weight: f64) {
+    fn add(&mut self, asked: RequestCost, weight: f64) {
         self.requests = (self.requests + weight).max(0.0);
         self.prompt_tokens = (self.prompt_tokens + asked.prompt_tokens * weight).max(0.0);
         self.goals = (self.goals + asked.pause_goal.0 as f64 * weight).max(0.0);
@@ -61,7 +61,7 @@
 
 impl Demand {
     /// A request came, whether it can be served or not.
-    pub fn on_request(&mut self, model: &SmolStr, asked: Asked, now: Millis) {
+    pub fn on_request(&mut self, model: &SmolStr, asked: RequestCost, now: Millis) {
         self.since.get_or_insert(now);
         let arrivals = self.arrivals(model, now);
         arrivals.fade(now);
@@ -69,7 +69,7 @@
     }
 
     /// A request was refused: it comes back, and is counted again.
-    pub fn on_refusal(&mut self, model: &SmolStr, asked: Asked, now: Millis) {
+    pub fn on_refusal(&mut self, model: &SmolStr, asked: RequestCost, now: Millis) {
         let arrivals = self.arrivals(model, now);
         arrivals.fade(now);
         arrivals.add(asked, -COMES_BACK);
@@ -85,14 +85,14 @@
 
     /// What is asked of each model, a second; answers are as long as those before, or
     /// `usual_events`.
-    pub fn all(&self, usual_events: f64, now: Millis) -> Vec<(SmolStr, Work)> {
+    pub fn all(&self, usual_events: f64, now: Millis) -> Vec<(SmolStr, Workload)> {
         let fades_s = FADES.as_secs_f64();
         let work = |arrivals: &Arrivals| {
             let mut arrivals = arrivals.clone();
             arrivals.fade(now);
             let requests = arrivals.requests / fades_s;
             let goal = arrivals.goals / arrivals.requests.max(f64::MIN_POSITIVE);
-            Work {
+            Workload {
                 requests,
                 prompt_tokens: arrivals.prompt_tokens / fades_s,
                 events: requests * arrivals.events_each.unwrap_or(usual_events),
--- a/crates/workshold-core/src/hosted/placement.rs
+++ b/crates/workshold-core/src/hosted/placement.rs
@@ -6,15 +6,15 @@
     /// Requests there, of all nodes as far as known.
     pub load: u32,
     /// What it takes to read the prompts that wait there, in milliseconds.
-    pub unread_ms: f64,
+    pub queued_prefill_ms: f64,
     /// Requests that it works on at once.
     pub slots: u32,
     /// Its usual time for one event or answer, in milliseconds.
-    pub pace_ms: f64,
+    pub event_ms: f64,
     /// Whether it is in this node's data centre.
     pub is_near: bool,
     /// Whether it failed of late, so that others go first.
-    pub is_aside: bool,
+    pub is_deprioritized: bool,
 }
 
 /// What going to another data centre costs, in milliseconds of an answer.
@@ -31,7 +31,7 @@
         let batch = (load / slots).min(1.0) * FULL_BATCH;
         let queue = (load - slots + 1.0).max(0.0) * 4.0;
         let far = if self.is_near { 0.0 } else { FAR_MS };
-        self.pace_ms * (1.0 + batch + queue) + self.unread_ms + far
+        self.event_ms * (1.0 + batch + queue) + self.queued_prefill_ms + far
     }
 }
 
@@ -49,7 +49,7 @@
 }
 
 fn in_order(candidates: &[Candidate], aside: bool) -> Vec<usize> {
-    (0..candidates.len()).filter(|i| candidates[*i].is_aside == aside).collect()
+    (0..candidates.len()).filter(|i| candidates[*i].is_deprioritized == aside).collect()
 }
 
 /// Whether all of them are so full that a request would wait past its goal behind
--- a/crates/workshold-core/src/hosted/planner.rs
+++ b/crates/workshold-core/src/hosted/planner.rs
@@ -1,6 +1,6 @@
 //! Which groups there should be: a plan for all domains, from what groups are worth.
 //!
-//! Groups of each model are worth what they serve in time ([`Worth`]); that grows ever
+//! Groups of each model are worth what they serve in time ([`Utility`]); that grows ever
 //! more slowly with their number. A change brings the difference for as long as the mix
 //! of requests is likely to last, less what it costs: the time until the new groups
 //! serve, the work of groups that are closed meanwhile, and weights that hosts lose. The
@@ -14,7 +14,7 @@
 use workshold_protocol::Millis;
 use workshold_protocol::ids::FabricDomain;
 
-use super::capacity::Worth;
+use super::capacity::Utility;
 use super::identity::Identity;
 
 /// What it takes until an instance can be part of a group of a model.
@@ -68,16 +68,16 @@
     /// Instances of a group.
     pub size: usize,
     /// What groups of it are worth.
-    pub worth: Worth,
+    pub utility: Utility,
     /// The same if less is asked than it seems, and if more is: groups that serve are
     /// closed only for what pays all the same.
-    pub worth_at_least: Worth,
-    /// See [`Self::worth_at_least`].
-    pub worth_at_most: Worth,
+    pub utility_low: Utility,
+    /// See [`Self::utility_low`].
+    pub utility_high: Utility,
     /// Groups that serve, or will without anything being done.
     pub groups: f64,
     /// How long a group that is closed takes to finish what it has.
-    pub drains: Millis,
+    pub drain_time: Millis,
     /// Fetching its weights.
     pub load: Millis,
 }
@@ -309,13 +309,13 @@
         }
         let own = &self.models[way.change.model];
         let (gain, costs) = match way.kind {
-            WayKind::Form => (own.worth.gain(own.groups, 1.0), 0.0),
+            WayKind::Form => (own.utility.gain(own.groups, 1.0), 0.0),
             WayKind::Convert { donor, closed, formed, fewer } => {
                 let donor = &self.models[donor];
-                let gain = own.worth_at_least.gain(own.groups, formed as f64)
-                    + donor.worth_at_most.gain(donor.groups, -fewer);
-                let without = donor.worth_at_most.gain(donor.groups, -(closed as f64));
-                let closing = -without * donor.drains.as_secs_f64();
+                let gain = own.utility_low.gain(own.groups, formed as f64)
+                    + donor.utility_high.gain(donor.groups, -fewer);
+                let without = donor.utility_high.gain(donor.groups, -(closed as f64));
+                let closing = -without * donor.drain_time.as_secs_f64();
                 (gain, closing + CLOSE_COSTS * closed as f64)
             }
         };
@@ -327,7 +327,7 @@
     fn weights_lost(&self, way: &Way) -> f64 {
         let lost = self.models.iter().zip(&way.lost).filter(|(_, hosts)| **hosts > 0);
         let costs = lost.map(|(model, hosts)| {
-            let each = model.worth.gain(model.groups, 1.0) / model.size as f64;
+            let each = model.utility.gain(model.groups, 1.0) / model.size as f64;
             *hosts as f64 * each * model.load.as_secs_f64() * MISSED
         });
         costs.sum()
--- a/crates/workshold-core/src/hosted/steward/staging.rs
+++ b/crates/workshold-core/src/hosted/steward/staging.rs
@@ -132,7 +132,7 @@
 
 /// The models, the one first whose next group brings most for each instance.
 fn by_gain<'a>(s: &Situation<'a>) -> Vec<&'a ModelSpec> {
-    let gain = |model: &planner::Model| model.worth.gain(model.groups, 1.0) / model.size as f64;
+    let gain = |model: &planner::Model| model.utility.gain(model.groups, 1.0) / model.size as f64;
     let mut models: Vec<(&ModelSpec, f64)> = s
         .engine
         .models
--- a/crates/workshold-core/tests/hosted/capacity.rs
+++ b/crates/workshold-core/tests/hosted/capacity.rs
@@ -2,11 +2,11 @@
 
 use rstest::rstest;
 use smol_str::SmolStr;
-use workshold_core::hosted::capacity::Load;
-use workshold_core::hosted::capacity::Work;
-use workshold_core::hosted::capacity::Worth;
-use workshold_core::hosted::demand::Asked;
+use workshold_core::hosted::capacity::CapacityEstimate;
+use workshold_core::hosted::capacity::Utility;
+use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::demand::Demand;
+use workshold_core::hosted::demand::RequestCost;
 use workshold_core::hosted::serving_config::Engine;
 use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_protocol::Millis;
@@ -38,8 +38,8 @@
     }
 }
 
-fn work(requests: f64, prompt: f64, events: f64, pause_goal: u64) -> Work {
-    Work {
+fn work(requests: f64, prompt: f64, events: f64, pause_goal: u64) -> Workload {
+    Workload {
         requests,
         prompt_tokens: requests * prompt,
         events: requests * events,
@@ -64,8 +64,8 @@
     let spec = engine.model(model).unwrap();
     let one =
         if model == "big" { work(1.0, 1_680.0, 20.0, 300) } else { work(1.0, 674.0, 35.0, 200) };
-    let asked = one.times(least / Load::new(&engine, spec, one).least_groups());
-    let load = Load::new(&engine, spec, asked);
+    let asked = one.scaled(least / CapacityEstimate::new(&engine, spec, one).least_groups());
+    let load = CapacityEstimate::new(&engine, spec, asked);
     assert!((load.least_groups() - least).abs() < 1e-9);
     let in_time = load.in_time(groups);
     assert!((in_time - seen).abs() < 0.06, "{in_time} for {seen}");
@@ -75,8 +75,8 @@
 fn more_groups_are_never_worth_less_and_each_adds_less_in_the_end() {
     let engine = engine();
     let works = [work(60.0, 1_680.0, 20.0, 300), work(150.0, 674.0, 35.0, 200)];
-    for worth in Worth::of_all(&engine, &works, |_| 40) {
-        let gains: Vec<f64> = (0..40).map(|n| worth.gain(f64::from(n), 1.0)).collect();
+    for utility in Utility::of_all(&engine, &works, |_| 40) {
+        let gains: Vec<f64> = (0..40).map(|n| utility.gain(f64::from(n), 1.0)).collect();
         assert!(gains.iter().all(|gain| *gain >= -1e-9), "{gains:?}");
         assert!(gains[39] < gains[0] / 100.0, "{gains:?}");
     }
@@ -85,17 +85,18 @@
 #[test]
 fn a_model_that_nobody_asks_for_is_worth_nothing() {
     let engine = engine();
-    let works = [Work::default(), work(150.0, 674.0, 35.0, 200)];
-    let worths = Worth::of_all(&engine, &works, |_| 10);
-    assert_eq!(worths[0].gain(0.0, 1.0), 0.0);
+    let works = [Workload::default(), work(150.0, 674.0, 35.0, 200)];
+    let utilities = Utility::of_all(&engine, &works, |_| 10);
+    assert_eq!(utilities[0].gain(0.0, 1.0), 0.0);
 }
 
 #[test]
 fn before_traffic_each_model_is_expected_to_need_its_share() {
     let engine = engine();
     for spec in &engine.models {
-        let expected = Work::expected(&engine, spec, 60);
-        let instances = Load::new(&engine, spec, expected).least_groups() * spec.size as f64;
+        let expected = Workload::expected(&engine, spec, 60);
+        let instances =
+            CapacityEstimate::new(&engine, spec, expected).least_groups() * spec.size as f64;
         assert!((instances - 18.0).abs() < 0.1, "six tenths of half of 60, not {instances}");
     }
 }
@@ -103,7 +104,7 @@
 #[test]
 fn what_is_asked_is_told_by_the_second_and_fades() {
     let model = SmolStr::new("big");
-    let asked = Asked { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
+    let asked = RequestCost { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
     let mut demand = Demand::default();
     for i in 0..200_u64 {
         demand.on_request(&model, asked, Millis(i * 100));
@@ -122,7 +123,7 @@
 #[test]
 fn refusals_do_not_double_what_is_asked() {
     let model = SmolStr::new("big");
-    let asked = Asked { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
+    let asked = RequestCost { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
     let mut demand = Demand::default();
     for i in 0..200_u64 {
         // Refused, and refused again when it comes back.
@@ -138,7 +139,7 @@
 #[test]
 fn answers_are_expected_to_be_as_long_as_those_before() {
     let model = SmolStr::new("big");
-    let asked = Asked { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
+    let asked = RequestCost { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
     let mut demand = Demand::default();
     for i in 0..300_u64 {
         demand.on_request(&model, asked, Millis(i * 100));
--- a/crates/workshold-core/tests/hosted/planned_anew.rs
+++ b/crates/workshold-core/tests/hosted/planned_anew.rs
@@ -74,7 +74,7 @@
     fn form(&self, domain: usize, model: usize) -> Option<Change> {
         let size = self.models[model].size;
         let members = self.soonest(self.domains[domain].free.iter(), model, size)?;
-        let gain = self.models[model].worth.gain(self.models[model].groups, 1.0);
+        let gain = self.models[model].utility.gain(self.models[model].groups, 1.0);
         self.change(domain, model, &members, &[], gain, 0.0)
     }
 
@@ -91,10 +91,10 @@
         let left = all.iter().filter(is_left).filter(can_return).count();
         let returned = (left / donor.size).min(closed);
         let less = returned as f64 - closed as f64;
-        let gain = own.worth_at_least.gain(own.groups, formed as f64)
-            + donor.worth_at_most.gain(donor.groups, less);
-        let without = donor.worth_at_most.gain(donor.groups, -(closed as f64));
-        let closing = -without * donor.drains.as_secs_f64();
+        let gain = own.utility_low.gain(own.groups, formed as f64)
+            + donor.utility_high.gain(donor.groups, less);
+        let without = donor.utility_high.gain(donor.groups, -(closed as f64));
+        let closing = -without * donor.drain_time.as_secs_f64();
         let costs = closing + CLOSE_COSTS * closed as f64;
         self.change(domain, model, &members, &given, gain, costs)
     }
@@ -177,7 +177,7 @@
             let has_it = |host: &&&Host| !host.ready[other].needs_load;
             let takes_up = |host: &&&Host| host.ready[model] > host.ready[other];
             let hosts = members.iter().filter(has_it).filter(takes_up).count() as f64;
-            let each = model_of.worth.gain(model_of.groups, 1.0) / model_of.size as f64;
+            let each = model_of.utility.gain(model_of.groups, 1.0) / model_of.size as f64;
             hosts * each * model_of.load.as_secs_f64() * MISSED
         });
         lost.sum()
--- a/crates/workshold-core/tests/hosted/planning.rs
+++ b/crates/workshold-core/tests/hosted/planning.rs
@@ -3,9 +3,9 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use workshold_core::hosted::capacity::Load;
-use workshold_core::hosted::capacity::Work;
-use workshold_core::hosted::capacity::Worth;
+use workshold_core::hosted::capacity::CapacityEstimate;
+use workshold_core::hosted::capacity::Utility;
+use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::planner;
 use workshold_core::hosted::planner::Change;
 use workshold_core::hosted::planner::Domain;
@@ -50,19 +50,19 @@
 }
 
 /// Models for `works`, with so many groups each.
-fn models(engine: &Engine, works: &[Work], groups: [f64; 2]) -> Vec<Model> {
-    let worths = |factor: f64| {
-        let works: Vec<Work> = works.iter().map(|work| work.times(factor)).collect();
-        Worth::of_all(engine, &works, |_| 60)
+fn models(engine: &Engine, works: &[Workload], groups: [f64; 2]) -> Vec<Model> {
+    let utilities = |factor: f64| {
+        let works: Vec<Workload> = works.iter().map(|work| work.scaled(factor)).collect();
+        Utility::of_all(engine, &works, |_| 60)
     };
-    let (worth, least, most) = (worths(1.0), worths(0.85), worths(1.15));
+    let (utility, least, most) = (utilities(1.0), utilities(0.85), utilities(1.15));
     let model = |(i, spec): (usize, &ModelSpec)| Model {
         size: spec.size,
-        worth: worth[i].clone(),
-        worth_at_least: least[i].clone(),
-        worth_at_most: most[i].clone(),
+        utility: utility[i].clone(),
+        utility_low: least[i].clone(),
+        utility_high: most[i].clone(),
         groups: groups[i],
-        drains: Millis(2_000),
+        drain_time: Millis(2_000),
         load: spec.load,
     };
     engine.models.iter().enumerate().map(model).collect()
@@ -96,13 +96,14 @@
 #[test]
 fn before_traffic_both_models_get_as_much_beyond_their_need() {
     let engine = engine();
-    let works: Vec<Work> =
-        engine.models.iter().map(|spec| Work::expected(&engine, spec, 48)).collect();
+    let works: Vec<Workload> =
+        engine.models.iter().map(|spec| Workload::expected(&engine, spec, 48)).collect();
     let models = models(&engine, &works, [0.0, 0.0]);
     let changes = planner::plan(empty_domains(6, 8), &models, BEFORE_TRAFFIC);
     let [big, small] = formed(&changes, &models);
-    let least: Vec<f64> =
-        (0..2).map(|i| Load::new(&engine, &engine.models[i], works[i]).least_groups()).collect();
+    let least: Vec<f64> = (0..2)
+        .map(|i| CapacityEstimate::new(&engine, &engine.models[i], works[i]).least_groups())
+        .collect();
     assert_eq!(big * 4 + small * 2, 48, "nobody is left over");
     let spare = [big as f64 / least[0], small as f64 / least[1]];
     assert!(spare.iter().all(|spare| *spare > 1.4), "{big} and {small} for {least:?}");
@@ -112,12 +113,12 @@
 #[test]
 fn a_plan_for_all_of_a_large_fleet_leaves_nobody_out() {
     let engine = engine();
-    let works: Vec<Work> =
-        engine.models.iter().map(|spec| Work::expected(&engine, spec, 920)).collect();
-    let worth = Worth::of_all(&engine, &works, |spec| 920 / spec.size + 1);
+    let works: Vec<Workload> =
+        engine.models.iter().map(|spec| Workload::expected(&engine, spec, 920)).collect();
+    let utility = Utility::of_all(&engine, &works, |spec| 920 / spec.size + 1);
     let mut models = models(&engine, &works, [0.0, 0.0]);
-    for (model, worth) in models.iter_mut().zip(worth) {
-        model.worth = worth;
+    for (model, utility) in models.iter_mut().zip(utility) {
+        model.utility = utility;
     }
     let changes = planner::plan(empty_domains(58, 16), &models, BEFORE_TRAFFIC);
     let [big, small] = formed(&changes, &models);
@@ -125,8 +126,8 @@
 }
 
 /// So many requests a second with a prompt of 1,000 tokens and 20 events each.
-fn ask(requests: f64) -> Work {
-    Work {
+fn ask(requests: f64) -> Workload {
+    Workload {
         requests,
         prompt_tokens: requests * 1_000.0,
         events: requests * 20.0,
--- a/crates/workshold-core/tests/hosted/requests.rs
+++ b/crates/workshold-core/tests/hosted/requests.rs
@@ -168,8 +168,8 @@
     }
 }
 
-const fn candidate(load: u32, pace_ms: f64, is_aside: bool) -> Candidate {
-    Candidate { load, unread_ms: 0.0, slots: 17, pace_ms, is_near: true, is_aside }
+const fn candidate(load: u32, event_ms: f64, is_deprioritized: bool) -> Candidate {
+    Candidate { load, queued_prefill_ms: 0.0, slots: 17, event_ms, is_near: true, is_deprioritized }
 }
 
 #[test]
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use smol_str::SmolStr;
-use workshold_core::hosted::capacity::Load;
-use workshold_core::hosted::capacity::Work;
-use workshold_core::hosted::capacity::Worth;
+use workshold_core::hosted::capacity::CapacityEstimate;
+use workshold_core::hosted::capacity::Utility;
+use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::groups::Group;
 use workshold_core::hosted::groups::group_id;
 use workshold_core::hosted::identity::Identity;
@@ -47,8 +47,8 @@
 const LONG_AGO: Millis = Millis(500);
 
 /// So many requests a second with a prompt of 1,000 tokens and 20 events each.
-fn ask(requests: f64) -> Work {
-    Work {
+fn ask(requests: f64) -> Workload {
+    Workload {
         requests,
         prompt_tokens: requests * 1_000.0,
         events: requests * 20.0,
@@ -64,7 +64,7 @@
     losses: BTreeMap<Identity, (Loss, Millis)>,
     trust: ListTrust,
     /// What is asked of `big` and of `small`.
-    works: [Work; 2],
+    works: [Workload; 2],
     /// Groups of `big` and of `small` in all domains.
     counts: [f64; 2],
     others: Vec<planner::Domain>,
@@ -188,18 +188,18 @@
     }
 
     fn models(&self) -> Vec<planner::Model> {
-        let worths = |factor: f64| {
-            let works = self.works.map(|work| work.times(factor));
-            Worth::of_all(&self.engine, &works, |_| 200)
+        let utilities = |factor: f64| {
+            let works = self.works.map(|work| work.scaled(factor));
+            Utility::of_all(&self.engine, &works, |_| 200)
         };
-        let (worth, at_least, at_most) = (worths(1.0), worths(0.85), worths(1.15));
+        let (utility, at_least, at_most) = (utilities(1.0), utilities(0.85), utilities(1.15));
         let model = |i: usize| planner::Model {
             size: self.engine.models[i].size,
-            worth: worth[i].clone(),
-            worth_at_least: at_least[i].clone(),
-            worth_at_most: at_most[i].clone(),
+            utility: utility[i].clone(),
+            utility_low: at_least[i].clone(),
+            utility_high: at_most[i].clone(),
             groups: self.counts[i],
-            drains: Millis(2_000),
+            drain_time: Millis(2_000),
             load: self.engine.models[i].load,
         };
         (0..2).map(model).collect()
@@ -452,8 +452,8 @@
     for turn in 0..DOMAINS {
         let mut domain = fresh(turn);
         for (i, spec) in domain.engine.models.iter().enumerate() {
-            domain.works[i] = Work::expected(&domain.engine, spec, 18 * DOMAINS);
-            least[i] = Load::new(&domain.engine, spec, domain.works[i]).least_groups();
+            domain.works[i] = Workload::expected(&domain.engine, spec, 18 * DOMAINS);
+            least[i] = CapacityEstimate::new(&domain.engine, spec, domain.works[i]).least_groups();
         }
         domain.counts = formed;
         for other in (0..DOMAINS).filter(|other| *other != turn).map(fresh) {
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -26,7 +26,7 @@
 use smol_str::SmolStr;
 use tokio::sync::Notify;
 use tokio::sync::watch;
-use workshold_core::hosted::capacity::Work;
+use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::currency::ConfigFreshness;
 use workshold_core::hosted::demand::Demand;
 use workshold_core::hosted::history::Era;
@@ -224,9 +224,9 @@
 
 /// What callers ask of all nodes.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Asked {
+pub struct ObservedDemand {
     /// By model, a second.
-    pub by_model: BTreeMap<ModelName, Work>,
+    pub by_model: BTreeMap<ModelName, Workload>,
     /// The part of it that is seen so soon after the first request.
     pub observed_fraction: f64,
 }
@@ -446,14 +446,14 @@
     }
 
     /// What is asked of this node by model, a second, and which part of it is seen.
-    pub fn own_work(&self) -> (Vec<(SmolStr, Work)>, f64) {
+    pub fn own_work(&self) -> (Vec<(SmolStr, Workload)>, f64) {
         let now = self.now();
         let demand = self.demand.lock();
         (demand.all(self.expected_answer_events(), now), demand.observed_fraction(now))
     }
 
     /// What is asked of all nodes of the models of `engine`.
-    pub fn work(&self, engine: &Engine) -> Asked {
+    pub fn work(&self, engine: &Engine) -> ObservedDemand {
         let (own, observed_fraction) = self.own_work();
         let now = self.now();
         let peers = self.peers.lock();
@@ -469,7 +469,7 @@
         let of = |name: &ModelName| by_name.get(&name_hash(name.as_str())).copied();
         let names = engine.models.iter().map(|spec| &spec.name);
         let by_model = names.map(|name| (name.clone(), of(name).unwrap_or_default())).collect();
-        Asked { by_model, observed_fraction }
+        ObservedDemand { by_model, observed_fraction }
     }
 
     /// Events of an answer, as the operator expects them.
--- a/crates/workshold-gateway/src/peers/exchange.rs
+++ b/crates/workshold-gateway/src/peers/exchange.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use smol_str::SmolStr;
-use workshold_core::hosted::capacity::Work;
+use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::history::Fence;
 use workshold_protocol::Millis;
 
@@ -67,7 +67,7 @@
 /// What nodes say together.
 #[derive(Debug, Clone, Default)]
 pub struct Sums {
-    by_model: BTreeMap<u32, Work>,
+    by_model: BTreeMap<u32, Workload>,
     by_instance: BTreeMap<u32, (Load, u8)>,
     acts_by: BTreeMap<SocketAddr, Fence>,
     /// The part of what is asked that is seen, in 100.
@@ -80,7 +80,7 @@
 
 impl Sums {
     /// What is asked of them, by the short names of models.
-    pub fn work(&self) -> &BTreeMap<u32, Work> {
+    pub fn work(&self) -> &BTreeMap<u32, Workload> {
         &self.by_model
     }
 
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 use smol_str::SmolStr;
-use workshold_core::hosted::capacity::Work;
+use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::fingerprint::Fingerprint;
 use workshold_core::hosted::history::Era;
 use workshold_core::hosted::history::Fence;
@@ -149,12 +149,12 @@
 
 impl ToldWork {
     /// Puts `work` of a model into a datagram.
-    pub fn new(model: &str, work: Work) -> Self {
+    pub fn new(model: &str, work: Workload) -> Self {
         Self::of_short(name_hash(model), work)
     }
 
     /// The same for the model with this short name.
-    pub fn of_short(model: u32, work: Work) -> Self {
+    pub fn of_short(model: u32, work: Workload) -> Self {
         Self {
             model,
             requests: (work.requests / REQUESTS_UNIT).round() as u32,
@@ -165,8 +165,8 @@
     }
 
     /// What was put in.
-    pub fn work(&self) -> Work {
-        Work {
+    pub fn work(&self) -> Workload {
+        Workload {
             requests: f64::from(self.requests) * REQUESTS_UNIT,
             prompt_tokens: f64::from(self.prompt_tokens) * TOKENS_UNIT,
             events: f64::from(self.events),
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -17,7 +17,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use rand::Rng;
-use workshold_core::hosted::demand::Asked;
+use workshold_core::hosted::demand::RequestCost;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::instance_limits::Withheld;
 use workshold_core::hosted::placement;
@@ -386,8 +386,8 @@
     }
 }
 
-fn asked(job: &Job) -> Asked {
-    Asked { prompt_tokens: job.prompt_tokens, pause_goal: job.route.pause_goal }
+fn asked(job: &Job) -> RequestCost {
+    RequestCost { prompt_tokens: job.prompt_tokens, pause_goal: job.route.pause_goal }
 }
 
 fn is_worth_repeating(course: &Course, res: &Response<AnswerBody>) -> bool {
@@ -508,11 +508,11 @@
         .map(|target| (target, node.loads.of(&target.id)))
         .map(|(target, load)| Candidate {
             load: load.requests,
-            unread_ms: f64::from(load.unread) * target.read_ms,
+            queued_prefill_ms: f64::from(load.unread) * target.read_ms,
             slots: target.slots,
-            pace_ms: gaps.mean_ms(&target.id).unwrap_or(target.quiet_gap_ms),
+            event_ms: gaps.mean_ms(&target.id).unwrap_or(target.quiet_gap_ms),
             is_near: target.data_centre == settings.node.data_centre,
-            is_aside: outliers.is_set_aside(&target.id, now) || node.is_suspected(target),
+            is_deprioritized: outliers.is_set_aside(&target.id, now) || node.is_suspected(target),
         })
         .collect();
     if course.is_new() && placement::are_full(&candidates, MAY_WAIT) {
--- a/crates/workshold-gateway/src/tasks/stewarding/look.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/look.rs
@@ -8,9 +8,9 @@
 
 use parking_lot::Mutex;
 use smol_str::SmolStr;
-use workshold_core::hosted::capacity::Load;
-use workshold_core::hosted::capacity::Work;
-use workshold_core::hosted::capacity::Worth;
+use workshold_core::hosted::capacity::CapacityEstimate;
+use workshold_core::hosted::capacity::Utility;
+use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::groups;
 use workshold_core::hosted::groups::Group;
 use workshold_core::hosted::identity::Identity;
@@ -37,8 +37,8 @@
 
 use crate::events::Event;
 use crate::events::emit;
-use crate::node::Asked;
 use crate::node::Lease;
+use crate::node::ObservedDemand;
 
 /// The part of what is asked that has to be seen before groups are closed by it.
 const SEEN_ENOUGH: f64 = 0.6;
@@ -93,7 +93,7 @@
         &self,
         service: &ServiceName,
         engine: &Engine,
-        asked: &Asked,
+        asked: &ObservedDemand,
         stewards: &mut BTreeMap<u64, Steward>,
     ) -> Vec<Command> {
         let (own, domain_count) = self.own_domains(service);
@@ -174,30 +174,37 @@
 
     /// What groups of each model are worth; what is asked and not seen yet is as the
     /// operator expects.
-    fn models(&self, engine: &Engine, instances: usize, asked: &Asked) -> Vec<planner::Model> {
+    fn models(
+        &self,
+        engine: &Engine,
+        instances: usize,
+        asked: &ObservedDemand,
+    ) -> Vec<planner::Model> {
         let work = |spec: &ModelSpec| {
             let seen = asked.by_model.get(&spec.name).copied().unwrap_or_default();
-            let expected = Work::expected(engine, spec, instances);
-            seen.and(expected.times(1.0 - asked.observed_fraction))
+            let expected = Workload::expected(engine, spec, instances);
+            seen.and(expected.scaled(1.0 - asked.observed_fraction))
         };
-        let works: Vec<Work> = engine.models.iter().map(work).collect();
-        let worths = |factor: f64| {
-            let works: Vec<Work> = works.iter().map(|work| work.times(factor)).collect();
-            Worth::of_all(engine, &works, |spec| instances / spec.size + 1)
+        let works: Vec<Workload> = engine.models.iter().map(work).collect();
+        let utilities = |factor: f64| {
+            let works: Vec<Workload> = works.iter().map(|work| work.scaled(factor)).collect();
+            Utility::of_all(engine, &works, |spec| instances / spec.size + 1)
         };
-        let worths =
-            worths(1.0).into_iter().zip(worths(1.0 - WORK_UNSURE)).zip(worths(1.0 + WORK_UNSURE));
+        let utilities = utilities(1.0)
+            .into_iter()
+            .zip(utilities(1.0 - WORK_UNSURE))
+            .zip(utilities(1.0 + WORK_UNSURE));
         let model =
-            |(spec, ((worth, worth_at_least), worth_at_most)): (&ModelSpec, _)| planner::Model {
+            |(spec, ((utility, utility_low), utility_high)): (&ModelSpec, _)| planner::Model {
                 size: spec.size,
-                worth,
-                worth_at_least,
-                worth_at_most,
+                utility,
+                utility_low,
+                utility_high,
                 groups: 0.0,
-                drains: DRAINS,
+                drain_time: DRAINS,
                 load: spec.load,
             };
-        engine.models.iter().zip(worths).map(model).collect()
+        engine.models.iter().zip(utilities).map(model).collect()
     }
 
     /// Says now and then what a domain looks like.
@@ -210,7 +217,7 @@
         told.insert(domain.clone(), self.now);
         let least = |spec: &ModelSpec| {
             let work = whole.asked.by_model.get(&spec.name).copied().unwrap_or_default();
-            (spec.name.clone(), Load::new(whole.engine, spec, work).least_groups())
+            (spec.name.clone(), CapacityEstimate::new(whole.engine, spec, work).least_groups())
         };
         let least: BTreeMap<ModelName, f64> = whole.engine.models.iter().map(least).collect();
         emit(
@@ -267,7 +274,7 @@
     look: &'a Look<'a>,
     service: &'a ServiceName,
     engine: &'a Engine,
-    asked: &'a Asked,
+    asked: &'a ObservedDemand,
     entries: OnceCell<Vec<&'a Entry>>,
     listed: OnceCell<Vec<planner::Domain>>,
     models: OnceCell<Vec<planner::Model>>,
@@ -279,7 +286,7 @@
         look: &'a Look<'a>,
         service: &'a ServiceName,
         engine: &'a Engine,
-        asked: &'a Asked,
+        asked: &'a ObservedDemand,
     ) -> Self {
         Self {
             look,
--- a/crates/workshold-gateway/tests/peers.rs
+++ b/crates/workshold-gateway/tests/peers.rs
@@ -7,7 +7,7 @@
 
 use rstest::rstest;
 use smol_str::SmolStr;
-use workshold_core::hosted::capacity::Work;
+use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::identity::Identity;
 use workshold_gateway::loads::Load;
 use workshold_gateway::loads::instance_hash;
@@ -49,8 +49,8 @@
     }
 }
 
-const WORK: Work =
-    Work { requests: 12.5, prompt_tokens: 8_420.0, events: 335.0, pause_goal: Millis(200) };
+const WORK: Workload =
+    Workload { requests: 12.5, prompt_tokens: 8_420.0, events: 335.0, pause_goal: Millis(200) };
 fn id(name: &str) -> Identity {
     InstanceId::new(name).unwrap().into()
 }
@@ -79,7 +79,7 @@
     peers.on_pulse(OWN, address(2), name(2), pulse(vec![told("i-5", 4, 1_000)]), NOW);
     let load = peers.loads(NOW)[&instance_hash(&id("i-5"))];
     assert_eq!((load.requests, load.unread), (7, 128 + 1_024), "in units of 64 tokens, rounded up");
-    let told: Vec<Work> = peers.heard(NOW).map(|(_, peer)| peer.pulse.work[0].work()).collect();
+    let told: Vec<Workload> = peers.heard(NOW).map(|(_, peer)| peer.pulse.work[0].work()).collect();
     assert_eq!(told, [WORK, WORK], "what is asked comes over as it was told");
     let later = NOW + Millis(1_100);
     assert!(peers.loads(later).is_empty(), "who is silent counts no more");
--- a/crates/workshold-model/src/hosted.rs
+++ b/crates/workshold-model/src/hosted.rs
@@ -14,8 +14,8 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use workshold_core::hosted::capacity::Work;
-use workshold_core::hosted::capacity::Worth;
+use workshold_core::hosted::capacity::Utility;
+use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::history::RESTORE_SETTLE_TIME;
@@ -153,24 +153,24 @@
 /// What groups of both models are worth when more is asked than can be served, when much
 /// is asked of the first, and when much is asked of the second.
 fn models(engine: &Engine) -> [Vec<planner::Model>; 3] {
-    let ask = |requests: f64| Work {
+    let ask = |requests: f64| Workload {
         requests,
         prompt_tokens: requests * 1_000.0,
         events: requests * 20.0,
         pause_goal: Millis(250),
     };
     [[200.0, 200.0], [25.0, 5.0], [5.0, 25.0]].map(|asked| {
-        let worths = Worth::of_all(engine, &asked.map(ask), |_| INSTANCES);
-        let model = |(spec, worth): (&ModelSpec, Worth)| planner::Model {
+        let utilities = Utility::of_all(engine, &asked.map(ask), |_| INSTANCES);
+        let model = |(spec, utility): (&ModelSpec, Utility)| planner::Model {
             size: spec.size,
-            worth_at_least: worth.clone(),
-            worth_at_most: worth.clone(),
-            worth,
+            utility_low: utility.clone(),
+            utility_high: utility.clone(),
+            utility,
             groups: 0.0,
-            drains: Millis(500),
+            drain_time: Millis(500),
             load: spec.load,
         };
-        engine.models.iter().zip(worths).map(model).collect()
+        engine.models.iter().zip(utilities).map(model).collect()
     })
 }
 
