--- a/crates/workshold-core/src/hosted.rs
+++ b/crates/workshold-core/src/hosted.rs
@@ -11,7 +11,7 @@
 //!   cannot be reached: [`suspicion`]; which past of the store says so: [`history`].
 //! - What is asked: [`demand`]; what groups make of it: [`capacity`]; which groups there
 //!   should be: [`planner`].
-//! - Who forms them: [`steward`], and when it may order: [`tenure`].
+//! - Who forms them: [`steward`], and when it may order: [`partition_lease`].
 //! - Requests: what they ask: [`fingerprint`]; which of them end whoever runs them:
 //!   [`quarantine`]; what instances take of them: [`instance_limits`]; [`placement`], [`silence`], [`tries`]; among how many nodes what all of them
 //!   may repeat is divided: [`sharing`].
@@ -25,6 +25,7 @@
 pub mod history;
 pub mod identity;
 pub mod instance_limits;
+pub mod partition_lease;
 pub mod placement;
 pub mod planner;
 pub mod quarantine;
@@ -34,5 +35,4 @@
 pub mod silence;
 pub mod steward;
 pub mod suspicion;
-pub mod tenure;
 pub mod tries;
--- a/crates/workshold-core/src/hosted/capacity.rs
+++ b/crates/workshold-core/src/hosted/capacity.rs
@@ -61,7 +61,7 @@
     }
 
     /// Both together.
-    pub fn and(self, other: Self) -> Self {
+    pub fn plus(self, other: Self) -> Self {
         let all = self.requests + other.requests;
         let goals =
             self.pause_goal.0 as f64 * self.requests + other.pause_goal.0 as f64 * other.requests;
--- a/crates/workshold-core/src/hosted/tenure.rs
+++ b/crates/workshold-core/src/hosted/partition_lease.rs
@@ -10,16 +10,16 @@
 
 /// The times that a new holder keeps to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TenureRules {
+pub struct HandoverTimings {
     /// Orders of the last holder are on their way for this long at most.
-    pub orders_arrive: Millis,
+    pub max_order_delay: Millis,
     /// The last holder stops by itself after this: the lease's time.
     pub lease_ttl: Millis,
 }
 
 /// A part of the lease as its holder has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tenure {
+pub struct PartitionLease {
     /// The lease's number when the part came.
     fence: Fence,
     since: Millis,
@@ -29,7 +29,7 @@
     settled_at: Option<Millis>,
 }
 
-impl Tenure {
+impl PartitionLease {
     /// The part came at `now`, under `fence`.
     pub fn new(fence: impl Into<Fence>, now: Millis) -> Self {
         Self { fence: fence.into(), since: now, not_before: Millis::ZERO, settled_at: None }
@@ -38,16 +38,16 @@
     /// Nothing is ordered before `true_from`: the store came back from a copy a moment ago,
     /// and what it says of instances, and of who held the part, is of the past. The lease's
     /// time has run out by then for all who held a part before, heard or not.
-    pub fn waits_until(self, true_from: Millis) -> Self {
+    pub fn with_earliest_order_at(self, true_from: Millis) -> Self {
         Self { not_before: true_from, ..self }
     }
 
     /// Looks who else may order: `others` are the numbers by which all those act who
     /// are heard. One that acts by this number or a later one has noticed.
-    pub fn look(
+    pub fn observe_holders(
         &mut self,
         others: impl Iterator<Item = impl Into<Fence>>,
-        rules: TenureRules,
+        rules: HandoverTimings,
         now: Millis,
     ) {
         if self.settled_at.is_some() || now < self.not_before {
@@ -56,14 +56,14 @@
         let held = now.since(self.since);
         let mut others = others;
         let have_noticed = others.all(|other| other.into() >= self.fence);
-        let is_settled = have_noticed && held >= rules.orders_arrive;
-        if is_settled || held >= rules.lease_ttl + rules.orders_arrive {
+        let is_settled = have_noticed && held >= rules.max_order_delay;
+        if is_settled || held >= rules.lease_ttl + rules.max_order_delay {
             self.settled_at = Some(now);
         }
     }
 
     /// Whether the list has to be read anew before anything is ordered.
-    pub fn wants_list(&self, list_read_at: Millis) -> bool {
+    pub fn needs_list_reread(&self, list_read_at: Millis) -> bool {
         self.settled_at.is_some_and(|at| list_read_at < at)
     }
 
--- a/crates/workshold-core/src/hosted/steward.rs
+++ b/crates/workshold-core/src/hosted/steward.rs
@@ -22,7 +22,7 @@
 pub use self::orders::Command;
 pub use self::orders::Order;
 pub use self::orders::OrderReply;
-pub use self::situation::Situation;
+pub use self::situation::DomainContext;
 pub use self::situation::StewardRules;
 pub use self::view::is_forming;
 pub use self::view::listed;
@@ -85,7 +85,7 @@
     loads: VecDeque<Millis>,
     intended: Vec<Intended>,
     planned: BTreeMap<FabricDomain, Planned>,
-    seen: Seen,
+    seen: DomainSummary,
 }
 
 /// Who is free, and by model whether weights are missing or on their way, and whether the
@@ -111,9 +111,9 @@
 
 /// What a steward sees in a domain, for logs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct DomainSummary {
     /// Engines that may serve.
-    pub fit: usize,
+    pub serviceable: usize,
     /// Of these, engines in no group that serves or is being formed.
     pub free: usize,
     /// Of these, engines that fetch weights.
@@ -121,9 +121,9 @@
     /// Groups being formed.
     pub forming: usize,
     /// Each free engine with what it could serve soon.
-    pub who: String,
+    pub free_instances: String,
     /// What is to be changed.
-    pub intends: String,
+    pub planned_changes: String,
 }
 
 /// Bits of an epoch below the fence: those of the part, and of the count.
@@ -151,7 +151,7 @@
             loads: VecDeque::new(),
             intended: Vec::new(),
             planned: BTreeMap::new(),
-            seen: Seen::default(),
+            seen: DomainSummary::default(),
         }
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// What is to be ordered in a domain now.
-    pub fn plan(&mut self, s: &Situation<'_>) -> Vec<Command> {
+    pub fn plan(&mut self, s: &DomainContext<'_>) -> Vec<Command> {
         let mut commands = Vec::new();
         let groups = groups::collate(s.entries.iter().copied());
         self.give_up_formations(s);
@@ -220,19 +220,19 @@
         self.carry_on(s, &groups, &mut commands);
         self.stage_ahead(s, &pool, &mut commands);
         self.tidy(s);
-        self.seen = Seen {
-            fit: s.entries.iter().filter(|entry| s.can_serve(entry)).count(),
+        self.seen = DomainSummary {
+            serviceable: s.entries.iter().filter(|entry| s.can_serve(entry)).count(),
             free: pool.len(),
             staging: pool.iter().filter(|free| self.is_staging(free.instance(), s)).count(),
             forming: self.forming.len(),
-            who: pool.iter().map(Free::describe).collect::<Vec<_>>().join(" "),
-            intends: describe_changes(s, &changes),
+            free_instances: pool.iter().map(Free::describe).collect::<Vec<_>>().join(" "),
+            planned_changes: describe_changes(s, &changes),
         };
         commands
     }
 
     /// What the last look at a domain showed.
-    pub fn seen(&self) -> &Seen {
+    pub fn summary(&self) -> &DomainSummary {
         &self.seen
     }
 
@@ -243,7 +243,7 @@
         (self.fence << (PART_BITS + COUNT_BITS)) | (part << COUNT_BITS) | count
     }
 
-    fn give_up_formations(&mut self, s: &Situation<'_>) {
+    fn give_up_formations(&mut self, s: &DomainContext<'_>) {
         let here = |id: &Identity| s.entry(id).is_some();
         self.forming.retain(|epoch, forming| {
             if !forming.members.iter().any(here) {
@@ -266,7 +266,12 @@
         });
     }
 
-    fn judge(&mut self, group: &Group, s: &Situation<'_>, commands: &mut Vec<Command>) -> Standing {
+    fn judge(
+        &mut self,
+        group: &Group,
+        s: &DomainContext<'_>,
+        commands: &mut Vec<Command>,
+    ) -> Standing {
         let Some(head) = group.head() else { return self.judge_headless(group, s) };
         if self.forming.contains_key(&group.epoch) {
             return self.judge_forming(group, head, s);
@@ -291,7 +296,7 @@
 
     /// A group whose head states no membership in it: it has left, or is gone, or the
     /// list lacks it although it may still serve.
-    fn judge_headless(&mut self, group: &Group, s: &Situation<'_>) -> Standing {
+    fn judge_headless(&mut self, group: &Group, s: &DomainContext<'_>) -> Standing {
         let since = *self.headless.entry(group.epoch).or_insert(s.now);
         let is_over = match (s.head_of)(group) {
             Some(head) => {
@@ -305,7 +310,7 @@
         if is_over { Standing::Idle } else { Standing::Held }
     }
 
-    fn judge_forming(&mut self, group: &Group, head: &Instance, s: &Situation<'_>) -> Standing {
+    fn judge_forming(&mut self, group: &Group, head: &Instance, s: &DomainContext<'_>) -> Standing {
         if group.state() == Some(MemberState::Open) {
             self.forming.remove(&group.epoch);
         }
@@ -316,7 +321,7 @@
         &mut self,
         group: &Group,
         head: &Instance,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         commands: &mut Vec<Command>,
     ) -> Standing {
         if s.has_lost_member(group) {
@@ -333,7 +338,7 @@
         head: &Instance,
         is_cut: bool,
         why: &'static str,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         commands: &mut Vec<Command>,
     ) {
         if s.is_lost(&head.identity) {
@@ -367,7 +372,7 @@
     }
 
     /// Goes on with every formation: joins that are due, then opening.
-    fn carry_on(&mut self, s: &Situation<'_>, groups: &[Group], commands: &mut Vec<Command>) {
+    fn carry_on(&mut self, s: &DomainContext<'_>, groups: &[Group], commands: &mut Vec<Command>) {
         let epochs: Vec<u64> = self.forming.keys().copied().collect();
         for epoch in epochs {
             let forming = self.forming[&epoch].clone();
@@ -399,7 +404,7 @@
         member: &Instance,
         epoch: u64,
         forming: &Forming,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         groups: &[Group],
         commands: &mut Vec<Command>,
     ) {
@@ -423,7 +428,7 @@
     fn bound_by<'a>(
         &self,
         member: &Instance,
-        s: &Situation<'a>,
+        s: &DomainContext<'a>,
         groups: &'a [Group],
     ) -> Option<(&'a Group, &'a Instance)> {
         let own = member.membership.as_ref()?;
@@ -434,7 +439,7 @@
         (!is_free).then_some((group, head.as_ref()))
     }
 
-    fn tidy(&mut self, s: &Situation<'_>) {
+    fn tidy(&mut self, s: &DomainContext<'_>) {
         let window = self.rules.load_window;
         while self.loads.front().is_some_and(|at| s.now.since(*at) > window) {
             self.loads.pop_front();
--- a/crates/workshold-core/src/hosted/steward/planning.rs
+++ b/crates/workshold-core/src/hosted/steward/planning.rs
@@ -18,10 +18,10 @@
 use crate::hosted::serving_config::ModelSpec;
 
 use super::Command;
+use super::DomainContext;
 use super::Forming;
 use super::Intended;
 use super::Planned;
-use super::Situation;
 use super::Steward;
 use super::situation::LEAVING_LINGERS;
 use super::view;
@@ -31,7 +31,7 @@
     /// What the plan for all domains says of this one.
     pub(super) fn changes(
         &mut self,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         groups: &[Group],
         pool: &[Free],
     ) -> Vec<Change> {
@@ -94,7 +94,7 @@
     fn not_begun(
         &self,
         changes: impl Iterator<Item = Change>,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         groups: &[Group],
         pool: &[Free],
     ) -> Vec<Change> {
@@ -125,7 +125,7 @@
     /// Does what can be done now; the rest is planned again at the next look.
     pub(super) fn carry_out(
         &mut self,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         groups: &[Group],
         pool: &[Free],
         changes: &[Change],
@@ -155,7 +155,7 @@
         &mut self,
         change: &Change,
         spec: &ModelSpec,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         groups: &[Group],
         commands: &mut Vec<Command>,
     ) {
@@ -173,7 +173,7 @@
     }
 
     /// Forms what groups were closed for, once its members are free.
-    pub(super) fn form_intended(&mut self, s: &Situation<'_>, pool: &[Free]) {
+    pub(super) fn form_intended(&mut self, s: &DomainContext<'_>, pool: &[Free]) {
         let is_fit = |id: &Identity| s.entry(id).is_some_and(|entry| s.can_serve(entry));
         let mut kept = Vec::new();
         for intended in std::mem::take(&mut self.intended) {
@@ -215,7 +215,7 @@
 }
 
 /// The changes in a few words, for logs.
-pub(super) fn describe_changes(s: &Situation<'_>, changes: &[Change]) -> String {
+pub(super) fn describe_changes(s: &DomainContext<'_>, changes: &[Change]) -> String {
     let tell = |change: &Change| {
         let model = &s.engine.models[change.model].name;
         let (size, closes, loads) = (change.members.len(), change.closes.len(), change.loads.len());
--- a/crates/workshold-core/src/hosted/steward/situation.rs
+++ b/crates/workshold-core/src/hosted/steward/situation.rs
@@ -44,7 +44,7 @@
 
 /// All that a steward looks at in one domain.
 #[derive(Clone, Copy)]
-pub struct Situation<'a> {
+pub struct DomainContext<'a> {
     /// The domain.
     pub domain: &'a FabricDomain,
     /// What the operator says of the engines.
@@ -73,7 +73,7 @@
     /// Whether no request has come yet: loads are quick and free.
     pub before_traffic: bool,
     /// This steward's part of all loads, 0 to 1.
-    pub load_part: f64,
+    pub load_share: f64,
     /// When an instance last appeared.
     pub last_arrival_at: Millis,
     /// The clock.
@@ -87,7 +87,7 @@
 /// taking connections: longer than any request may take.
 pub(super) const LEAVING_LINGERS: Millis = Millis(10_500);
 
-impl<'a> Situation<'a> {
+impl<'a> DomainContext<'a> {
     pub(super) fn entry(&self, id: &Identity) -> Option<&'a Entry> {
         self.entries.iter().copied().find(|entry| &entry.instance.identity == id)
     }
--- a/crates/workshold-core/src/hosted/steward/staging.rs
+++ b/crates/workshold-core/src/hosted/steward/staging.rs
@@ -12,8 +12,8 @@
 use crate::hosted::serving_config::ModelSpec;
 
 use super::Command;
+use super::DomainContext;
 use super::Order;
-use super::Situation;
 use super::Steward;
 use super::view::Free;
 
@@ -30,7 +30,7 @@
     /// so that whoever survives a loss can soon be part of a group of either.
     pub(super) fn stage_ahead(
         &mut self,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         pool: &[Free],
         commands: &mut Vec<Command>,
     ) {
@@ -51,7 +51,7 @@
         }
     }
 
-    fn stage_before_traffic(&mut self, s: &Situation<'_>, commands: &mut Vec<Command>) {
+    fn stage_before_traffic(&mut self, s: &DomainContext<'_>, commands: &mut Vec<Command>) {
         let instances = self.with_one_model(s);
         let by_gain = if instances.is_empty() { Vec::new() } else { by_gain(s) };
         for instance in instances {
@@ -64,7 +64,7 @@
 
     /// Settled members of groups, and free instances, whose host and memory have the
     /// weights of one model only.
-    fn with_one_model(&self, s: &Situation<'_>) -> Vec<Arc<Instance>> {
+    fn with_one_model(&self, s: &DomainContext<'_>) -> Vec<Arc<Instance>> {
         let is_settled = |instance: &Instance| {
             let own = instance.membership.as_ref();
             own.is_none_or(|own| own.state != MemberState::Joining) && !instance.loaded.is_empty()
@@ -81,11 +81,11 @@
         &mut self,
         instance: &Instance,
         model: &ModelSpec,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         commands: &mut Vec<Command>,
     ) {
         let window = self.rules.load_window.as_secs_f64();
-        let most = (s.engine.loads_per_s * window * s.load_part * LOADS_USED).max(1.0);
+        let most = (s.engine.loads_per_s * window * s.load_share * LOADS_USED).max(1.0);
         if self.is_busy_loading(&instance.identity, s) {
             return;
         }
@@ -105,7 +105,7 @@
     pub(super) fn staging_since(
         &self,
         instance: &Instance,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
     ) -> Option<(ModelName, Millis)> {
         let (model, since) = self.staging.get(&instance.identity)?;
         let load = s.engine.model(model.as_str()).map_or(Millis::ZERO, |model| model.load);
@@ -114,7 +114,7 @@
         (!is_done && !is_late).then(|| (model.clone(), *since))
     }
 
-    pub(super) fn is_staging(&self, instance: &Instance, s: &Situation<'_>) -> bool {
+    pub(super) fn is_staging(&self, instance: &Instance, s: &DomainContext<'_>) -> bool {
         self.staging_since(instance, s).is_some()
     }
 
@@ -125,13 +125,13 @@
         }
     }
 
-    fn is_busy_loading(&self, id: &Identity, s: &Situation<'_>) -> bool {
+    fn is_busy_loading(&self, id: &Identity, s: &DomainContext<'_>) -> bool {
         self.busy.get(id).is_some_and(|until| s.now < *until)
     }
 }
 
 /// The models, the one first whose next group brings most for each instance.
-fn by_gain<'a>(s: &Situation<'a>) -> Vec<&'a ModelSpec> {
+fn by_gain<'a>(s: &DomainContext<'a>) -> Vec<&'a ModelSpec> {
     let gain = |model: &planner::Model| model.utility.gain(model.groups, 1.0) / model.size as f64;
     let mut models: Vec<(&ModelSpec, f64)> = s
         .engine
--- a/crates/workshold-core/src/hosted/steward/view.rs
+++ b/crates/workshold-core/src/hosted/steward/view.rs
@@ -19,7 +19,7 @@
 use crate::hosted::serving_config::Engine;
 use crate::hosted::serving_config::ModelSpec;
 
-use super::Situation;
+use super::DomainContext;
 use super::Steward;
 
 /// Joining again what an instance served last: its memory has the weights.
@@ -53,7 +53,12 @@
 
 impl Steward {
     /// Instances that can be put into a new group.
-    pub(super) fn pool(&self, s: &Situation<'_>, groups: &[Group], idle: &[&Group]) -> Vec<Free> {
+    pub(super) fn pool(
+        &self,
+        s: &DomainContext<'_>,
+        groups: &[Group],
+        idle: &[&Group],
+    ) -> Vec<Free> {
         let is_forming = |id: &Identity| self.forming.values().any(|f| f.members.contains(id));
         s.entries
             .iter()
@@ -79,7 +84,7 @@
     /// The steward's own domain.
     pub(super) fn view(
         &self,
-        s: &Situation<'_>,
+        s: &DomainContext<'_>,
         groups: &[Group],
         pool: &[Free],
     ) -> planner::Domain {
@@ -106,7 +111,7 @@
         planner::Domain { name: s.domain.clone(), free, standing }
     }
 
-    fn host(&self, instance: &Instance, is_bound: bool, s: &Situation<'_>) -> Host {
+    fn host(&self, instance: &Instance, is_bound: bool, s: &DomainContext<'_>) -> Host {
         let mut host = host(instance, is_bound, s.engine, s.before_traffic);
         let Some((coming, since)) = self.staging_since(instance, s) else { return host };
         let load = s.engine.model(coming.as_str()).map_or(Millis::ZERO, |spec| spec.load);
--- a/crates/workshold-core/tests/hosted.rs
+++ b/crates/workshold-core/tests/hosted.rs
@@ -8,6 +8,8 @@
 mod histories;
 #[path = "hosted/instance_limits.rs"]
 mod instance_limits;
+#[path = "hosted/partition_lease.rs"]
+mod partition_lease;
 #[path = "hosted/planned_anew.rs"]
 mod planned_anew;
 #[path = "hosted/planning.rs"]
@@ -22,5 +24,3 @@
 mod sight;
 #[path = "hosted/stewards.rs"]
 mod stewards;
-#[path = "hosted/tenures.rs"]
-mod tenures;
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -21,9 +21,9 @@
 use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_core::hosted::steward;
 use workshold_core::hosted::steward::Command;
+use workshold_core::hosted::steward::DomainContext;
 use workshold_core::hosted::steward::Order;
 use workshold_core::hosted::steward::OrderReply;
-use workshold_core::hosted::steward::Situation;
 use workshold_core::hosted::steward::Steward;
 use workshold_core::hosted::steward::StewardRules;
 use workshold_core::hosted::suspicion::Loss;
@@ -214,7 +214,7 @@
         let head_of = |group: &Group| self.heads.get(&group.epoch).cloned();
         let has_restarted_member = |group: &Group| self.broken.contains(&group.epoch);
         let models = self.models();
-        steward.plan(&Situation {
+        steward.plan(&DomainContext {
             domain: &domain,
             engine: &self.engine,
             entries: &entries,
@@ -228,7 +228,7 @@
             models: &|| models.clone(),
             may_close: self.may_close,
             before_traffic: self.before_traffic,
-            load_part: 1.0,
+            load_share: 1.0,
             last_arrival_at: Millis::ZERO,
             now: self.now,
         })
--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -108,7 +108,7 @@
     parts.spawn(tasks::quarantining::run(Arc::clone(&node)));
     parts.spawn(tasks::upkeep::run(Arc::clone(&node)));
     parts.spawn(watch_settings(Arc::clone(&node), path.clone()));
-    let lease = tokio::spawn(tasks::leasing::hold(Arc::clone(&node)));
+    let lease = tokio::spawn(tasks::leasing::hold_lease(Arc::clone(&node)));
     emit(Event::Started, &[("callers", &node.settings().listen.callers.to_string())]);
     loop {
         tokio::select! {
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -34,6 +34,7 @@
 use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::instance_limits::InstanceLimits;
+use workshold_core::hosted::partition_lease::PartitionLease;
 use workshold_core::hosted::quarantine::Quarantine;
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
@@ -43,7 +44,6 @@
 use workshold_core::hosted::silence::EventGaps;
 use workshold_core::hosted::silence::StallRules;
 use workshold_core::hosted::suspicion::Suspicions;
-use workshold_core::hosted::tenure::Tenure;
 use workshold_core::hosted::tries::RetryBudget;
 use workshold_core::outlier::OutlierRules;
 use workshold_core::outlier::Outliers;
@@ -106,7 +106,7 @@
     /// The right that its orders go by.
     pub fence: Fence,
     /// The parts that are this node's.
-    pub parts: BTreeMap<u64, Tenure>,
+    pub parts: BTreeMap<u64, PartitionLease>,
     /// When the last renewal that was answered was sent.
     pub renewed_at: Millis,
     /// An instance has refused this one: another node has a higher one.
@@ -464,7 +464,7 @@
         let mut by_name = sums.work().clone();
         for (model, work) in own.iter().filter(|_| !holds_own) {
             let sum = by_name.entry(name_hash(model)).or_default();
-            *sum = sum.and(*work);
+            *sum = sum.plus(*work);
         }
         let of = |name: &ModelName| by_name.get(&name_hash(name.as_str())).copied();
         let names = engine.models.iter().map(|spec| &spec.name);
--- a/crates/workshold-gateway/src/node/reading.rs
+++ b/crates/workshold-gateway/src/node/reading.rs
@@ -32,7 +32,11 @@
     /// Whether a part of the lease waits for a reading of the list that began later.
     pub fn wants_list_anew(&self) -> bool {
         let read_at = self.list.lock().read_at;
-        self.lease.lock().parts.values().any(|tenure| tenure.wants_list(read_at))
+        self.lease
+            .lock()
+            .parts
+            .values()
+            .any(|partition_lease| partition_lease.needs_list_reread(read_at))
     }
 
     /// Whether this node knows the others, as far as it can: there is nobody whom it could
--- a/crates/workshold-gateway/src/peers/exchange.rs
+++ b/crates/workshold-gateway/src/peers/exchange.rs
@@ -96,7 +96,7 @@
     fn add_work(&mut self, work: &[ToldWork]) {
         for told in work {
             let sum = self.by_model.entry(told.model).or_default();
-            *sum = sum.and(told.work());
+            *sum = sum.plus(told.work());
         }
     }
 
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::tenure::Tenure;
+use workshold_core::hosted::partition_lease::PartitionLease;
 use workshold_platform::store::Joined;
 use workshold_platform::store::StoreError;
 use workshold_protocol::Millis;
@@ -44,7 +44,7 @@
 }
 
 /// Holds the lease until the node leaves, then gives it back.
-pub async fn hold(node: Arc<Node>) {
+pub async fn hold_lease(node: Arc<Node>) {
     let member = member(&node);
     let ttl = node.settings().lease_ttl();
     settle(&node).await;
@@ -106,9 +106,11 @@
     // meanwhile, also if the answer that said so was lost.
     let lasted = sent.since(lease.renewed_at) < node.settings().lease_ttl();
     let is_held_on = lease.fence.era == fence.era && lasted;
-    let anew = Tenure::new(fence, now).waits_until(true_from);
-    let tenure = |part: &u64| held.get(part).copied().filter(|_| is_held_on).unwrap_or(anew);
-    let parts: BTreeMap<u64, Tenure> = parts.iter().map(|part| (*part, tenure(part))).collect();
+    let anew = PartitionLease::new(fence, now).with_earliest_order_at(true_from);
+    let partition_lease =
+        |part: &u64| held.get(part).copied().filter(|_| is_held_on).unwrap_or(anew);
+    let parts: BTreeMap<u64, PartitionLease> =
+        parts.iter().map(|part| (*part, partition_lease(part))).collect();
     let is_news = parts.keys().ne(held.keys());
     let is_later = lease.fence != fence;
     lease.parts = parts;
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -11,12 +11,12 @@
 use smol_str::SmolStr;
 use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::identity::Identity;
+use workshold_core::hosted::partition_lease::HandoverTimings;
 use workshold_core::hosted::roster::Entry;
 use workshold_core::hosted::steward::Command;
 use workshold_core::hosted::steward::Order;
 use workshold_core::hosted::steward::OrderReply;
 use workshold_core::hosted::steward::Steward;
-use workshold_core::hosted::tenure::TenureRules;
 use workshold_platform::engines;
 use workshold_protocol::Millis;
 
@@ -86,7 +86,7 @@
 fn settle(node: &Node) -> Lease {
     let now = node.now();
     let rules =
-        TenureRules { orders_arrive: ORDERS_ARRIVE, lease_ttl: node.settings().lease_ttl() };
+        HandoverTimings { max_order_delay: ORDERS_ARRIVE, lease_ttl: node.settings().lease_ttl() };
     let own = node.settings().control();
     let sums = node.peers.lock().sums(now);
     let acting: Vec<Fence> =
@@ -94,7 +94,9 @@
     let lease = {
         let mut lease = node.lease.lock();
         let parts = lease.parts.values_mut();
-        parts.for_each(|tenure| tenure.look(acting.iter().copied(), rules, now));
+        parts.for_each(|partition_lease| {
+            partition_lease.observe_holders(acting.iter().copied(), rules, now)
+        });
         lease.clone()
     };
     if node.wants_list_anew() {
--- a/crates/workshold-gateway/src/tasks/stewarding/look.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/look.rs
@@ -23,8 +23,8 @@
 use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_core::hosted::steward;
 use workshold_core::hosted::steward::Command;
-use workshold_core::hosted::steward::Seen;
-use workshold_core::hosted::steward::Situation;
+use workshold_core::hosted::steward::DomainContext;
+use workshold_core::hosted::steward::DomainSummary;
 use workshold_core::hosted::steward::Steward;
 use workshold_core::hosted::steward::StewardRules;
 use workshold_core::hosted::suspicion::Loss;
@@ -116,7 +116,7 @@
                 Steward::new(StewardRules::default(), part, self.fence, issued)
             });
             steward.raise_fence(self.fence);
-            commands.extend(steward.plan(&Situation {
+            commands.extend(steward.plan(&DomainContext {
                 domain,
                 engine,
                 entries,
@@ -130,11 +130,11 @@
                 models: &|| whole.models(&forming),
                 may_close: asked.observed_fraction >= SEEN_ENOUGH,
                 before_traffic: self.before_traffic,
-                load_part: 1.0 / domain_count.max(1) as f64,
+                load_share: 1.0 / domain_count.max(1) as f64,
                 last_arrival_at: self.roster.last_arrival_at(),
                 now: self.now,
             }));
-            self.log_domain(domain, &whole, &forming, steward.seen());
+            self.log_domain(domain, &whole, &forming, steward.summary());
         }
         commands
     }
@@ -155,8 +155,8 @@
     }
 
     fn may_order(&self, domain: &FabricDomain) -> bool {
-        let tenure = self.lease.parts.get(&part_of(domain, self.parts));
-        tenure.is_some_and(|tenure| tenure.may_order(self.list_read_at))
+        let partition_lease = self.lease.parts.get(&part_of(domain, self.parts));
+        partition_lease.is_some_and(|partition_lease| partition_lease.may_order(self.list_read_at))
     }
 
     /// All domains by the list alone.
@@ -183,7 +183,7 @@
         let work = |spec: &ModelSpec| {
             let seen = asked.by_model.get(&spec.name).copied().unwrap_or_default();
             let expected = Workload::expected(engine, spec, instances);
-            seen.and(expected.scaled(1.0 - asked.observed_fraction))
+            seen.plus(expected.scaled(1.0 - asked.observed_fraction))
         };
         let works: Vec<Workload> = engine.models.iter().map(work).collect();
         let utilities = |factor: f64| {
@@ -208,7 +208,13 @@
     }
 
     /// Says now and then what a domain looks like.
-    fn log_domain(&self, domain: &FabricDomain, whole: &Whole<'_>, forming: &Forming, seen: &Seen) {
+    fn log_domain(
+        &self,
+        domain: &FabricDomain,
+        whole: &Whole<'_>,
+        forming: &Forming,
+        seen: &DomainSummary,
+    ) {
         let mut told = self.told.lock();
         let last = told.get(domain);
         if last.is_some_and(|last| self.now.since(*last) < TELL_EVERY) {
@@ -224,12 +230,12 @@
             Event::DomainSeen,
             &[
                 ("domain", domain.as_str()),
-                ("fit", &seen.fit.to_string()),
+                ("fit", &seen.serviceable.to_string()),
                 ("free", &seen.free.to_string()),
                 ("staging", &seen.staging.to_string()),
                 ("forming", &seen.forming.to_string()),
-                ("who", &seen.who),
-                ("intends", &seen.intends),
+                ("who", &seen.free_instances),
+                ("intends", &seen.planned_changes),
                 ("groups", &by_model(&whole.counts(forming))),
                 ("least", &by_model(&least)),
             ],
--- a/crates/workshold-gateway/tests/leases.rs
+++ b/crates/workshold-gateway/tests/leases.rs
@@ -10,13 +10,14 @@
 use rstest::rstest;
 use workshold_core::hosted::history::Era;
 use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::tenure::TenureRules;
+use workshold_core::hosted::partition_lease::HandoverTimings;
 use workshold_gateway::node::Node;
 use workshold_gateway::tasks::leasing;
 use workshold_platform::store::Answer;
 use workshold_protocol::Millis;
 
-const RULES: TenureRules = TenureRules { orders_arrive: Millis(300), lease_ttl: Millis(1_500) };
+const RULES: HandoverTimings =
+    HandoverTimings { max_order_delay: Millis(300), lease_ttl: Millis(1_500) };
 
 fn fence(era: u64, generation: u64) -> Fence {
     Fence { era: Era(era), generation }
@@ -25,9 +26,9 @@
 fn may_order(node: &Node) -> bool {
     let now = node.now();
     let mut lease = node.lease.lock();
-    let tenure = lease.parts.get_mut(&3).unwrap();
-    tenure.look(std::iter::empty::<Fence>(), RULES, now);
-    tenure.may_order(now)
+    let partition_lease = lease.parts.get_mut(&3).unwrap();
+    partition_lease.observe_holders(std::iter::empty::<Fence>(), RULES, now);
+    partition_lease.may_order(now)
 }
 
 /// A node holds part 3 and may order; `pause` later an answer names the part again.
--- a/crates/workshold-model/src/hosted/office.rs
+++ b/crates/workshold-model/src/hosted/office.rs
@@ -9,6 +9,8 @@
 use workshold_core::hosted::groups::Group;
 use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::identity::Identity;
+use workshold_core::hosted::partition_lease::HandoverTimings;
+use workshold_core::hosted::partition_lease::PartitionLease;
 use workshold_core::hosted::planner;
 use workshold_core::hosted::roster::Entry;
 use workshold_core::hosted::roster::Instance;
@@ -17,14 +19,12 @@
 use workshold_core::hosted::roster::Roster;
 use workshold_core::hosted::serving_config::Engine;
 use workshold_core::hosted::steward::Command;
+use workshold_core::hosted::steward::DomainContext;
 use workshold_core::hosted::steward::Order;
 use workshold_core::hosted::steward::OrderReply;
-use workshold_core::hosted::steward::Situation;
 use workshold_core::hosted::steward::Steward;
 use workshold_core::hosted::steward::StewardRules;
 use workshold_core::hosted::suspicion::Loss;
-use workshold_core::hosted::tenure::Tenure;
-use workshold_core::hosted::tenure::TenureRules;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::FabricDomain;
 use workshold_protocol::ids::InstanceId;
@@ -66,7 +66,7 @@
     pub frozen_until: Millis,
     /// When it notices that its lease has gone.
     loses_at: Option<Millis>,
-    tenure: Tenure,
+    partition_lease: PartitionLease,
     /// The list as it has it, when that was read, and until when nothing new comes.
     roster: Roster,
     read_at: Millis,
@@ -81,7 +81,8 @@
 const BLAMED_TO: Millis = Millis(4_000);
 
 /// How tenures settle; the same times as in a node.
-const TENURES: TenureRules = TenureRules { orders_arrive: Millis(300), lease_ttl: LEASE_TTL };
+const TENURES: HandoverTimings =
+    HandoverTimings { max_order_delay: Millis(300), lease_ttl: LEASE_TTL };
 
 impl Office {
     /// One that holds nothing.
@@ -93,7 +94,7 @@
             issued: Arc::default(),
             frozen_until: Millis::ZERO,
             loses_at: None,
-            tenure: Tenure::new(0, Millis::ZERO),
+            partition_lease: PartitionLease::new(0, Millis::ZERO),
             roster: Roster::default(),
             read_at: Millis::ZERO,
             silent_until: Millis::ZERO,
@@ -116,9 +117,9 @@
             _ => fence,
         };
         self.loses_at = None;
-        self.tenure = Tenure::new(self.fence, now);
+        self.partition_lease = PartitionLease::new(self.fence, now);
         if waits {
-            self.tenure = self.tenure.waits_until(true_from);
+            self.partition_lease = self.partition_lease.with_earliest_order_at(true_from);
         }
         self.steward = Some(self.new_steward());
     }
@@ -151,7 +152,7 @@
     pub fn hear_others(&mut self, others: &[Fence], now: Millis) {
         let notices = self.broken == Some(Broken::LastHolderNotices);
         let heard = if notices { &[] } else { others };
-        self.tenure.look(heard.iter().copied(), TENURES, now);
+        self.partition_lease.observe_holders(heard.iter().copied(), TENURES, now);
     }
 
     fn read(&mut self, view: &View<'_>) {
@@ -168,7 +169,7 @@
 
     fn may_order(&self, now: Millis) -> bool {
         let is_blind = self.broken == Some(Broken::ListReadAnew);
-        self.tenure.may_order(if is_blind { now } else { self.read_at })
+        self.partition_lease.may_order(if is_blind { now } else { self.read_at })
     }
 
     /// It forgets what it was doing, and goes on under the same lease.
@@ -222,7 +223,7 @@
         let has_restarted_member =
             |group: &Group| roster.has_restarted_member(group.epoch, &group.id);
         let models = counted(view, &entries);
-        let commands = steward.plan(&Situation {
+        let commands = steward.plan(&DomainContext {
             domain: &domain,
             engine: view.engine,
             entries: &entries,
@@ -236,7 +237,7 @@
             models: &|| models.clone(),
             may_close: view.mode == Mode::Swings,
             before_traffic: view.mode == Mode::BeforeTraffic,
-            load_part: 1.0,
+            load_share: 1.0,
             last_arrival_at: Millis::ZERO,
             now: view.now,
         });
