--- a/crates/workshold-gateway/src/callers/directory.rs
+++ b/crates/workshold-gateway/src/callers/directory.rs
@@ -46,8 +46,8 @@
     }
     let peers = node.peers.lock();
     for (_, peer) in peers.heard(node.now()) {
-        if peer.pulse.is_ready {
-            all.push((peer.pulse.data_centre.to_string(), peer.pulse.callers.to_string()));
+        if peer.heartbeat.is_ready {
+            all.push((peer.heartbeat.data_centre.to_string(), peer.heartbeat.callers.to_string()));
         }
     }
     drop(peers);
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -92,7 +92,7 @@
 /// Answers one request.
 pub async fn answer(node: Arc<Node>, req: Request<Incoming>) -> Response<AnswerBody> {
     let guard = node.begin_request();
-    node.saw_traffic();
+    node.note_traffic();
     let mut res = match prepare(&node, req).await {
         Ok(job) => relay::run(&node, job, guard).await,
         Err(res) => *res,
@@ -179,7 +179,7 @@
     headers: &HeaderMap,
     id: &str,
 ) -> Result<Option<TeamAndRank>, Box<Response<AnswerBody>>> {
-    if serving_config.needs_key(route) && !node.are_keys_believed() {
+    if serving_config.needs_key(route) && !node.are_keys_trusted() {
         let why = "keys may be out of date here";
         emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
         return Err(refuse(why));
--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -97,13 +97,13 @@
     let mut parts = JoinSet::new();
     parts.spawn(tasks::following::config(Arc::clone(&node)));
     parts.spawn(tasks::following::list(Arc::clone(&node)));
-    parts.spawn(tasks::gossip::send_pulses(Arc::clone(&node), Arc::clone(&socket)));
+    parts.spawn(tasks::gossip::send_heartbeats(Arc::clone(&node), Arc::clone(&socket)));
     parts.spawn(tasks::gossip::send_news(Arc::clone(&node), Arc::clone(&socket)));
     parts.spawn(tasks::gossip::receive(Arc::clone(&node), Arc::clone(&socket)));
     parts.spawn(tasks::gossip::catch_up(Arc::clone(&node)));
     parts.spawn(tasks::probing::run(Arc::clone(&node), socket, probes_rx));
     parts.spawn(tasks::probing::retry_probes(Arc::clone(&node)));
-    parts.spawn(tasks::leasing::find_peers(Arc::clone(&node)));
+    parts.spawn(tasks::leasing::discover_peers(Arc::clone(&node)));
     parts.spawn(tasks::stewarding::run(Arc::clone(&node)));
     parts.spawn(tasks::quarantining::run(Arc::clone(&node)));
     parts.spawn(tasks::upkeep::run(Arc::clone(&node)));
@@ -218,7 +218,7 @@
     wait_until(node, half.min(ends)).await;
     node.close();
     wait_until(node, forgotten).await;
-    node.take_nothing();
+    node.refuse_requests();
     while node.in_flight() > 0 && node.now() < ends {
         tokio::time::sleep(STOP_POLL).await;
     }
--- a/crates/workshold-gateway/src/loads.rs
+++ b/crates/workshold-gateway/src/loads.rs
@@ -116,19 +116,19 @@
     }
 
     /// All that this node has requests at.
-    pub fn all_own(&self) -> Vec<(Identity, Load)> {
+    pub fn own_loads(&self) -> Vec<(Identity, Load)> {
         let own = self.own.lock();
         let all = own.iter().map(|(id, own)| (id.clone(), own.load()));
         all.filter(|(_, load)| load.requests > 0).collect()
     }
 
     /// Takes what the others said, summed up at `now`.
-    pub fn set_others(&self, others: HashMap<u32, Load>, now: Millis) {
+    pub fn set_peer_loads(&self, others: HashMap<u32, Load>, now: Millis) {
         *self.others.lock() = (others, now);
     }
 
     /// Whether what the others said was last summed up longer than `age` ago.
-    pub fn are_old(&self, now: Millis, age: Millis) -> bool {
+    pub fn are_peer_loads_stale(&self, now: Millis, age: Millis) -> bool {
         now.since(self.others.lock().1) >= age
     }
 
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -59,7 +59,7 @@
 use crate::loads::name_hash;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
-use crate::peers::news::Gap;
+use crate::peers::news::ListGap;
 use crate::settings::Settings;
 use crate::store_monitor::StoreMonitor;
 use crate::table::Table;
@@ -88,7 +88,7 @@
     /// Instances by the short names that datagrams use.
     pub by_instance_hash: HashMap<u32, Identity>,
     /// What others have of it and this node lacks.
-    pub gap: Gap,
+    pub gap: ListGap,
     /// Whether this node itself has read something new that it has not passed on.
     pub has_own_news: bool,
 }
@@ -185,7 +185,7 @@
     /// Wakes the steward.
     pub steward_wanted: Notify,
     /// Wakes the one who sends pulses.
-    pub pulse_wanted: Notify,
+    pub heartbeat_wanted: Notify,
     /// Wakes the one who catches up from peers.
     pub catch_up_wanted: Notify,
     /// Wakes the one who passes news of the list on.
@@ -253,7 +253,7 @@
         probes: tokio::sync::mpsc::UnboundedSender<Probe>,
     ) -> Self {
         let is_first_start = settings.node.is_first_start;
-        let peers = Peers::of_class(settings.limits.class());
+        let peers = Peers::with_class(settings.limits.class());
         let store = Store::new(&settings.store.address);
         let config_store = Store::new(&settings.store.address);
         let list_store = Store::new(&settings.store.address);
@@ -285,7 +285,7 @@
             peers: Mutex::new(peers),
             lease: Mutex::default(),
             steward_wanted: Notify::new(),
-            pulse_wanted: Notify::new(),
+            heartbeat_wanted: Notify::new(),
             catch_up_wanted: Notify::new(),
             news_wanted: Notify::new(),
             list_gap_seen: Notify::new(),
@@ -341,7 +341,7 @@
     }
 
     /// Takes a configuration that was the newest at `at`; an older one changes nothing.
-    pub fn take_config(&self, serving_config: ServingConfig, bytes: Bytes, at: Millis) {
+    pub fn install_config(&self, serving_config: ServingConfig, bytes: Bytes, at: Millis) {
         let version = serving_config.version;
         let len = bytes.len();
         {
@@ -352,8 +352,8 @@
             *held = Some((Arc::new(serving_config), bytes));
         }
         emit(Event::ConfigTaken, &[("version", &version.to_string()), ("bytes", &len.to_string())]);
-        self.remake_table();
-        self.pulse_wanted.notify_one();
+        self.rebuild_table();
+        self.heartbeat_wanted.notify_one();
     }
 
     /// Somebody saw that `version` was the newest at `at`; whether this node lacks it.
@@ -369,9 +369,9 @@
 
     /// Whether keys can be believed now: they are current, or this deployment would
     /// rather serve by the last configuration known than not at all.
-    pub fn are_keys_believed(&self) -> bool {
+    pub fn are_keys_trusted(&self) -> bool {
         let settings = self.settings();
-        let bound = settings.keys_believed();
+        let bound = settings.max_key_age();
         let currency = *self.currency.lock();
         let is_known = currency.version().is_some();
         (is_known && !settings.bounds.refuse_stale_keys) || currency.is_within(self.now(), bound)
@@ -384,7 +384,7 @@
 
     /// Takes over what trouble with the list those had who read it for this node.
     pub fn hear_of_list_trouble(&self) {
-        if self.is_reader() {
+        if self.is_store_reader() {
             return;
         }
         let settings = self.settings();
@@ -396,7 +396,7 @@
     }
 
     /// Makes the table anew.
-    pub fn remake_table(&self) {
+    pub fn rebuild_table(&self) {
         self.hear_of_list_trouble();
         let Some(serving_config) = self.serving_config() else { return };
         let now = self.now();
@@ -413,7 +413,7 @@
     pub fn list_changed(&self) {
         let since = self.now().since(self.made.lock().at);
         if since >= TABLE_GAP {
-            self.remake_table();
+            self.rebuild_table();
         } else {
             self.table_wanted.notify_one();
         }
@@ -430,7 +430,7 @@
         let is_excusing = list.trust.may_be_incomplete(now);
         drop(list);
         if has_changed || is_excusing || now.since(made.at) >= TABLE_STANDS {
-            self.remake_table();
+            self.rebuild_table();
         }
     }
 
@@ -483,9 +483,9 @@
     }
 
     /// Notes that a request came.
-    pub fn saw_traffic(&self) {
+    pub fn note_traffic(&self) {
         if !self.has_traffic.swap(true, Ordering::Relaxed) {
-            self.pulse_wanted.notify_one();
+            self.heartbeat_wanted.notify_one();
         }
     }
 
@@ -503,7 +503,7 @@
     /// Begins a planned stop.
     pub fn leave(&self) {
         self.is_leaving.store(true, Ordering::Relaxed);
-        self.pulse_wanted.notify_one();
+        self.heartbeat_wanted.notify_one();
     }
 
     /// Whether a planned stop has begun.
@@ -517,7 +517,7 @@
     }
 
     /// From here on nothing is taken: it could not be finished before the end.
-    pub fn take_nothing(&self) {
+    pub fn refuse_requests(&self) {
         self.takes_nothing.store(true, Ordering::Relaxed);
     }
 
@@ -557,7 +557,7 @@
         if self.serving_config().is_none() {
             return Err(NotReady::NoConfig);
         }
-        if !self.are_keys_believed() {
+        if !self.are_keys_trusted() {
             return Err(NotReady::StaleConfig);
         }
         if self.list.lock().next.is_none() {
--- a/crates/workshold-gateway/src/node/held.rs
+++ b/crates/workshold-gateway/src/node/held.rs
@@ -20,7 +20,7 @@
 
 impl Node {
     /// Until when a request is kept from all instances, if it is.
-    pub fn held_until(&self, fingerprint: Fingerprint) -> Option<Millis> {
+    pub fn quarantined_until(&self, fingerprint: Fingerprint) -> Option<Millis> {
         match self.quarantine.lock().status(fingerprint, self.now()) {
             QuarantineStatus::Held(until) => Some(until),
             QuarantineStatus::Free | QuarantineStatus::Suspect => None,
@@ -100,7 +100,7 @@
         }
         self.keep_wanted.notify_one();
         if is_telling {
-            self.pulse_wanted.notify_one();
+            self.heartbeat_wanted.notify_one();
         }
         true
     }
--- a/crates/workshold-gateway/src/node/instance_limits.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -23,7 +23,7 @@
 use crate::loads::instance_hash;
 use crate::metrics::Metric;
 use crate::node::Node;
-use crate::peers::ToldLimit;
+use crate::peers::WireLimit;
 
 /// Limits in one pulse: news first, then the others in turn.
 const MOST_TOLD: usize = 8;
@@ -80,7 +80,7 @@
         self.list.lock().roster.on_leaving(id);
         self.list_changed();
         self.steward_wanted.notify_one();
-        self.pulse_wanted.notify_one();
+        self.heartbeat_wanted.notify_one();
     }
 
     /// Other nodes tell of lives that leave.
@@ -100,7 +100,7 @@
     }
 
     /// Other nodes tell of limits, in a datagram that came after `since`.
-    pub fn hear_of_limits(&self, told: &[ToldLimit], since: Millis) {
+    pub fn hear_of_limits(&self, told: &[WireLimit], since: Millis) {
         for told in told {
             let id = self.list.lock().by_instance_hash.get(&told.instance).cloned();
             if let Some(id) = id {
@@ -117,7 +117,7 @@
         if !is_news {
             return;
         }
-        self.pulse_wanted.notify_one();
+        self.heartbeat_wanted.notify_one();
         let text = |rate: Option<Rate>| rate.map_or_else(String::new, |r| r.as_per_s().to_string());
         let (limit, was) = (text(word.limit), text(was));
         let fields = [("instance", id.as_str()), ("limit", &*limit), ("was", &*was)];
@@ -125,10 +125,10 @@
     }
 
     /// What this node tells others of limits.
-    pub fn told_limits(&self) -> Vec<ToldLimit> {
+    pub fn told_limits(&self) -> Vec<WireLimit> {
         let now = self.now();
         let told = self.instance_limits.lock().next_to_gossip(MOST_TOLD);
-        told.iter().map(|(id, word)| ToldLimit::new(id, *word, now)).collect()
+        told.iter().map(|(id, word)| WireLimit::new(id, *word, now)).collect()
     }
 
     /// Whether an instance takes a request of this node now.
--- a/crates/workshold-gateway/src/node/reading.rs
+++ b/crates/workshold-gateway/src/node/reading.rs
@@ -9,7 +9,7 @@
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
-use crate::peers::LIST_TROUBLE_MOST;
+use crate::peers::LIST_TROUBLE_MAX_AGE_MS;
 use crate::peers::news;
 use crate::peers::rank;
 
@@ -56,8 +56,8 @@
 
     /// Whether this node reads the store itself, or goes by what others read: with
     /// many nodes a few of them are enough.
-    pub fn is_reader(&self) -> bool {
-        !self.has_followers() || self.is_among_first(news::ROOTS)
+    pub fn is_store_reader(&self) -> bool {
+        !self.has_followers() || self.is_among_first(news::STORE_READERS)
     }
 
     /// Whether the store has not answered any of those who read it for this node for so long
@@ -79,19 +79,19 @@
 
     /// How long ago a reading of the list failed, in ms, if this node reads it: told to
     /// those who go by it.
-    pub fn list_trouble(&self) -> Option<u32> {
-        if !self.is_reader() {
+    pub fn list_failure_age_ms(&self) -> Option<u32> {
+        if !self.is_store_reader() {
             return None;
         }
         let last_failure_at = self.list.lock().trust.last_failure_at();
         let age = last_failure_at.and_then(|at| u32::try_from(self.now().since(at).0).ok());
-        Some(age.unwrap_or(LIST_TROUBLE_MOST).min(LIST_TROUBLE_MOST))
+        Some(age.unwrap_or(LIST_TROUBLE_MAX_AGE_MS).min(LIST_TROUBLE_MAX_AGE_MS))
     }
 
     fn is_among_first(&self, most: usize) -> bool {
         let settings = self.settings();
         let data_centre = settings.node.data_centre.as_str();
-        self.peers.lock().is_among(&settings.node.name, data_centre, most, self.now())
+        self.peers.lock().ranks_among_first(&settings.node.name, data_centre, most, self.now())
     }
 
     /// Whether there are nodes that go by what others read.
@@ -127,7 +127,7 @@
             self.quarantine.lock().mark_all_unsaved();
             self.keep_wanted.notify_one();
         }
-        self.pulse_wanted.notify_one();
+        self.heartbeat_wanted.notify_one();
         self.lease_wanted.notify_one();
         self.list_wanted.notify_one();
         self.list_wanted_anew.notify_one();
--- a/crates/workshold-gateway/src/peers.rs
+++ b/crates/workshold-gateway/src/peers.rs
@@ -29,24 +29,24 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::loads::Load;
-use crate::peers::exchange::Own;
+use crate::peers::exchange::LocalNode;
 
 pub use self::messages::Ask;
 pub use self::messages::Datagram;
 pub use self::messages::Digest;
-pub use self::messages::LIST_TROUBLE_MOST;
+pub use self::messages::Heartbeat;
+pub use self::messages::LIST_TROUBLE_MAX_AGE_MS;
 pub use self::messages::ListNews;
 pub use self::messages::ListRecord;
 pub use self::messages::Message;
-pub use self::messages::Pulse;
 pub use self::messages::Scope;
-pub use self::messages::ToldLimit;
-pub use self::messages::ToldLoad;
-pub use self::messages::ToldNode;
-pub use self::messages::ToldRequest;
-pub use self::messages::ToldWork;
 pub use self::messages::VERSION;
+pub use self::messages::WireLimit;
+pub use self::messages::WireLoad;
+pub use self::messages::WireNode;
+pub use self::messages::WireQuarantineEntry;
 pub use self::messages::WireReach;
+pub use self::messages::WireWorkload;
 
 /// Another node as it is heard.
 #[derive(Debug, Clone)]
@@ -56,7 +56,7 @@
     /// Its place in the order that all nodes see alike.
     pub rank: u32,
     /// Its last pulse, or what relays have told of it.
-    pub pulse: Pulse,
+    pub heartbeat: Heartbeat,
     /// When it was last heard, by this node or by a relay.
     pub heard: Millis,
     /// When this node itself last heard it.
@@ -75,13 +75,13 @@
 
     /// Whether this node hears it itself.
     fn is_direct(&self, now: Millis) -> bool {
-        self.direct.is_some_and(|at| now.since(at) < silent_after(&self.pulse))
+        self.direct.is_some_and(|at| now.since(at) < silent_after(&self.heartbeat))
     }
 }
 
 /// Silence after which a node that says how it is itself is not counted on.
-fn silent_after(pulse: &Pulse) -> Millis {
-    Millis(u64::from(pulse.next_ms) * PULSES_MISSED).max(SILENT_LEAST) + PULSE_LATE
+fn silent_after(heartbeat: &Heartbeat) -> Millis {
+    Millis(u64::from(heartbeat.next_ms) * PULSES_MISSED).max(SILENT_LEAST) + PULSE_LATE
 }
 
 /// A node's place in the order that all nodes see alike: those that carry work for others
@@ -154,7 +154,7 @@
 
 impl Peers {
     /// Those of a node that carries work for others like this, 0 best.
-    pub fn of_class(class: u8) -> Self {
+    pub fn with_class(class: u8) -> Self {
         Self { class, ..Self::default() }
     }
 
@@ -188,19 +188,19 @@
     /// Where callers connect to those nodes.
     pub fn callers_of(&self, nodes: &[SocketAddr]) -> Vec<SocketAddr> {
         let known = nodes.iter().filter_map(|node| self.by_address.get(node));
-        known.map(|peer| peer.pulse.callers).collect()
+        known.map(|peer| peer.heartbeat.callers).collect()
     }
 
     /// A pulse came, at `own`. Returns whether it says something that others wait for.
-    pub fn on_pulse(
+    pub fn on_heartbeat(
         &mut self,
         own: SocketAddr,
         from: SocketAddr,
         name: SmolStr,
-        pulse: Pulse,
+        heartbeat: Heartbeat,
         now: Millis,
     ) -> bool {
-        pulse.hears.iter().filter(|address| **address != own).for_each(|address| {
+        heartbeat.hears.iter().filter(|address| **address != own).for_each(|address| {
             self.add(*address, now);
         });
         self.addresses.insert(from, now);
@@ -208,21 +208,22 @@
         let was_gone = self.gone.remove(&from);
         let last = self.by_address.get(&from);
         let is_new = was_gone || last.is_none_or(|last| !last.is_heard(now));
-        let is_news = last.is_some_and(|last| is_news(&last.pulse, &pulse));
+        let is_news = last.is_some_and(|last| is_news(&last.heartbeat, &heartbeat));
         if is_new || is_news {
             self.changed.insert(from, now);
         }
         // Whoever seeks relays says so to anybody, and not again: it is known by what they
         // tell of it.
-        let direct = if pulse.seeks { last.and_then(|last| last.direct) } else { Some(now) };
+        let direct = if heartbeat.seeks { last.and_then(|last| last.direct) } else { Some(now) };
         let told = match last {
-            _ if !pulse.seeks => Millis::ZERO,
+            _ if !heartbeat.seeks => Millis::ZERO,
             Some(last) => last.silent_after,
             None => SEEKER_KNOWN,
         };
-        let silent_after = silent_after(&pulse).max(told);
-        let rank = rank(&name, pulse.class);
-        self.by_address.insert(from, Peer { name, rank, pulse, heard: now, direct, silent_after });
+        let silent_after = silent_after(&heartbeat).max(told);
+        let rank = rank(&name, heartbeat.class);
+        self.by_address
+            .insert(from, Peer { name, rank, heartbeat, heard: now, direct, silent_after });
         is_news
     }
 
@@ -238,9 +239,15 @@
 
     /// Whether a node is among the first `most` of a data centre that are heard, in an
     /// order that all of them see alike.
-    pub fn is_among(&self, name: &str, data_centre: &str, most: usize, now: Millis) -> bool {
+    pub fn ranks_among_first(
+        &self,
+        name: &str,
+        data_centre: &str,
+        most: usize,
+        now: Millis,
+    ) -> bool {
         let own = rank(name, self.class);
-        let near = self.heard(now).filter(|(_, peer)| peer.pulse.data_centre == data_centre);
+        let near = self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == data_centre);
         let before = near.filter(|(_, peer)| peer.rank < own);
         before.take(most).count() < most
     }
@@ -260,16 +267,17 @@
     /// Whether a node is among the `most` of its data centre that try an instance for all
     /// nodes: others for each instance, so that none is buried in tries nor bears all of
     /// them.
-    pub fn is_witness(&self, own: &Own<'_>, instance: u32, most: usize, now: Millis) -> bool {
+    pub fn is_witness(&self, own: &LocalNode<'_>, instance: u32, most: usize, now: Millis) -> bool {
         let own_place = place(instance, rank(own.name, self.class));
-        let near = self.heard(now).filter(|(_, peer)| peer.pulse.data_centre == own.data_centre);
+        let near =
+            self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == own.data_centre);
         near.filter(|(_, peer)| place(instance, peer.rank) < own_place).take(most).count() < most
     }
 
     /// Whether a node is among the first `senders` that serve, by an order of the instance's own.
     pub fn is_among_senders(&self, name: &str, instance: u32, senders: usize, now: Millis) -> bool {
         let own_place = place(instance, rank(name, self.class));
-        let others = self.heard(now).map(|(_, peer)| peer).filter(|peer| peer.pulse.is_ready);
+        let others = self.heard(now).map(|(_, peer)| peer).filter(|peer| peer.heartbeat.is_ready);
         let before = others.filter(|peer| place(instance, peer.rank) < own_place);
         before.take(senders).count() < senders
     }
@@ -278,7 +286,7 @@
     /// there are any: what one of them reads without trouble is as it should be.
     pub fn list_trouble_at(&self, data_centre: &str, now: Millis) -> Option<Millis> {
         let at = |(peer, age): (&Peer, u32)| {
-            (age < LIST_TROUBLE_MOST).then(|| peer.heard - Millis(age.into()))
+            (age < LIST_TROUBLE_MAX_AGE_MS).then(|| peer.heard - Millis(age.into()))
         };
         self.readers(data_centre, now).into_iter().map(at).min().flatten()
     }
@@ -287,22 +295,22 @@
     /// them is heard.
     pub fn readers_answered(&self, data_centre: &str, now: Millis) -> Option<Millis> {
         let readers = self.readers(data_centre, now).into_iter();
-        readers.map(|(peer, _)| peer.heard - Millis(peer.pulse.store_age_ms)).max()
+        readers.map(|(peer, _)| peer.heard - Millis(peer.heartbeat.store_age_ms)).max()
     }
 
     /// Those who read the store, of a data centre if there are any, with how long ago a reading
     /// of the list failed.
     fn readers(&self, data_centre: &str, now: Millis) -> Vec<(&Peer, u32)> {
         let heard = self.heard(now).map(|(_, peer)| peer);
-        let all = heard.filter_map(|peer| Some((peer, peer.pulse.list_trouble_ms?)));
+        let all = heard.filter_map(|peer| Some((peer, peer.heartbeat.list_trouble_ms?)));
         let (near, far): (Vec<_>, Vec<_>) =
-            all.partition(|(peer, _)| peer.pulse.data_centre == data_centre);
+            all.partition(|(peer, _)| peer.heartbeat.data_centre == data_centre);
         if near.is_empty() { far } else { near }
     }
 
     /// The newest configuration that any of those who are heard holds.
     pub fn newest_config(&self, now: Millis) -> Option<u64> {
-        let held = self.heard(now).filter_map(|(_, peer)| peer.pulse.config);
+        let held = self.heard(now).filter_map(|(_, peer)| peer.heartbeat.config);
         held.map(|(version, _)| version).max()
     }
 
@@ -324,9 +332,9 @@
 
 /// Whether others wait for what is new in a pulse: that a node stops serving, who gives
 /// orders, that the store came back from a copy, and a newer configuration.
-fn is_news(last: &Pulse, next: &Pulse) -> bool {
-    let version = |pulse: &Pulse| pulse.config.map(|(version, _)| version);
-    let past = |pulse: &Pulse| pulse.past.map(|(era, _)| era);
+fn is_news(last: &Heartbeat, next: &Heartbeat) -> bool {
+    let version = |heartbeat: &Heartbeat| heartbeat.config.map(|(version, _)| version);
+    let past = |heartbeat: &Heartbeat| heartbeat.past.map(|(era, _)| era);
     (last.is_ready && !next.is_ready)
         || last.acts_by != next.acts_by
         || past(last) < past(next)
--- a/crates/workshold-gateway/src/peers/exchange.rs
+++ b/crates/workshold-gateway/src/peers/exchange.rs
@@ -18,16 +18,16 @@
 use crate::peers::SILENT_LEAST;
 use crate::peers::messages::AGE_UNIT_MS;
 use crate::peers::messages::Digest;
+use crate::peers::messages::Heartbeat;
 use crate::peers::messages::Message;
-use crate::peers::messages::Pulse;
 use crate::peers::messages::Scope;
-use crate::peers::messages::ToldLoad;
-use crate::peers::messages::ToldNode;
-use crate::peers::messages::ToldWork;
+use crate::peers::messages::WireLoad;
+use crate::peers::messages::WireNode;
+use crate::peers::messages::WireWorkload;
 
 /// Relays of a data centre: with two of them lost at the same moment nobody misses
 /// anything.
-pub const RELAYS: usize = 3;
+pub const RELAYS_PER_DATA_CENTRE: usize = 3;
 /// A node that hears no relay asks so many of those that there may be.
 const SOUGHT: usize = 4;
 /// Nodes that a digest tells of in turn: with three relays all of 300 within 1.3 s.
@@ -46,7 +46,7 @@
 
 /// The node that speaks.
 #[derive(Debug, Clone, Copy)]
-pub struct Own<'a> {
+pub struct LocalNode<'a> {
     /// Where it is heard.
     pub address: SocketAddr,
     /// Its name.
@@ -93,14 +93,14 @@
         self.by_instance.iter().map(|(instance, (load, _))| (*instance, *load)).collect()
     }
 
-    fn add_work(&mut self, work: &[ToldWork]) {
+    fn add_work(&mut self, work: &[WireWorkload]) {
         for told in work {
             let sum = self.by_model.entry(told.model).or_default();
             *sum = sum.plus(told.work());
         }
     }
 
-    fn add_loads(&mut self, loads: &[ToldLoad]) {
+    fn add_loads(&mut self, loads: &[WireLoad]) {
         for told in loads {
             let (sum, gap) = self.by_instance.entry(told.instance).or_default();
             sum.add(told.load());
@@ -112,13 +112,13 @@
         self.store_answered = self.store_answered.max(Some(at));
     }
 
-    fn add_pulse(&mut self, address: SocketAddr, pulse: &Pulse, heard: Millis) {
-        self.add_work(&pulse.work);
-        self.add_loads(&pulse.loads);
-        self.acts_by.extend(pulse.acts_by.map(|fence| (address, fence)));
-        self.seen_percent = self.seen_percent.max(pulse.seen_percent);
-        self.has_traffic |= pulse.has_traffic;
-        self.add_answer(heard - Millis(pulse.store_age_ms));
+    fn add_pulse(&mut self, address: SocketAddr, heartbeat: &Heartbeat, heard: Millis) {
+        self.add_work(&heartbeat.work);
+        self.add_loads(&heartbeat.loads);
+        self.acts_by.extend(heartbeat.acts_by.map(|fence| (address, fence)));
+        self.seen_percent = self.seen_percent.max(heartbeat.seen_percent);
+        self.has_traffic |= heartbeat.has_traffic;
+        self.add_answer(heard - Millis(heartbeat.store_age_ms));
     }
 
     fn add_digest(&mut self, heard: &Heard) {
@@ -133,31 +133,31 @@
 }
 
 impl Peers {
-    /// What is to be said now; `pulse` is how this node is, `draw` any number.
+    /// What is to be said now; `heartbeat` is how this node is, `draw` any number.
     pub fn outgoing(
         &mut self,
-        own: &Own<'_>,
-        pulse: &Pulse,
+        own: &LocalNode<'_>,
+        heartbeat: &Heartbeat,
         now: Millis,
         draw: u64,
     ) -> Vec<Outgoing> {
-        self.told = pulse.loads.iter().map(|told| (told.instance, told.load())).collect();
+        self.told = heartbeat.loads.iter().map(|told| (told.instance, told.load())).collect();
         let is_relay = self.is_relay(own, now);
         let mut relays = self.relays(own.data_centre, now);
-        relays.truncate(if is_relay { RELAYS - 1 } else { RELAYS });
+        relays.truncate(if is_relay { RELAYS_PER_DATA_CENTRE - 1 } else { RELAYS_PER_DATA_CENTRE });
         let mut said = Vec::new();
         let is_established = is_relay && self.hears_near(own, now);
         if is_relay && !is_established {
             // All near nodes are to notice that this one has become a relay.
-            let near = self.heard(now).filter(|(_, p)| p.pulse.data_centre == own.data_centre);
+            let near = self.heard(now).filter(|(_, p)| p.heartbeat.data_centre == own.data_centre);
             relays = near.map(|(address, _)| *address).collect();
         }
         if is_established {
             self.note_gone(own, now);
-            self.add_digest_of_data_centre(own, pulse, now, &mut said);
+            self.add_digest_of_data_centre(own, heartbeat, now, &mut said);
             if self.hears_all(own, now) || self.fresh_of_all(now).is_none() {
                 self.of_all = None;
-                self.add_digest_of_all(own, pulse, now, &mut said);
+                self.add_digest_of_all(own, heartbeat, now, &mut said);
             }
         }
         if !is_relay {
@@ -165,10 +165,13 @@
         }
         let hears_a_relay =
             !self.lacks_nodes(now) && (is_relay || self.fresh_of_all(now).is_some());
-        let seeks = Pulse { seeks: true, hears: self.sample(draw, now), ..pulse.clone() };
+        let seeks = Heartbeat { seeks: true, hears: self.sample(draw, now), ..heartbeat.clone() };
         let to = self.sought(hears_a_relay, is_relay, now, draw);
-        said.push(Outgoing { to, message: Message::Pulse(Box::new(seeks)) });
-        said.push(Outgoing { to: relays, message: Message::Pulse(Box::new(pulse.clone())) });
+        said.push(Outgoing { to, message: Message::Heartbeat(Box::new(seeks)) });
+        said.push(Outgoing {
+            to: relays,
+            message: Message::Heartbeat(Box::new(heartbeat.clone())),
+        });
         said.retain(|outgoing| !outgoing.to.is_empty());
         said
     }
@@ -176,12 +179,12 @@
     /// What is said to a node of `data_centre` that seeks relays: who they are, first of all.
     pub fn answer(
         &mut self,
-        own: &Own<'_>,
-        pulse: &Pulse,
+        own: &LocalNode<'_>,
+        heartbeat: &Heartbeat,
         data_centre: &str,
         now: Millis,
     ) -> Message {
-        let mut digest = self.digest(Scope::All, own, pulse, now);
+        let mut digest = self.digest(Scope::All, own, heartbeat, now);
         for relay in self.relays(data_centre, now) {
             digest.nodes.retain(|told| told.address != relay);
             let told = self.by_address.get(&relay).map(|peer| describe(relay, peer, false, now));
@@ -200,21 +203,21 @@
     }
 
     /// Whether this node is one of its data centre's relays.
-    pub fn is_relay(&self, own: &Own<'_>, now: Millis) -> bool {
-        self.is_among(own.name, own.data_centre, RELAYS, now)
+    pub fn is_relay(&self, own: &LocalNode<'_>, now: Millis) -> bool {
+        self.ranks_among_first(own.name, own.data_centre, RELAYS_PER_DATA_CENTRE, now)
     }
 
     /// A digest came. Returns whether it says something that others wait for.
     pub fn on_digest(
         &mut self,
-        own: &Own<'_>,
+        own: &LocalNode<'_>,
         from: SocketAddr,
         name: SmolStr,
         digest: Digest,
         now: Millis,
     ) -> bool {
         let cycle = told_again_after(&digest);
-        let mut is_news = self.on_pulse(own.address, from, name, digest.own.clone(), now);
+        let mut is_news = self.on_heartbeat(own.address, from, name, digest.own.clone(), now);
         for told in digest.nodes.iter().filter(|told| told.address != own.address) {
             is_news |= self.on_told(told, cycle, now);
         }
@@ -236,7 +239,7 @@
     }
 
     /// A relay tells of a node.
-    fn on_told(&mut self, told: &ToldNode, cycle: Millis, now: Millis) -> bool {
+    fn on_told(&mut self, told: &WireNode, cycle: Millis, now: Millis) -> bool {
         let heard = now - Millis(u64::from(told.age) * AGE_UNIT_MS);
         let since = self.addresses.entry(told.address).or_insert(heard);
         *since = (*since).max(heard);
@@ -258,14 +261,14 @@
                 self.gone.insert(told.address);
                 self.changed.insert(told.address, now);
             }
-            return is_believed && peer.pulse.is_ready;
+            return is_believed && peer.heartbeat.is_ready;
         }
         if heard <= peer.heard {
             return false;
         }
-        let stops = peer.pulse.is_ready && !told.is_ready;
+        let stops = peer.heartbeat.is_ready && !told.is_ready;
         peer.heard = heard;
-        peer.pulse.is_ready = told.is_ready;
+        peer.heartbeat.is_ready = told.is_ready;
         peer.silent_after = LEAST_KNOWN + cycle;
         if self.gone.remove(&told.address) || stops {
             self.changed.insert(told.address, now);
@@ -274,9 +277,9 @@
     }
 
     /// Notes which nodes of its data centre a relay does not hear any more.
-    fn note_gone(&mut self, own: &Own<'_>, now: Millis) {
+    fn note_gone(&mut self, own: &LocalNode<'_>, now: Millis) {
         let is_gone = |peer: &Peer| {
-            let is_near = peer.pulse.data_centre == own.data_centre;
+            let is_near = peer.heartbeat.data_centre == own.data_centre;
             is_near && peer.direct.is_some() && !peer.is_heard(now)
         };
         let silent = self.by_address.iter().filter(|(_, peer)| is_gone(peer));
@@ -290,11 +293,11 @@
 
     /// The relays of a data centre, this node not among them.
     fn relays(&self, data_centre: &str, now: Millis) -> Vec<SocketAddr> {
-        let near = self.heard(now).filter(|(_, peer)| peer.pulse.data_centre == data_centre);
+        let near = self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == data_centre);
         let mut ranked: Vec<(u32, SocketAddr)> =
             near.map(|(address, peer)| (peer.rank, *address)).collect();
         ranked.sort_unstable();
-        ranked.truncate(RELAYS);
+        ranked.truncate(RELAYS_PER_DATA_CENTRE);
         ranked.into_iter().map(|(_, address)| address).collect()
     }
 
@@ -324,8 +327,9 @@
 
     /// Whether most nodes of this data centre say to this one how they are: it may have
     /// become a relay a moment ago, and others have not noticed.
-    fn hears_near(&self, own: &Own<'_>, now: Millis) -> bool {
-        let near = self.heard(now).filter(|(_, peer)| peer.pulse.data_centre == own.data_centre);
+    fn hears_near(&self, own: &LocalNode<'_>, now: Millis) -> bool {
+        let near =
+            self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == own.data_centre);
         let (direct, all) = near.fold((0, 0), |(direct, all), (_, peer)| {
             (direct + usize::from(peer.is_direct(now)), all + 1)
         });
@@ -333,7 +337,7 @@
     }
 
     /// Whether relays of all other data centres say to this node how theirs are, too.
-    fn hears_all(&self, own: &Own<'_>, now: Millis) -> bool {
+    fn hears_all(&self, own: &LocalNode<'_>, now: Millis) -> bool {
         let is_fresh = |place: &SmolStr| {
             self.of_data_centres.get(place).is_some_and(|heard| heard.is_fresh(now))
         };
@@ -341,70 +345,76 @@
     }
 
     /// The other data centres, as far as any node of them is heard.
-    pub(super) fn far(&self, own: &Own<'_>, now: Millis) -> BTreeSet<SmolStr> {
-        let places = self.heard(now).map(|(_, peer)| &peer.pulse.data_centre);
+    pub(super) fn far(&self, own: &LocalNode<'_>, now: Millis) -> BTreeSet<SmolStr> {
+        let places = self.heard(now).map(|(_, peer)| &peer.heartbeat.data_centre);
         places.filter(|place| *place != own.data_centre).cloned().collect()
     }
 
     fn add_digest_of_data_centre(
         &mut self,
-        own: &Own<'_>,
-        pulse: &Pulse,
+        own: &LocalNode<'_>,
+        heartbeat: &Heartbeat,
         now: Millis,
         said: &mut Vec<Outgoing>,
     ) {
         let far = self.far(own, now);
         let to: Vec<SocketAddr> = far.iter().flat_map(|place| self.relays(place, now)).collect();
         if !to.is_empty() {
-            let digest = self.digest(Scope::DataCentre, own, pulse, now);
+            let digest = self.digest(Scope::DataCentre, own, heartbeat, now);
             said.push(Outgoing { to, message: Message::Digest(Box::new(digest)) });
         }
     }
 
     fn add_digest_of_all(
         &mut self,
-        own: &Own<'_>,
-        pulse: &Pulse,
+        own: &LocalNode<'_>,
+        heartbeat: &Heartbeat,
         now: Millis,
         said: &mut Vec<Outgoing>,
     ) {
         let mut relays = self.relays(own.data_centre, now);
-        relays.truncate(RELAYS - 1);
+        relays.truncate(RELAYS_PER_DATA_CENTRE - 1);
         let is_follower = |address: &SocketAddr, peer: &Peer| {
-            let is_near = peer.pulse.data_centre == own.data_centre;
+            let is_near = peer.heartbeat.data_centre == own.data_centre;
             is_near && peer.is_direct(now) && !relays.contains(address)
         };
         let heard = self.heard(now).filter(|(address, peer)| is_follower(address, peer));
         let to: Vec<SocketAddr> = heard.map(|(address, _)| *address).collect();
         if !to.is_empty() {
-            let digest = self.digest(Scope::All, own, pulse, now);
+            let digest = self.digest(Scope::All, own, heartbeat, now);
             said.push(Outgoing { to, message: Message::Digest(Box::new(digest)) });
         }
     }
 
-    fn digest(&mut self, scope: Scope, own: &Own<'_>, pulse: &Pulse, now: Millis) -> Digest {
+    fn digest(
+        &mut self,
+        scope: Scope,
+        own: &LocalNode<'_>,
+        heartbeat: &Heartbeat,
+        now: Millis,
+    ) -> Digest {
         let mut sums = match scope {
             Scope::All => self.sums(now),
             Scope::DataCentre => self.near_sums(own.data_centre, now),
         };
         if !self.sums_hold_own(now) {
-            sums.add_pulse(own.address, pulse, now);
+            sums.add_pulse(own.address, heartbeat, now);
         }
         let is_told =
-            |peer: &Peer| scope == Scope::All || peer.pulse.data_centre == own.data_centre;
+            |peer: &Peer| scope == Scope::All || peer.heartbeat.data_centre == own.data_centre;
         let heard = self.heard(now).filter(|(_, peer)| is_told(peer)).count() + 1;
-        let mut loads: Vec<ToldLoad> = sums
+        let mut loads: Vec<WireLoad> = sums
             .by_instance
             .iter()
-            .map(|(instance, (load, gap))| ToldLoad::of_short(*instance, *load, *gap))
+            .map(|(instance, (load, gap))| WireLoad::from_hash(*instance, *load, *gap))
             .collect();
         loads.sort_by_key(|told| std::cmp::Reverse(told.requests));
         loads.truncate(MOST_LOADS);
-        let work = sums.by_model.iter().map(|(model, work)| ToldWork::of_short(*model, *work));
+        let work = sums.by_model.iter().map(|(model, work)| WireWorkload::from_hash(*model, *work));
         let answered = sums.store_answered.unwrap_or_default();
         Digest {
             scope,
-            own: Pulse { work: Vec::new(), loads: Vec::new(), ..pulse.clone() },
+            own: Heartbeat { work: Vec::new(), loads: Vec::new(), ..heartbeat.clone() },
             nodes: self.told_nodes(scope, own, now),
             heard: heard.min(usize::from(u16::MAX)) as u16,
             acts_by: sums.acts_by.into_iter().collect(),
@@ -430,8 +440,8 @@
             sums.add_digest(heard);
         });
         for (address, peer) in self.by_address.iter().filter(|(_, peer)| peer.is_direct(now)) {
-            if fresh(&peer.pulse.data_centre).is_none() {
-                sums.add_pulse(*address, &peer.pulse, peer.heard);
+            if fresh(&peer.heartbeat.data_centre).is_none() {
+                sums.add_pulse(*address, &peer.heartbeat, peer.heard);
             }
         }
         sums
@@ -445,18 +455,19 @@
 
     fn near_sums(&self, data_centre: &str, now: Millis) -> Sums {
         let mut sums = Sums::default();
-        let is_near = |peer: &Peer| peer.is_direct(now) && peer.pulse.data_centre == data_centre;
+        let is_near =
+            |peer: &Peer| peer.is_direct(now) && peer.heartbeat.data_centre == data_centre;
         for (address, peer) in self.by_address.iter().filter(|(_, peer)| is_near(peer)) {
-            sums.add_pulse(*address, &peer.pulse, peer.heard);
+            sums.add_pulse(*address, &peer.heartbeat, peer.heard);
         }
         sums
     }
 
     /// Nodes that have changed, and the next ones in turn.
-    fn told_nodes(&mut self, scope: Scope, own: &Own<'_>, now: Millis) -> Vec<ToldNode> {
+    fn told_nodes(&mut self, scope: Scope, own: &LocalNode<'_>, now: Millis) -> Vec<WireNode> {
         let is_told = |peer: &Peer| match scope {
             Scope::All => true,
-            Scope::DataCentre => peer.pulse.data_centre == own.data_centre,
+            Scope::DataCentre => peer.heartbeat.data_centre == own.data_centre,
         };
         let changed = self.changed.iter().filter(|(_, at)| now.since(**at) < CHANGE_TOLD);
         let mut changed: Vec<SocketAddr> = changed.map(|(address, _)| *address).collect();
@@ -482,13 +493,13 @@
     }
 }
 
-fn describe(address: SocketAddr, peer: &Peer, is_gone: bool, now: Millis) -> ToldNode {
-    ToldNode {
+fn describe(address: SocketAddr, peer: &Peer, is_gone: bool, now: Millis) -> WireNode {
+    WireNode {
         address,
-        callers: peer.pulse.callers,
-        data_centre: peer.pulse.data_centre.clone(),
+        callers: peer.heartbeat.callers,
+        data_centre: peer.heartbeat.data_centre.clone(),
         rank: peer.rank,
-        is_ready: peer.pulse.is_ready,
+        is_ready: peer.heartbeat.is_ready,
         is_gone,
         age: (now.since(peer.heard).0 / AGE_UNIT_MS).min(u64::from(u8::MAX)) as u8,
     }
@@ -502,11 +513,11 @@
 }
 
 /// A node that is known by a relay's word alone.
-fn as_told(told: &ToldNode, heard: Millis, silent_after: Millis) -> Peer {
+fn as_told(told: &WireNode, heard: Millis, silent_after: Millis) -> Peer {
     Peer {
         name: SmolStr::default(),
         rank: told.rank,
-        pulse: Pulse {
+        heartbeat: Heartbeat {
             callers: told.callers,
             data_centre: told.data_centre.clone(),
             class: 0,
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// How it is; said several times a second to the relays of its data centre.
-    Pulse(Box<Pulse>),
+    Heartbeat(Box<Heartbeat>),
     /// What a relay has put together of many pulses.
     Digest(Box<Digest>),
     /// What has come to the list of instances since another place in it.
@@ -131,7 +131,7 @@
 /// What callers ask of a node of one model, a second; small whole numbers are short in
 /// a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldWork {
+pub struct WireWorkload {
     /// The model's short name.
     pub model: u32,
     /// Requests, in tenths.
@@ -147,14 +147,14 @@
 const REQUESTS_UNIT: f64 = 0.1;
 const TOKENS_UNIT: f64 = 10.0;
 
-impl ToldWork {
+impl WireWorkload {
     /// Puts `work` of a model into a datagram.
     pub fn new(model: &str, work: Workload) -> Self {
-        Self::of_short(name_hash(model), work)
+        Self::from_hash(name_hash(model), work)
     }
 
     /// The same for the model with this short name.
-    pub fn of_short(model: u32, work: Workload) -> Self {
+    pub fn from_hash(model: u32, work: Workload) -> Self {
         Self {
             model,
             requests: (work.requests / REQUESTS_UNIT).round() as u32,
@@ -177,7 +177,7 @@
 
 /// What a node has at an instance, or all nodes that a relay speaks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldLoad {
+pub struct WireLoad {
     /// The instance's short id.
     pub instance: u32,
     /// Requests there.
@@ -191,14 +191,14 @@
 const UNREAD_UNIT: u32 = 64;
 const GAP_UNIT_MS: f64 = 4.0;
 
-impl ToldLoad {
+impl WireLoad {
     /// Puts what a node has at `id` into a datagram.
     pub fn new(id: &Identity, load: Load, gap_ms: f64) -> Self {
-        Self::of_short(instance_hash(id), load, (gap_ms / GAP_UNIT_MS).min(255.0) as u8)
+        Self::from_hash(instance_hash(id), load, (gap_ms / GAP_UNIT_MS).min(255.0) as u8)
     }
 
     /// The same for the instance with this short id; `gap` is in units of a datagram.
-    pub fn of_short(instance: u32, load: Load, gap: u8) -> Self {
+    pub fn from_hash(instance: u32, load: Load, gap: u8) -> Self {
         Self {
             instance,
             requests: load.requests.min(u32::from(u16::MAX)) as u16,
@@ -234,9 +234,9 @@
     /// What it speaks for.
     pub scope: Scope,
     /// How the relay itself is; what it asks and has at instances is in the sums.
-    pub own: Pulse,
+    pub own: Heartbeat,
     /// Some of the nodes: those that have changed, the others in turn.
-    pub nodes: Vec<ToldNode>,
+    pub nodes: Vec<WireNode>,
     /// How many nodes it hears of, itself included.
     pub heard: u16,
     /// By what numbers nodes give orders.
@@ -246,16 +246,16 @@
     /// Whether any node has seen requests.
     pub has_traffic: bool,
     /// What callers ask of the nodes, by model.
-    pub work: Vec<ToldWork>,
+    pub work: Vec<WireWorkload>,
     /// The part of that which is seen so soon after the first request, in 100.
     pub seen_percent: u8,
     /// What the nodes have at instances.
-    pub loads: Vec<ToldLoad>,
+    pub loads: Vec<WireLoad>,
 }
 
 /// Another node as a relay tells of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldNode {
+pub struct WireNode {
     /// Where it is heard.
     pub address: SocketAddr,
     /// Where callers connect.
@@ -277,7 +277,7 @@
 
 /// How a node is.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Pulse {
+pub struct Heartbeat {
     /// Where callers connect.
     pub callers: SocketAddr,
     /// Its data centre.
@@ -301,29 +301,29 @@
     /// How long ago the store last answered it, in ms.
     pub store_age_ms: u64,
     /// How long ago a reading of the list last failed, in ms and at most
-    /// [`LIST_TROUBLE_MOST`]; `None` if it goes by what others read.
+    /// [`LIST_TROUBLE_MAX_AGE_MS`]; `None` if it goes by what others read.
     pub list_trouble_ms: Option<u32>,
     /// Some of those that it hears, drawn anew each time, from one that seeks relays.
     pub hears: Vec<SocketAddr>,
     /// Whether it hears no relay, and wants a digest of whoever takes this.
     pub seeks: bool,
     /// What callers ask of it, by model.
-    pub work: Vec<ToldWork>,
+    pub work: Vec<WireWorkload>,
     /// The part of that which is seen so soon after its first request, in 100.
     pub seen_percent: u8,
     /// What it has at instances.
-    pub loads: Vec<ToldLoad>,
+    pub loads: Vec<WireLoad>,
     /// Some of the requests that ended whoever ran them: those of which something is new.
-    pub requests: Vec<ToldRequest>,
+    pub requests: Vec<WireQuarantineEntry>,
     /// Some of the limits that instances name, or have ceased to name.
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<WireLimit>,
     /// Short ids of lives that have said in their answers that they leave, the last ones.
     pub leaving: Vec<u32>,
 }
 
 /// How much an instance takes, as one node tells another of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldLimit {
+pub struct WireLimit {
     /// The instance's short id.
     pub instance: u32,
     /// Requests a second, in thousandths.
@@ -334,7 +334,7 @@
     pub heard_ms: u64,
 }
 
-impl ToldLimit {
+impl WireLimit {
     /// Puts what is known at `now` into a datagram.
     pub fn new(id: &Identity, word: LimitReport, now: Millis) -> Self {
         Self {
@@ -357,7 +357,7 @@
 
 /// A request that ended whoever ran it, as one node tells another of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldRequest {
+pub struct WireQuarantineEntry {
     /// What it asks.
     pub fingerprint: u128,
     /// The mark of who asks.
@@ -368,7 +368,7 @@
     pub ends: Vec<(u64, u32, u64)>,
 }
 
-impl ToldRequest {
+impl WireQuarantineEntry {
     /// Puts what is known at `now` into a datagram.
     pub fn new(known: &QuarantineRecord, now: Millis) -> Self {
         let RequestKey { fingerprint, caller } = known.request_key;
@@ -399,4 +399,4 @@
 }
 
 /// Trouble with the list that is older is told no more.
-pub const LIST_TROUBLE_MOST: u32 = 60_000;
+pub const LIST_TROUBLE_MAX_AGE_MS: u32 = 60_000;
--- a/crates/workshold-gateway/src/peers/news.rs
+++ b/crates/workshold-gateway/src/peers/news.rs
@@ -16,12 +16,12 @@
 use crate::peers::ListNews;
 use crate::peers::ListRecord;
 use crate::peers::Peers;
-use crate::peers::exchange::Own;
+use crate::peers::exchange::LocalNode;
 use crate::peers::packing::packed_len;
 
 /// Nodes of a data centre that read the store for all of it: so many that a third of them
 /// may be turned away.
-pub const ROOTS: usize = 4;
+pub const STORE_READERS: usize = 4;
 /// Nodes that each one tells.
 pub const CHILDREN: usize = 4;
 /// The most bytes of packed entries in one datagram: with what stands beside them it has to
@@ -39,15 +39,20 @@
 
 impl Peers {
     /// Whom a node tells what is new to it. `is_first` says that it read it itself.
-    pub fn told_of_news(&self, own: &Own<'_>, is_first: bool, now: Millis) -> Vec<SocketAddr> {
+    pub fn news_recipients(
+        &self,
+        own: &LocalNode<'_>,
+        is_first: bool,
+        now: Millis,
+    ) -> Vec<SocketAddr> {
         let near = self.in_order(own.data_centre, now);
         let own_rank = super::rank(own.name, self.class);
         let place = near.partition_point(|(rank, _)| *rank < own_rank);
         // With this node at its place, all others stand one farther.
         let at = |i: usize| near.get(if i > place { i - 1 } else { i });
-        let first_child = ROOTS + place * CHILDREN;
+        let first_child = STORE_READERS + place * CHILDREN;
         let children = first_child..first_child + CHILDREN;
-        let roots = (0..ROOTS).filter(|i| place < ROOTS && *i != place);
+        let roots = (0..STORE_READERS).filter(|i| place < STORE_READERS && *i != place);
         let mut told: Vec<SocketAddr> =
             roots.chain(children).filter_map(at).map(|(_, address)| *address).collect();
         if is_first {
@@ -59,14 +64,14 @@
     /// The nodes of a data centre that are heard, this one not among them, in the order that
     /// all see alike.
     fn in_order(&self, data_centre: &str, now: Millis) -> Vec<(u32, SocketAddr)> {
-        let near = self.heard(now).filter(|(_, peer)| peer.pulse.data_centre == data_centre);
+        let near = self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == data_centre);
         let mut near: Vec<_> = near.map(|(address, peer)| (peer.rank, *address)).collect();
         near.sort_unstable();
         near
     }
 
     /// The first root of each other data centre.
-    fn first_of_others(&self, own: &Own<'_>, now: Millis) -> Vec<SocketAddr> {
+    fn first_of_others(&self, own: &LocalNode<'_>, now: Millis) -> Vec<SocketAddr> {
         let places = self.far(own, now);
         let first = |place: &_| self.in_order(place, now).first().map(|(_, address)| *address);
         places.iter().filter_map(|place| first(place)).collect()
@@ -75,17 +80,17 @@
     /// Who is asked by a node whose list ends at `next`: one whose list is known to go on, a
     /// near one if there is any. `draw` is any number: all who missed the same would
     /// otherwise ask the same node.
-    pub fn whom_to_ask(
+    pub fn fetch_source(
         &self,
-        own: &Own<'_>,
+        own: &LocalNode<'_>,
         next: Option<LogPosition>,
         draw: usize,
         now: Millis,
     ) -> Option<SocketAddr> {
-        let ends = |peer: &super::Peer| peer.pulse.list.map(|(next, _)| next);
+        let ends = |peer: &super::Peer| peer.heartbeat.list.map(|(next, _)| next);
         let ahead = self.heard(now).filter(|(_, peer)| ends(peer) > next);
         let (near, far): (Vec<_>, Vec<_>) =
-            ahead.partition(|(_, peer)| peer.pulse.data_centre == own.data_centre);
+            ahead.partition(|(_, peer)| peer.heartbeat.data_centre == own.data_centre);
         let among = if near.is_empty() { far } else { near };
         let drawn = draw.checked_rem(among.len())?;
         among.get(drawn).map(|(address, _)| **address)
@@ -94,15 +99,20 @@
 
 /// What is missing between what a node has and what others say that there is.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Gap {
+pub struct ListGap {
     end: LogPosition,
     since: Option<Millis>,
 }
 
-impl Gap {
+impl ListGap {
     /// Somebody's list ends at `end`, this node's at `own`. Returns whether that is the
     /// first word of something missing.
-    pub fn on_end(&mut self, own: Option<LogPosition>, end: LogPosition, now: Millis) -> bool {
+    pub fn on_peer_list_end(
+        &mut self,
+        own: Option<LogPosition>,
+        end: LogPosition,
+        now: Millis,
+    ) -> bool {
         if own >= Some(end) {
             return false;
         }
@@ -113,14 +123,14 @@
     }
 
     /// This node's list ends at `own` now.
-    pub fn on_own(&mut self, own: LogPosition) {
+    pub fn on_own_list_end(&mut self, own: LogPosition) {
         if own >= self.end {
             self.since = None;
         }
     }
 
     /// How long from `now` until a peer is asked, if anything is missing.
-    pub fn asks_after(&self, now: Millis) -> Option<Millis> {
+    pub fn time_until_fetch(&self, now: Millis) -> Option<Millis> {
         self.since.map(|since| (since + PATIENCE).since(now))
     }
 }
@@ -128,7 +138,7 @@
 impl ListNews {
     /// The same in as many pieces as fit into one datagram each, every one going on where
     /// the last one ended; none if that were too many.
-    pub fn pieces(mut self) -> Vec<Self> {
+    pub fn into_datagrams(mut self) -> Vec<Self> {
         let mut records = std::mem::take(&mut self.records);
         records.sort_by_key(|record| record.place);
         let mut parts = Vec::new();
@@ -138,14 +148,14 @@
         if parts.len() > MOST_PIECES || parts.iter().any(is_too_long) {
             return Vec::new();
         }
-        let mut pieces: Vec<Self> =
+        let mut into_datagrams: Vec<Self> =
             parts.into_iter().map(|part| Self { records: part.to_vec(), ..self }).collect();
-        for i in 1..pieces.len() {
-            let from = pieces[i].records[0].place;
-            pieces[i].from = from;
-            pieces[i - 1].next = from;
+        for i in 1..into_datagrams.len() {
+            let from = into_datagrams[i].records[0].place;
+            into_datagrams[i].from = from;
+            into_datagrams[i - 1].next = from;
         }
-        pieces
+        into_datagrams
     }
 }
 
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -259,7 +259,7 @@
     ) -> NextStep {
         self.note(node, ending, why, 0);
         let has_time = self.left(node) > LEAST_TIME;
-        let is_held = node.held_until(self.job.fingerprint).is_some();
+        let is_held = node.quarantined_until(self.job.fingerprint).is_some();
         let has_attempts = self.used.sent < self.job.route.attempts.max(1);
         let may_go_on = has_time && !is_held;
         let next =
@@ -283,7 +283,7 @@
 pub async fn run(node: &Arc<Node>, job: Job, guard: RequestGuard) -> Response<AnswerBody> {
     // What ends whoever runs it comes back under new ids, at any node: before it is counted
     // or sent it is asked for by what it asks.
-    if let Some(until) = node.held_until(job.fingerprint) {
+    if let Some(until) = node.quarantined_until(job.fingerprint) {
         return refuse_held(node, &job, until);
     }
     node.count_request(&job.service);
@@ -305,7 +305,7 @@
                     return give_up(node, &course, next);
                 }
             };
-            if let Some(until) = node.held_until(course.job.fingerprint) {
+            if let Some(until) = node.quarantined_until(course.job.fingerprint) {
                 course.give_up_repeat(node);
                 if course.used.may_have_run {
                     return give_up(node, &course, NextStep::Unknown);
--- a/crates/workshold-gateway/src/relay/watching.rs
+++ b/crates/workshold-gateway/src/relay/watching.rs
@@ -72,7 +72,8 @@
             return WaitOver::TimeUp;
         }
         // Unread in an instance's queue it can still be called back.
-        if patience.waiting.is_some_and(|fingerprint| node.held_until(fingerprint).is_some()) {
+        if patience.waiting.is_some_and(|fingerprint| node.quarantined_until(fingerprint).is_some())
+        {
             return WaitOver::Held;
         }
         let ended_at = node.is_superseded(target).then_some(patience.since + LAST_WORDS);
--- a/crates/workshold-gateway/src/settings.rs
+++ b/crates/workshold-gateway/src/settings.rs
@@ -10,7 +10,7 @@
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
 
-use crate::peers::exchange::Own;
+use crate::peers::exchange::LocalNode;
 
 /// All settings of a node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -183,8 +183,8 @@
 
 impl Settings {
     /// This node as others know it.
-    pub fn own(&self) -> Own<'_> {
-        Own {
+    pub fn own(&self) -> LocalNode<'_> {
+        LocalNode {
             address: self.control(),
             name: &self.node.name,
             data_centre: self.node.data_centre.as_str(),
@@ -202,7 +202,7 @@
     }
 
     /// How old a configuration may be by which keys are believed.
-    pub fn keys_believed(&self) -> Millis {
+    pub fn max_key_age(&self) -> Millis {
         Millis((self.bounds.keys_believed_ms as f64 * KEYS_BELIEVED_PART) as u64)
     }
 
@@ -210,7 +210,7 @@
     /// is held is as old as two waits: keys must still be believed then.
     pub fn config_poll_rules(&self, is_reader: bool) -> LongPollRules {
         let kept = CONFIG_ON_THE_WAY + CONFIG_ON_THE_WAY;
-        let half = Millis(self.keys_believed().since(kept).0 / 2);
+        let half = Millis(self.max_key_age().since(kept).0 / 2);
         asking(half.min(CONFIG_WAIT_MOST), self.bounds.config_in_force_ms, is_reader)
     }
 
@@ -223,7 +223,7 @@
     /// What others have read of the configuration is current if it is not older: as old
     /// as it becomes where it is read, and the way. Keys are still believed then, for
     /// long enough to read it oneself.
-    pub fn config_current(&self) -> Millis {
+    pub fn max_shared_config_age(&self) -> Millis {
         let wait = self.config_poll_rules(true).wait;
         wait + wait + CONFIG_ON_THE_WAY
     }
--- a/crates/workshold-gateway/src/tasks/following.rs
+++ b/crates/workshold-gateway/src/tasks/following.rs
@@ -76,7 +76,8 @@
 /// it, or has waited for too long.
 async fn wait_to_start(node: &Node) {
     let has_it = || node.list.lock().next.is_some();
-    while node.age() < STARTER_WAITS && !has_it() && !(node.is_settled() && node.is_reader()) {
+    while node.age() < STARTER_WAITS && !has_it() && !(node.is_settled() && node.is_store_reader())
+    {
         tokio::time::sleep(STARTER_LOOK.to_duration()).await;
     }
 }
@@ -89,12 +90,12 @@
 }
 
 fn do_others_read(node: &Node, is_current: impl Fn(&Node) -> bool) -> bool {
-    !node.is_reader() && !node.are_readers_cut_off() && is_current(node)
+    !node.is_store_reader() && !node.are_readers_cut_off() && is_current(node)
 }
 
 /// A newer one is read from the store: it may be long, and a peer's link is small.
 fn is_config_current(node: &Node) -> bool {
-    let current = node.settings().config_current();
+    let current = node.settings().max_shared_config_age();
     let is_fresh = node.config_age().is_some_and(|(_, age)| age < current);
     is_fresh && gossip::peer_with_newer_config(node).is_none()
 }
@@ -110,7 +111,7 @@
     let next = followed.next;
     let from = || next.filter(|next| next.era == node.store_monitor.era());
     let is_needed = || !do_others_read(node, is_config_current);
-    let rules = node.settings().config_poll_rules(node.is_reader());
+    let rules = node.settings().config_poll_rules(node.is_store_reader());
     let asked = asking::read(node, Topic::Config, rules, from, is_needed).await;
     let Reading { records, from, sent } = match asked {
         PollOutcome::Read(reading) => reading,
@@ -135,7 +136,7 @@
             tokio::time::sleep(READER_LOOK.to_duration()).await;
             return;
         }
-        Some(record) => take_config(node, record, sent, followed),
+        Some(record) => install_config(node, record, sent, followed),
         None => {
             // Nothing newer than what this node read before: it is current. A whole reading
             // that lacks it shows nothing.
@@ -160,11 +161,11 @@
         .is_ok_and(|serving_config| node.is_surpassed(serving_config.version))
 }
 
-fn take_config(node: &Node, record: &Record, sent: Millis, followed: &mut Followed) {
+fn install_config(node: &Node, record: &Record, sent: Millis, followed: &mut Followed) {
     match config::decode(&record.value) {
         Ok(serving_config) => {
             followed.newest = Some(serving_config.version);
-            node.take_config(serving_config, record.value.clone(), sent);
+            node.install_config(serving_config, record.value.clone(), sent);
         }
         Err(err) => emit(Event::ConfigUnreadable, &[("why", &err.to_string())]),
     }
@@ -175,7 +176,7 @@
     loop {
         wait_to_start(&node).await;
         wait_while_others_read(&node, is_list_current).await;
-        let asking = node.settings().list_poll_rules(node.is_reader());
+        let asking = node.settings().list_poll_rules(node.is_store_reader());
         let wait = if node.wants_list_anew() { Millis::ZERO } else { asking.wait };
         let sent = node.now();
         tokio::select! {
@@ -233,7 +234,7 @@
         let end = end.max(list.next.unwrap_or_default());
         list.next = Some(end);
         list.read_at = list.read_at.max(sent);
-        list.gap.on_own(end);
+        list.gap.on_own_list_end(end);
         list.has_own_news |= !records.records.is_empty();
     }
     if !records.records.is_empty() {
@@ -338,13 +339,13 @@
 
 /// Takes records that a peer has read, told after `since`; whether they follow on what this
 /// node has.
-pub fn take_news(node: &Node, from_peer: &ListNews, since: Millis) -> bool {
+pub fn apply_list_news(node: &Node, from_peer: &ListNews, since: Millis) -> bool {
     let now = node.now();
     let next = {
         let mut list = node.list.lock();
         let next = list.next;
         if next.unwrap_or_default() < from_peer.from {
-            list.gap.on_end(next, from_peer.next, now);
+            list.gap.on_peer_list_end(next, from_peer.next, now);
             return false;
         }
         if next.is_some_and(|next| next.era > from_peer.next.era) {
@@ -375,7 +376,7 @@
     let end = list.next.unwrap_or_default().max(from_peer.next);
     list.next = Some(end);
     list.read_at = list.read_at.max(sent);
-    list.gap.on_own(end);
+    list.gap.on_own_list_end(end);
     drop(list);
     if next.is_some_and(|next| next < end) {
         node.news_wanted.notify_one();
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -27,14 +27,14 @@
 use crate::peers::Ask;
 use crate::peers::Datagram;
 use crate::peers::Digest;
+use crate::peers::Heartbeat;
 use crate::peers::ListNews;
 use crate::peers::Message;
-use crate::peers::Pulse;
 use crate::peers::Scope;
-use crate::peers::ToldLoad;
-use crate::peers::ToldRequest;
-use crate::peers::ToldWork;
 use crate::peers::VERSION;
+use crate::peers::WireLoad;
+use crate::peers::WireQuarantineEntry;
+use crate::peers::WireWorkload;
 use crate::tasks::following;
 
 /// How often a node says how it is: the fresher the loads of others, the better is the
@@ -85,20 +85,20 @@
 }
 
 /// Says how this node is, and what it has put together as a relay, until the node ends.
-pub async fn send_pulses(node: Arc<Node>, socket: Arc<UdpSocket>) {
+pub async fn send_heartbeats(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         let every = pulse_every(node.peers.lock().addresses().len());
-        let pulse = pulse(&node, every.0 as u16);
+        let heartbeat = heartbeat(&node, every.0 as u16);
         let settings = node.settings();
         let draw = rand::rng().random();
-        let said = node.peers.lock().outgoing(&settings.own(), &pulse, node.now(), draw);
+        let said = node.peers.lock().outgoing(&settings.own(), &heartbeat, node.now(), draw);
         for outgoing in said {
             send(&node, &socket, &outgoing.to, outgoing.message).await;
         }
         let spoke = node.now();
         tokio::select! {
             () = tokio::time::sleep(every.to_duration()) => {}
-            () = node.pulse_wanted.notified() => {
+            () = node.heartbeat_wanted.notified() => {
                 let left = PULSE_GAP.since(node.now().since(spoke));
                 tokio::time::sleep(left.to_duration()).await;
             }
@@ -122,7 +122,8 @@
         };
         if let Some(from) = from.filter(|_| node.has_followers()) {
             let to = whom_to_tell(&node, is_first);
-            for (i, piece) in following::news(&node, from).pieces().into_iter().enumerate() {
+            for (i, piece) in following::news(&node, from).into_datagrams().into_iter().enumerate()
+            {
                 if i % PIECES_AT_ONCE == 0 && i > 0 {
                     tokio::time::sleep(NEWS_EVERY).await;
                 }
@@ -136,7 +137,7 @@
 
 fn whom_to_tell(node: &Node, is_first: bool) -> Vec<SocketAddr> {
     let settings = node.settings();
-    node.peers.lock().told_of_news(&settings.own(), is_first, node.now())
+    node.peers.lock().news_recipients(&settings.own(), is_first, node.now())
 }
 
 /// Sends a message to all nodes that may be there.
@@ -156,13 +157,13 @@
     }
 }
 
-fn pulse(node: &Node, next_ms: u16) -> Pulse {
+fn heartbeat(node: &Node, next_ms: u16) -> Heartbeat {
     let settings = node.settings();
     let config = node.config_age().map(|(version, age)| (version, age.0));
     let (work, observed_fraction) = node.own_work();
     // No lock may be held while the next part is asked for.
     let acts_by = node.lease.lock().acts_by();
-    Pulse {
+    Heartbeat {
         callers: settings.listen.callers,
         data_centre: SmolStr::new(settings.node.data_centre.as_str()),
         class: settings.limits.class(),
@@ -176,8 +177,8 @@
         acts_by,
         past: node.store_monitor.told(node.now()),
         store_age_ms: node.store_silent_for().0,
-        list_trouble_ms: node.list_trouble(),
-        work: work.iter().map(|(model, work)| ToldWork::new(model, *work)).collect(),
+        list_trouble_ms: node.list_failure_age_ms(),
+        work: work.iter().map(|(model, work)| WireWorkload::new(model, *work)).collect(),
         seen_percent: (observed_fraction * 100.0) as u8,
         loads: told_loads(node),
         requests: told_requests(node),
@@ -186,18 +187,18 @@
     }
 }
 
-fn told_requests(node: &Node) -> Vec<ToldRequest> {
+fn told_requests(node: &Node) -> Vec<WireQuarantineEntry> {
     let now = node.now();
     let told = node.quarantine.lock().next_to_gossip(MOST_REQUESTS, now);
-    told.iter().map(|known| ToldRequest::new(known, now)).collect()
+    told.iter().map(|known| WireQuarantineEntry::new(known, now)).collect()
 }
 
 /// Nothing else is locked beside the gaps: whoever takes pulses locks the list first.
-fn told_loads(node: &Node) -> Vec<ToldLoad> {
-    let loads = node.loads.all_own();
+fn told_loads(node: &Node) -> Vec<WireLoad> {
+    let loads = node.loads.own_loads();
     let gaps = node.gaps.lock();
     let told = loads.iter();
-    told.map(|(id, load)| ToldLoad::new(id, *load, gaps.mean_ms(id).unwrap_or_default())).collect()
+    told.map(|(id, load)| WireLoad::new(id, *load, gaps.mean_ms(id).unwrap_or_default())).collect()
 }
 
 fn list_end(node: &Node) -> Option<(LogPosition, u64)> {
@@ -238,10 +239,12 @@
 /// Takes a datagram that came after `since`; says what is answered, if anything is.
 fn take(node: &Node, from: SocketAddr, datagram: Datagram, since: Millis) -> Option<Message> {
     match datagram.message {
-        Message::Pulse(pulse) => return take_pulse(node, from, datagram.from, *pulse, since),
+        Message::Heartbeat(heartbeat) => {
+            return take_pulse(node, from, datagram.from, *heartbeat, since);
+        }
         Message::Digest(digest) => take_digest(node, from, datagram.from, *digest, since),
         Message::News(news) => {
-            if !following::take_news(node, &news, since) {
+            if !following::apply_list_news(node, &news, since) {
                 node.list_gap_seen.notify_one();
             }
         }
@@ -256,7 +259,7 @@
     node: &Node,
     from: SocketAddr,
     name: SmolStr,
-    said: Pulse,
+    said: Heartbeat,
     since: Millis,
 ) -> Option<Message> {
     let now = node.now();
@@ -266,12 +269,12 @@
     let seeks = said.seeks.then(|| said.data_centre.clone());
     let settings = node.settings();
     let own = settings.own();
-    let is_news = node.peers.lock().on_pulse(own.address, from, name, said, now);
+    let is_news = node.peers.lock().on_heartbeat(own.address, from, name, said, now);
     pass_on(node, is_news);
     sum_loads(node, true);
     // What this node itself is asked and has at instances comes with its pulses.
     let data_centre = seeks?;
-    let own_pulse = pulse(node, PULSE_MOST.0 as u16);
+    let own_pulse = heartbeat(node, PULSE_MOST.0 as u16);
     let mut peers = node.peers.lock();
     Some(peers.answer(&own, &own_pulse, &data_centre, now))
 }
@@ -291,7 +294,7 @@
 
 /// What a node says, in a datagram that came after `since`, of the configuration and the
 /// list that it holds.
-fn take_statement(node: &Node, said: &Pulse, since: Millis) {
+fn take_statement(node: &Node, said: &Heartbeat, since: Millis) {
     let now = node.now();
     if let Some((era, age)) = said.past {
         node.hear_of_past(era, now - Millis(age));
@@ -317,7 +320,7 @@
 fn pass_on(node: &Node, is_news: bool) {
     let settings = node.settings();
     if is_news && node.peers.lock().is_relay(&settings.own(), node.now()) {
-        node.pulse_wanted.notify_one();
+        node.heartbeat_wanted.notify_one();
     }
 }
 
@@ -326,10 +329,10 @@
     let now = node.now();
     let peers = node.peers.lock();
     let every = Millis(pulse_every(peers.addresses().len()).0 / LOADS_SUMMED);
-    if !is_of_many || node.loads.are_old(now, every) {
+    if !is_of_many || node.loads.are_peer_loads_stale(now, every) {
         let others = peers.loads(now);
         drop(peers);
-        node.loads.set_others(others, now);
+        node.loads.set_peer_loads(others, now);
     }
 }
 
@@ -345,7 +348,7 @@
 /// What a datagram may have taken: its age is only known by its sender's word.
 const ON_THE_WAY: Millis = Millis(200);
 
-fn take_gaps(node: &Node, loads: &[ToldLoad]) {
+fn take_gaps(node: &Node, loads: &[WireLoad]) {
     if loads.is_empty() {
         return;
     }
@@ -429,11 +432,11 @@
             () = node.list_gap_seen.notified() => {}
         }
         look_for_gap(&node);
-        let Some(left) = node.list.lock().gap.asks_after(node.now()) else { continue };
+        let Some(left) = node.list.lock().gap.time_until_fetch(node.now()) else { continue };
         let spread = Millis(rand::random_range(0..=FETCH_SPREAD.0));
         tokio::time::sleep((left + spread).to_duration()).await;
-        let is_missing = node.list.lock().gap.asks_after(node.now()).is_some();
-        if let Some(peer) = whom_to_ask(&node).filter(|_| is_missing) {
+        let is_missing = node.list.lock().gap.time_until_fetch(node.now()).is_some();
+        if let Some(peer) = fetch_source(&node).filter(|_| is_missing) {
             fetch_list(&node, peer).await;
             tokio::time::sleep(FETCH_EVERY).await;
         }
@@ -444,20 +447,25 @@
 fn look_for_gap(node: &Node) {
     let now = node.now();
     let peers = node.peers.lock();
-    let ends = peers.heard(now).filter_map(|(_, peer)| peer.pulse.list);
+    let ends = peers.heard(now).filter_map(|(_, peer)| peer.heartbeat.list);
     let end = ends.map(|(next, _)| next).max();
     drop(peers);
     let mut list = node.list.lock();
     if let Some(end) = end {
         let own = list.next;
-        list.gap.on_end(own, end, now);
+        list.gap.on_peer_list_end(own, end, now);
     }
 }
 
-fn whom_to_ask(node: &Node) -> Option<SocketAddr> {
+fn fetch_source(node: &Node) -> Option<SocketAddr> {
     let next = node.list.lock().next;
     let settings = node.settings();
-    node.peers.lock().whom_to_ask(&settings.own(), next, rand::random::<u32>() as usize, node.now())
+    node.peers.lock().fetch_source(
+        &settings.own(),
+        next,
+        rand::random::<u32>() as usize,
+        node.now(),
+    )
 }
 
 /// A peer that holds a newer configuration than this node.
@@ -465,7 +473,7 @@
     let own = node.config_age().map(|(version, _)| version);
     let peers = node.peers.lock();
     let heard = peers.heard(node.now());
-    let newer = heard.filter(|(_, peer)| peer.pulse.config.map(|(version, _)| version) > own);
+    let newer = heard.filter(|(_, peer)| peer.heartbeat.config.map(|(version, _)| version) > own);
     newer.map(|(address, _)| *address).next()
 }
 
@@ -478,7 +486,7 @@
         return;
     }
     let own = list.next;
-    if list.gap.on_end(own, next, now) {
+    if list.gap.on_peer_list_end(own, next, now) {
         node.list_gap_seen.notify_one();
     }
 }
@@ -493,7 +501,7 @@
     let Ok(serving_config) = config::decode(&bytes) else { return };
     let version = serving_config.version.to_string();
     // How fresh it is comes with the peer's next pulse.
-    node.take_config(serving_config, bytes, Millis::ZERO);
+    node.install_config(serving_config, bytes, Millis::ZERO);
     emit(Event::ConfigFromPeer, &[("version", &version), ("peer", &peer.to_string())]);
 }
 
@@ -503,7 +511,7 @@
     let sent = node.now();
     let Some(bytes) = fetch(peer, &path).await else { return };
     let Ok(news) = postcard::from_bytes::<ListNews>(&bytes) else { return };
-    following::take_news(node, &news, sent);
+    following::apply_list_news(node, &news, sent);
 }
 
 async fn fetch(peer: SocketAddr, path: &str) -> Option<Bytes> {
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -123,7 +123,7 @@
     drop(lease);
     if is_later {
         // Who was given a part waits for all who act to have noticed.
-        node.pulse_wanted.notify_one();
+        node.heartbeat_wanted.notify_one();
     }
     if is_news {
         let (era, generation) = (fence.era.to_string(), fence.generation.to_string());
@@ -134,7 +134,7 @@
 }
 
 /// Learns of other nodes by who holds parts of the lease, until the node ends.
-pub async fn find_peers(node: Arc<Node>) {
+pub async fn discover_peers(node: Arc<Node>) {
     let own = node.settings().control();
     loop {
         let sent = node.now();
--- a/crates/workshold-gateway/src/tasks/upkeep.rs
+++ b/crates/workshold-gateway/src/tasks/upkeep.rs
@@ -30,7 +30,7 @@
                 Err(why) => emit(Event::NotReady, &[("why", &why.to_string())]),
             }
             last = Some(readiness);
-            node.pulse_wanted.notify_one();
+            node.heartbeat_wanted.notify_one();
         }
         tokio::select! {
             () = tokio::time::sleep(EVERY) => {}
@@ -68,5 +68,5 @@
     peers.forget(now);
     let others = peers.loads(now);
     drop(peers);
-    node.loads.set_others(others, now);
+    node.loads.set_peer_loads(others, now);
 }
--- a/crates/workshold-gateway/tests/catalogues.rs
+++ b/crates/workshold-gateway/tests/catalogues.rs
@@ -98,9 +98,9 @@
         let text = filled().replace("keys_believed_ms = 7", &format!("keys_believed_ms = {bound}"));
         let settings = settings::parse(&text).unwrap();
         let wait = settings.config_poll_rules(true).wait;
-        assert!(wait + wait < settings.keys_believed(), "{bound}: {wait}");
-        let is_short = settings.keys_believed() < Millis(1_800);
-        assert!(is_short || settings.config_current() < settings.keys_believed(), "{bound}");
+        assert!(wait + wait < settings.max_key_age(), "{bound}: {wait}");
+        let is_short = settings.max_key_age() < Millis(1_800);
+        assert!(is_short || settings.max_shared_config_age() < settings.max_key_age(), "{bound}");
         assert!(wait.0 <= most, "{bound}: {wait}");
     }
 }
--- a/crates/workshold-gateway/tests/common/mod.rs
+++ b/crates/workshold-gateway/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use workshold_gateway::node::Node;
 use workshold_gateway::node::Probe;
-use workshold_gateway::peers::Pulse;
+use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::settings;
 use workshold_protocol::Clock;
 use workshold_protocol::Millis;
@@ -74,8 +74,8 @@
 }
 
 /// A pulse of a node that serves at `callers` and has nothing else to tell.
-pub fn pulse(callers: SocketAddr) -> Pulse {
-    Pulse {
+pub fn heartbeat(callers: SocketAddr) -> Heartbeat {
+    Heartbeat {
         callers,
         data_centre: SmolStr::new("a"),
         class: 0,
--- a/crates/workshold-gateway/tests/deaf.rs
+++ b/crates/workshold-gateway/tests/deaf.rs
@@ -25,7 +25,7 @@
     tokio::spawn(quarantining::run(Arc::clone(&node)));
     let fingerprint = keep(&store, node.wall());
     tokio::time::sleep(READS).await;
-    assert!(node.held_until(fingerprint).is_some());
+    assert!(node.quarantined_until(fingerprint).is_some());
 }
 
 /// Keeps in the store that three instances have ended under a request just now.
@@ -63,8 +63,8 @@
     for i in 0..heard {
         let name = format!("n-{}", i + 2).into();
         let own = node.settings().control();
-        let (pulse, now) = (common::pulse(address(i)), node.now());
-        node.peers.lock().on_pulse(own, address(i), name, pulse, now);
+        let (heartbeat, now) = (common::heartbeat(address(i)), node.now());
+        node.peers.lock().on_heartbeat(own, address(i), name, heartbeat, now);
     }
     let node = Arc::new(node);
     tokio::spawn(quarantining::run(Arc::clone(&node)));
@@ -73,6 +73,6 @@
     store.put("keyed.quarantine", "no fingerprint", "{}");
     store.put("keyed.quarantine", &Fingerprint(5).to_string(), "no record");
     tokio::time::sleep(READS).await;
-    assert_eq!(node.held_until(fingerprint).is_some(), is_held);
-    assert_eq!(node.held_until(Fingerprint(5)), None::<Millis>);
+    assert_eq!(node.quarantined_until(fingerprint).is_some(), is_held);
+    assert_eq!(node.quarantined_until(Fingerprint(5)), None::<Millis>);
 }
--- a/crates/workshold-gateway/tests/doubts.rs
+++ b/crates/workshold-gateway/tests/doubts.rs
@@ -29,9 +29,9 @@
 use workshold_gateway::node::ProbeTask;
 use workshold_gateway::peers::Ask;
 use workshold_gateway::peers::Datagram;
+use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::peers::Message;
-use workshold_gateway::peers::Pulse;
-use workshold_gateway::peers::exchange::Own;
+use workshold_gateway::peers::exchange::LocalNode;
 use workshold_gateway::tasks::probing;
 use workshold_platform_standin::proxy::Proxy;
 use workshold_platform_standin::proxy::Way;
@@ -40,8 +40,8 @@
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::ids::ServiceName;
 
+use crate::common::heartbeat;
 use crate::common::node;
-use crate::common::pulse;
 
 fn id() -> Identity {
     InstanceId::new("i-1").unwrap().into()
@@ -103,9 +103,9 @@
     for i in 0..if peers.is_some() { 3 } else { 0 } {
         proxies.push(way(peers.unwrap()).await);
         let from = SocketAddr::from(([127, 0, 0, 1], 7_100 + i));
-        let said = pulse(proxies.last().unwrap().address);
+        let said = heartbeat(proxies.last().unwrap().address);
         let own = node.settings().control();
-        node.peers.lock().on_pulse(own, from, SmolStr::new("n"), said, node.now());
+        node.peers.lock().on_heartbeat(own, from, SmolStr::new("n"), said, node.now());
     }
     let address = SmolStr::new(instance.address.to_string());
     assert_eq!(probing::probe_instance(&node, &id(), &address).await, conclusive);
@@ -119,8 +119,8 @@
     let gone = way(Way::Open).await.address;
     let peer = way(Way::Silent).await;
     let own = node.settings().control();
-    let said = pulse(peer.address);
-    node.peers.lock().on_pulse(own, peer.address, SmolStr::new("n"), said, node.now());
+    let said = heartbeat(peer.address);
+    node.peers.lock().on_heartbeat(own, peer.address, SmolStr::new("n"), said, node.now());
     let seen = probing::probe_instance(&node, &id(), &SmolStr::new(gone.to_string())).await;
     assert_eq!(seen, Some(ProbeResult::Refused));
 }
@@ -162,8 +162,8 @@
     let instance = way(Way::Silent).await;
     let peer = way(Way::Silent).await;
     let own = node.settings().control();
-    let said = pulse(peer.address);
-    node.peers.lock().on_pulse(own, peer.address, SmolStr::new("n"), said, node.now());
+    let said = heartbeat(peer.address);
+    node.peers.lock().on_heartbeat(own, peer.address, SmolStr::new("n"), said, node.now());
     let other = way(Way::Open).await;
     let entry = Instance {
         identity: InstanceId::new("i-2").unwrap().into(),
@@ -192,7 +192,7 @@
     for i in 0..9 {
         let from = SocketAddr::from(([127, 0, 0, 1], 7_100 + i));
         let name = SmolStr::new(format!("n-{i}"));
-        node.peers.lock().on_pulse(own, from, name, pulse(from), node.now());
+        node.peers.lock().on_heartbeat(own, from, name, heartbeat(from), node.now());
     }
     let service = ServiceName::new("llm").unwrap();
     let mut taken = 0;
@@ -208,9 +208,9 @@
     for i in 0..nodes {
         let from = SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250) as u8 + 1], 7_340));
         let data_centre = SmolStr::new(["a", "b", "c"][i % 3]);
-        let said = Pulse { data_centre, ..pulse(from) };
+        let said = Heartbeat { data_centre, ..heartbeat(from) };
         let name = SmolStr::new(format!("n-of-many-{i}"));
-        node.peers.lock().on_pulse(own, from, name, said, node.now());
+        node.peers.lock().on_heartbeat(own, from, name, said, node.now());
     }
 }
 
@@ -243,7 +243,7 @@
     let tries = |i: &usize| {
         let (name, place) = (format!("n-of-many-{i}"), ["a", "b", "c"][i % 3]);
         let address = SocketAddr::from(([10, 0, 0, 1], 7_340));
-        let own = Own { address, name: &name, data_centre: place };
+        let own = LocalNode { address, name: &name, data_centre: place };
         // It counts itself among those that it hears here, behind which it does not stand.
         peers.is_witness(&own, 77, 4, now)
     };
--- a/crates/workshold-gateway/tests/exchange.rs
+++ b/crates/workshold-gateway/tests/exchange.rs
@@ -13,8 +13,8 @@
 use workshold_core::hosted::quarantine::QuarantineStatus;
 use workshold_core::hosted::quarantine::RequestKey;
 use workshold_gateway::peers::Peers;
-use workshold_gateway::peers::exchange::Own;
-use workshold_gateway::peers::exchange::RELAYS;
+use workshold_gateway::peers::exchange::LocalNode;
+use workshold_gateway::peers::exchange::RELAYS_PER_DATA_CENTRE;
 use workshold_protocol::Millis;
 
 use crate::fleet::DATA_CENTRES;
@@ -38,7 +38,7 @@
         fleet.run(Millis(300));
     }
     assert_eq!(fleet.heard(), all);
-    let expected = nodes.min(RELAYS * DATA_CENTRES);
+    let expected = nodes.min(RELAYS_PER_DATA_CENTRE * DATA_CENTRES);
     assert_eq!(fleet.relays().len(), expected, "all agree who the relays are");
 }
 
@@ -79,7 +79,7 @@
     let mut fleet = Fleet::start_with(nodes, |i| (i / DATA_CENTRES % 3) as u8);
     fleet.run(SETTLES);
     let relays = fleet.relays();
-    assert_eq!(relays.len(), RELAYS * DATA_CENTRES);
+    assert_eq!(relays.len(), RELAYS_PER_DATA_CENTRE * DATA_CENTRES);
     let worst = relays.into_iter().map(|i| fleet.nodes[i].class).max();
     assert_eq!(worst, Some(most));
 }
@@ -102,7 +102,11 @@
     fleet.run(Millis(6_000));
     let left = nodes - DATA_CENTRES;
     assert_eq!(fleet.heard(), (left - 1, left - 1), "who is gone is not counted on");
-    assert_eq!(fleet.relays().len(), RELAYS * DATA_CENTRES, "others have taken their place");
+    assert_eq!(
+        fleet.relays().len(),
+        RELAYS_PER_DATA_CENTRE * DATA_CENTRES,
+        "others have taken their place"
+    );
 }
 
 /// All relays of a data centre die at once, as when many nodes are killed.
@@ -138,17 +142,18 @@
     let mut fleet = Fleet::start(372);
     fleet.run(SETTLES);
     let leaving = (0..372).find(|i| !fleet.is_relay(*i)).unwrap();
-    let mut pulse = fleet.pulse(leaving);
-    pulse.is_ready = false;
+    let mut heartbeat = fleet.heartbeat(leaving);
+    heartbeat.is_ready = false;
     let (now, node) = (fleet.now, &mut fleet.nodes[leaving]);
-    let own = Own { address: address(leaving), name: &node.name, data_centre: &node.data_centre };
-    let said = node.peers.outgoing(&own, &pulse, now, 1);
+    let own =
+        LocalNode { address: address(leaving), name: &node.name, data_centre: &node.data_centre };
+    let said = node.peers.outgoing(&own, &heartbeat, now, 1);
     node.next = now + Millis(10_000);
     said.into_iter().for_each(|outgoing| fleet.send(leaving, outgoing));
     fleet.run(Millis(500));
     let sees = |node: &Sim| {
         let mut heard = node.peers.heard(fleet.now);
-        heard.any(|(at, peer)| *at == address(leaving) && peer.pulse.is_ready)
+        heard.any(|(at, peer)| *at == address(leaving) && peer.heartbeat.is_ready)
     };
     let still = fleet.nodes.iter().filter(|node| sees(node)).count();
     assert_eq!(still, 0, "half a second later");
--- a/crates/workshold-gateway/tests/fleet/mod.rs
+++ b/crates/workshold-gateway/tests/fleet/mod.rs
@@ -13,18 +13,18 @@
 use workshold_core::hosted::quarantine::Quarantine;
 use workshold_gateway::loads::Load;
 use workshold_gateway::peers::Datagram;
+use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::peers::ListNews;
 use workshold_gateway::peers::ListRecord;
 use workshold_gateway::peers::Message;
 use workshold_gateway::peers::Peers;
-use workshold_gateway::peers::Pulse;
-use workshold_gateway::peers::ToldLoad;
-use workshold_gateway::peers::ToldRequest;
 use workshold_gateway::peers::VERSION;
+use workshold_gateway::peers::WireLoad;
+use workshold_gateway::peers::WireQuarantineEntry;
+use workshold_gateway::peers::exchange::LocalNode;
 use workshold_gateway::peers::exchange::Outgoing;
-use workshold_gateway::peers::exchange::Own;
-use workshold_gateway::peers::news::Gap;
-use workshold_gateway::peers::news::ROOTS;
+use workshold_gateway::peers::news::ListGap;
+use workshold_gateway::peers::news::STORE_READERS;
 use workshold_protocol::Millis;
 
 pub const DATA_CENTRES: usize = 5;
@@ -63,7 +63,7 @@
     pub list: u64,
     /// What of it this node has passed on.
     pub told: u64,
-    pub gap: Gap,
+    pub gap: ListGap,
     /// When it reads the store again, passes news on again, and may ask again.
     pub reads: Millis,
     pub tells: Millis,
@@ -114,7 +114,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(nodes as u64);
         let node = |i: usize| {
             let class = class(i);
-            let mut peers = Peers::of_class(class);
+            let mut peers = Peers::with_class(class);
             if i > 0 {
                 peers.add(address(0), NOW);
             }
@@ -133,7 +133,7 @@
                 taken_bytes: 0,
                 list: 12,
                 told: 12,
-                gap: Gap::default(),
+                gap: ListGap::default(),
                 reads: NOW,
                 tells: NOW,
                 asks: NOW,
@@ -144,12 +144,12 @@
         Self { now: NOW, nodes, under_way: BTreeMap::new(), rng, end: 12, lost: LOST }
     }
 
-    pub fn pulse(&self, i: usize) -> Pulse {
-        let told = |head: u32, requests| ToldLoad::of_short(head, Load { requests, unread: 0 }, 9);
+    pub fn heartbeat(&self, i: usize) -> Heartbeat {
+        let told = |head: u32, requests| WireLoad::from_hash(head, Load { requests, unread: 0 }, 9);
         let head = |k: u32| 1 + (i as u32 * 7 + k * 31) % (HEADS - 1);
         let mut loads: Vec<_> = (0..HEADS_EACH).map(|k| told(head(k), 1)).collect();
         loads.push(told(0, self.nodes[i].at_head));
-        Pulse {
+        Heartbeat {
             callers: address(i),
             data_centre: SmolStr::new(&self.nodes[i].data_centre),
             class: self.nodes[i].class,
@@ -195,14 +195,16 @@
     }
 
     fn speak(&mut self, i: usize) {
-        let mut pulse = self.pulse(i);
+        let mut heartbeat = self.heartbeat(i);
         let told = self.nodes[i].quarantine.next_to_gossip(MOST_REQUESTS, self.now);
-        pulse.requests = told.iter().map(|known| ToldRequest::new(known, self.now)).collect();
+        heartbeat.requests =
+            told.iter().map(|known| WireQuarantineEntry::new(known, self.now)).collect();
         let draw = self.rng.random();
         let now = self.now;
         let node = &mut self.nodes[i];
-        let own = Own { address: address(i), name: &node.name, data_centre: &node.data_centre };
-        let said = node.peers.outgoing(&own, &pulse, now, draw);
+        let own =
+            LocalNode { address: address(i), name: &node.name, data_centre: &node.data_centre };
+        let said = node.peers.outgoing(&own, &heartbeat, now, draw);
         node.peers.forget(now);
         node.spoke = now;
         node.next = now + PERIOD;
@@ -215,17 +217,18 @@
         let now = self.now;
         let own_address = address(i);
         let node = &mut self.nodes[i];
-        let reads = node.peers.is_among(&node.name, &node.data_centre, ROOTS, now);
+        let reads = node.peers.ranks_among_first(&node.name, &node.data_centre, STORE_READERS, now);
         if reads && node.list < self.end && node.reads <= now {
             node.list = self.end;
             node.has_read = true;
-            node.gap.on_own(node.list.into());
+            node.gap.on_own_list_end(node.list.into());
             node.reads = now + Millis(self.rng.random_range(READ_LEAST..READ_MOST));
         }
-        let own = Own { address: own_address, name: &node.name, data_centre: &node.data_centre };
-        if node.gap.asks_after(now) == Some(Millis::ZERO) && node.asks <= now {
+        let own =
+            LocalNode { address: own_address, name: &node.name, data_centre: &node.data_centre };
+        if node.gap.time_until_fetch(now) == Some(Millis::ZERO) && node.asks <= now {
             let draw = self.rng.random::<u32>() as usize;
-            let asked = node.peers.whom_to_ask(&own, Some(node.list.into()), draw, now);
+            let asked = node.peers.fetch_source(&own, Some(node.list.into()), draw, now);
             node.asks = now + ASK_EVERY;
             if let Some(other) = asked.map(index).filter(|other| self.nodes[*other].is_up) {
                 let list = self.nodes[other].list;
@@ -234,13 +237,16 @@
         }
         let node = &mut self.nodes[i];
         if node.told < node.list && node.tells <= now {
-            let own =
-                Own { address: own_address, name: &node.name, data_centre: &node.data_centre };
-            let to = node.peers.told_of_news(&own, std::mem::take(&mut node.has_read), now);
+            let own = LocalNode {
+                address: own_address,
+                name: &node.name,
+                data_centre: &node.data_centre,
+            };
+            let to = node.peers.news_recipients(&own, std::mem::take(&mut node.has_read), now);
             let news = news(node.told, node.list);
             node.told = node.list;
             node.tells = now + TELL_EVERY;
-            for piece in news.pieces() {
+            for piece in news.into_datagrams() {
                 self.send(i, Outgoing { to: to.clone(), message: Message::News(piece) });
             }
         }
@@ -250,7 +256,7 @@
     fn take_list(&mut self, i: usize, list: u64) {
         let node = &mut self.nodes[i];
         node.list = node.list.max(list);
-        node.gap.on_own(node.list.into());
+        node.gap.on_own_list_end(node.list.into());
     }
 
     /// How many of those that are up lack the newest of the list.
@@ -275,7 +281,7 @@
 
     pub fn take(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.now;
-        let own_pulse = self.pulse(to);
+        let own_pulse = self.heartbeat(to);
         let node = &mut self.nodes[to];
         if !node.is_up {
             return;
@@ -284,7 +290,8 @@
         node.taken_bytes += bytes.len() as u64;
         let datagram: Datagram = postcard::from_bytes(bytes).unwrap();
         let name = datagram.from;
-        let own = Own { address: address(to), name: &node.name, data_centre: &node.data_centre };
+        let own =
+            LocalNode { address: address(to), name: &node.name, data_centre: &node.data_centre };
         match &datagram.message {
             Message::News(news) if node.list >= news.from.offset => {
                 let list = news.next.offset;
@@ -292,23 +299,23 @@
                 return;
             }
             Message::News(news) => {
-                node.gap.on_end(Some(node.list.into()), news.next, now);
+                node.gap.on_peer_list_end(Some(node.list.into()), news.next, now);
                 return;
             }
-            Message::Pulse(pulse) => {
-                if let Some((end, _)) = pulse.list {
-                    node.gap.on_end(Some(node.list.into()), end, now);
+            Message::Heartbeat(heartbeat) => {
+                if let Some((end, _)) = heartbeat.list {
+                    node.gap.on_peer_list_end(Some(node.list.into()), end, now);
                 }
             }
             Message::Digest(digest) => {
                 let end = digest.own.list.map_or(0.into(), |(end, _)| end);
-                node.gap.on_end(Some(node.list.into()), end, now);
+                node.gap.on_peer_list_end(Some(node.list.into()), end, now);
             }
             _ => {}
         }
         let mut answer = None;
         let told = match &datagram.message {
-            Message::Pulse(pulse) => &pulse.requests[..],
+            Message::Heartbeat(heartbeat) => &heartbeat.requests[..],
             Message::Digest(digest) => &digest.own.requests,
             _ => &[],
         };
@@ -318,9 +325,9 @@
         });
         let is_telling = node.quarantine.has_news();
         let is_news = match datagram.message {
-            Message::Pulse(pulse) => {
-                let seeks = pulse.seeks.then(|| pulse.data_centre.clone());
-                let is_news = node.peers.on_pulse(own.address, from, name, *pulse, now);
+            Message::Heartbeat(heartbeat) => {
+                let seeks = heartbeat.seeks.then(|| heartbeat.data_centre.clone());
+                let is_news = node.peers.on_heartbeat(own.address, from, name, *heartbeat, now);
                 answer = seeks.map(|place| node.peers.answer(&own, &own_pulse, &place, now));
                 is_news
             }
@@ -337,7 +344,8 @@
 
     pub fn is_relay(&self, i: usize) -> bool {
         let node = &self.nodes[i];
-        let own = Own { address: address(i), name: &node.name, data_centre: &node.data_centre };
+        let own =
+            LocalNode { address: address(i), name: &node.name, data_centre: &node.data_centre };
         node.peers.is_relay(&own, self.now)
     }
 
--- a/crates/workshold-gateway/tests/followers.rs
+++ b/crates/workshold-gateway/tests/followers.rs
@@ -21,9 +21,9 @@
 use workshold_core::hosted::serving_config::ServingConfig;
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::Datagram;
-use workshold_gateway::peers::LIST_TROUBLE_MOST;
+use workshold_gateway::peers::Heartbeat;
+use workshold_gateway::peers::LIST_TROUBLE_MAX_AGE_MS;
 use workshold_gateway::peers::Message;
-use workshold_gateway::peers::Pulse;
 use workshold_gateway::peers::VERSION;
 use workshold_gateway::tasks::asking::Topic;
 use workshold_gateway::tasks::following;
@@ -53,12 +53,12 @@
     store_age_ms: u64,
 }
 
-fn pulse(callers: SocketAddr, said: Said) -> Pulse {
-    Pulse {
+fn heartbeat(callers: SocketAddr, said: Said) -> Heartbeat {
+    Heartbeat {
         data_centre: SmolStr::new(said.data_centre),
         list_trouble_ms: said.list_trouble_ms,
         store_age_ms: said.store_age_ms,
-        ..common::pulse(callers)
+        ..common::heartbeat(callers)
     }
 }
 
@@ -85,9 +85,10 @@
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let silent = Said { data_centre: "a", list_trouble_ms: None, store_age_ms: 0 };
         let said = said.get(i).copied().unwrap_or(silent);
-        let said = pulse(other.local_addr().unwrap(), said);
+        let said = heartbeat(other.local_addr().unwrap(), said);
         let from = SmolStr::new(format!("n-{i}"));
-        let datagram = Datagram { version: VERSION, from, message: Message::Pulse(Box::new(said)) };
+        let datagram =
+            Datagram { version: VERSION, from, message: Message::Heartbeat(Box::new(said)) };
         other.send_to(&postcard::to_stdvec(&datagram).unwrap(), to).await.unwrap();
         others.push(other);
     }
@@ -97,12 +98,12 @@
         }
     };
     tokio::time::timeout(Duration::from_secs(5), all_are_heard).await.unwrap();
-    assert!(!node.is_reader(), "it goes by what others read");
-    node.remake_table();
+    assert!(!node.is_store_reader(), "it goes by what others read");
+    node.rebuild_table();
     node
 }
 
-const NEVER: Option<u32> = Some(LIST_TROUBLE_MOST);
+const NEVER: Option<u32> = Some(LIST_TROUBLE_MAX_AGE_MS);
 
 #[rstest]
 #[case::all_readers(&[("a", Some(400)), ("a", Some(300)), ("a", Some(500))], true)]
@@ -127,11 +128,11 @@
 #[tokio::test]
 async fn a_reader_goes_by_its_own_readings() {
     let node = node(NO_STORE);
-    assert!(node.is_reader());
-    assert_eq!(node.list_trouble(), NEVER);
+    assert!(node.is_store_reader());
+    assert_eq!(node.list_failure_age_ms(), NEVER);
     let now = node.now();
     node.list.lock().trust.on_store_failure(now);
-    assert!(node.list_trouble() < Some(1_000));
+    assert!(node.list_failure_age_ms() < Some(1_000));
 }
 
 const READS: Option<u32> = NEVER;
@@ -157,7 +158,7 @@
     for topic in [Topic::Config, Topic::List] {
         let (store, asked) = common::peer().await;
         let node = follower_of(&store.to_string(), said).await;
-        node.take_config(serving_config(), Bytes::from_static(b"{}"), node.now());
+        node.install_config(serving_config(), Bytes::from_static(b"{}"), node.now());
         {
             let now = node.now();
             let mut list = node.list.lock();
--- a/crates/workshold-gateway/tests/list_news.rs
+++ b/crates/workshold-gateway/tests/list_news.rs
@@ -26,10 +26,10 @@
 use tokio::sync::mpsc;
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::Datagram;
+use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::peers::ListNews;
 use workshold_gateway::peers::ListRecord;
 use workshold_gateway::peers::Message;
-use workshold_gateway::peers::Pulse;
 use workshold_gateway::peers::rank;
 use workshold_gateway::settings;
 use workshold_gateway::tasks::following;
@@ -64,14 +64,14 @@
     let records = (from..next).map(|i| record(i, &format!("i-{i}"))).collect();
     let news =
         ListNews { from: from.into(), next: next.into(), copy_end: 0.into(), age_ms: 0, records };
-    assert!(following::take_news(node, &news, node.now()));
+    assert!(following::apply_list_news(node, &news, node.now()));
 }
 
 fn hear(node: &Node, address: SocketAddr, name: &str, list: Option<(u64, u64)>) {
     let list = list.map(|(end, age)| (end.into(), age));
-    let said = Pulse { next_ms: 20_000, list, ..common::pulse(address) };
+    let said = Heartbeat { next_ms: 20_000, list, ..common::heartbeat(address) };
     let own = node.settings().control();
-    node.peers.lock().on_pulse(own, address, SmolStr::new(name), said, node.now());
+    node.peers.lock().on_heartbeat(own, address, SmolStr::new(name), said, node.now());
 }
 
 /// Its own reading may come late, as any call may.
@@ -88,7 +88,7 @@
     bring(&node, 0, 5);
     let (address, count) = common::peer().await;
     hear(&node, address, "n-2", list);
-    assert!(node.is_reader());
+    assert!(node.is_store_reader());
     let catching_up = tokio::spawn(gossip::catch_up(Arc::clone(&node)));
     tokio::time::sleep(ASKED_WITHIN).await;
     catching_up.abort();
--- a/crates/workshold-gateway/tests/lives.rs
+++ b/crates/workshold-gateway/tests/lives.rs
@@ -38,7 +38,7 @@
         let (node, clock, _) = common::node();
         let text = deployment::config(1, "k1");
         let serving_config = config::decode(text.as_bytes()).unwrap();
-        node.take_config(serving_config, text.into(), node.now());
+        node.install_config(serving_config, text.into(), node.now());
         Self { node, clock, next: 0 }
     }
 
@@ -57,7 +57,7 @@
             records,
         };
         self.next += 1;
-        assert!(following::take_news(&self.node, &news, self.node.now()));
+        assert!(following::apply_list_news(&self.node, &news, self.node.now()));
     }
 
     fn state(&mut self, key: &str, entry: &Value) {
@@ -66,7 +66,7 @@
 
     /// Where requests for the gates can go.
     fn gates(&self) -> Vec<Arc<Target>> {
-        self.node.remake_table();
+        self.node.rebuild_table();
         self.node.table().of(&ServiceName::new("gate").unwrap()).to_vec()
     }
 
@@ -201,7 +201,7 @@
     scene.write("i-1", b"?".to_vec());
     let mut other = Scene::new();
     other.state("i-1", &gate(FIRST, "10.0.0.1:80"));
-    following::take_news(&other.node, &following::news(&scene.node, 0), other.node.now());
+    following::apply_list_news(&other.node, &following::news(&scene.node, 0), other.node.now());
     assert!(other.gates().is_empty());
 }
 
@@ -216,6 +216,6 @@
     let now = scene.node.now();
     scene.node.list.lock().roster.on_full_list(&left, 2, now);
     let other = Scene::new();
-    following::take_news(&other.node, &following::news(&scene.node, 0), other.node.now());
+    following::apply_list_news(&other.node, &following::news(&scene.node, 0), other.node.now());
     assert_eq!(other.gate_names(), ["i-2"]);
 }
--- a/crates/workshold-gateway/tests/locks.rs
+++ b/crates/workshold-gateway/tests/locks.rs
@@ -11,10 +11,10 @@
 use workshold_gateway::loads::Load;
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::Datagram;
+use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::peers::Message;
-use workshold_gateway::peers::Pulse;
-use workshold_gateway::peers::ToldLoad;
 use workshold_gateway::peers::VERSION;
+use workshold_gateway::peers::WireLoad;
 use workshold_gateway::settings;
 use workshold_gateway::tasks::gossip;
 use workshold_protocol::clock::SystemClock;
@@ -23,12 +23,13 @@
 fn datagram() -> Vec<u8> {
     let told = |i: u32| {
         let id = InstanceId::new(&format!("i-{i}")).unwrap().into();
-        ToldLoad::new(&id, Load { requests: 1, unread: 0 }, 40.0)
+        WireLoad::new(&id, Load { requests: 1, unread: 0 }, 40.0)
     };
     let loads = (0..100).map(told).collect();
-    let pulse = Pulse { loads, ..common::pulse("127.0.0.1:7011".parse().unwrap()) };
+    let heartbeat = Heartbeat { loads, ..common::heartbeat("127.0.0.1:7011".parse().unwrap()) };
     let from = SmolStr::new("n-2");
-    let datagram = Datagram { version: VERSION, from, message: Message::Pulse(Box::new(pulse)) };
+    let datagram =
+        Datagram { version: VERSION, from, message: Message::Heartbeat(Box::new(heartbeat)) };
     postcard::to_stdvec(&datagram).unwrap()
 }
 
@@ -49,11 +50,11 @@
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
     let to = socket.local_addr().unwrap();
     tokio::spawn(gossip::receive(Arc::clone(&node), Arc::clone(&socket)));
-    tokio::spawn(gossip::send_pulses(Arc::clone(&node), socket));
+    tokio::spawn(gossip::send_heartbeats(Arc::clone(&node), socket));
     let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let bytes = datagram();
     for _ in 0..20_000 {
-        node.pulse_wanted.notify_one();
+        node.heartbeat_wanted.notify_one();
         other.send_to(&bytes, to).await.unwrap();
     }
     let is_free = tokio::task::spawn_blocking(move || {
--- a/crates/workshold-gateway/tests/peers.rs
+++ b/crates/workshold-gateway/tests/peers.rs
@@ -11,11 +11,11 @@
 use workshold_core::hosted::identity::Identity;
 use workshold_gateway::loads::Load;
 use workshold_gateway::loads::instance_hash;
+use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::peers::Peers;
-use workshold_gateway::peers::Pulse;
-use workshold_gateway::peers::ToldLoad;
-use workshold_gateway::peers::ToldWork;
-use workshold_gateway::peers::exchange::Own;
+use workshold_gateway::peers::WireLoad;
+use workshold_gateway::peers::WireWorkload;
+use workshold_gateway::peers::exchange::LocalNode;
 use workshold_gateway::peers::rank;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::InstanceId;
@@ -24,8 +24,8 @@
     SocketAddr::from(([127, 0, 0, 1], 7_000 + i as u16))
 }
 
-fn pulse(loads: Vec<ToldLoad>) -> Pulse {
-    Pulse {
+fn heartbeat(loads: Vec<WireLoad>) -> Heartbeat {
+    Heartbeat {
         callers: address(0),
         data_centre: SmolStr::new("a"),
         class: 0,
@@ -40,7 +40,7 @@
         past: None,
         store_age_ms: 100,
         list_trouble_ms: None,
-        work: vec![ToldWork::new("m0", WORK)],
+        work: vec![WireWorkload::new("m0", WORK)],
         seen_percent: 100,
         loads,
         requests: Vec::new(),
@@ -55,8 +55,8 @@
     InstanceId::new(name).unwrap().into()
 }
 
-fn told(name: &str, requests: u32, unread: u32) -> ToldLoad {
-    ToldLoad::new(&id(name), Load { requests, unread }, 0.0)
+fn told(name: &str, requests: u32, unread: u32) -> WireLoad {
+    WireLoad::new(&id(name), Load { requests, unread }, 0.0)
 }
 
 const OWN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 6_999);
@@ -69,17 +69,18 @@
 #[test]
 fn loads_of_all_who_are_heard_are_summed() {
     let mut peers = Peers::default();
-    peers.on_pulse(
+    peers.on_heartbeat(
         OWN,
         address(1),
         name(1),
-        pulse(vec![told("i-5", 3, 100), told("i-6", 1, 0)]),
+        heartbeat(vec![told("i-5", 3, 100), told("i-6", 1, 0)]),
         NOW,
     );
-    peers.on_pulse(OWN, address(2), name(2), pulse(vec![told("i-5", 4, 1_000)]), NOW);
+    peers.on_heartbeat(OWN, address(2), name(2), heartbeat(vec![told("i-5", 4, 1_000)]), NOW);
     let load = peers.loads(NOW)[&instance_hash(&id("i-5"))];
     assert_eq!((load.requests, load.unread), (7, 128 + 1_024), "in units of 64 tokens, rounded up");
-    let told: Vec<Workload> = peers.heard(NOW).map(|(_, peer)| peer.pulse.work[0].work()).collect();
+    let told: Vec<Workload> =
+        peers.heard(NOW).map(|(_, peer)| peer.heartbeat.work[0].work()).collect();
     assert_eq!(told, [WORK, WORK], "what is asked comes over as it was told");
     let later = NOW + Millis(1_100);
     assert!(peers.loads(later).is_empty(), "who is silent counts no more");
@@ -92,8 +93,8 @@
 fn spread(own: usize, nodes: usize, data_centres: usize) -> Peers {
     let mut peers = Peers::default();
     for i in (0..nodes).filter(|i| *i != own) {
-        let said = Pulse { data_centre: place(i, data_centres), ..pulse(Vec::new()) };
-        peers.on_pulse(OWN, address(i), name(i), said, NOW);
+        let said = Heartbeat { data_centre: place(i, data_centres), ..heartbeat(Vec::new()) };
+        peers.on_heartbeat(OWN, address(i), name(i), said, NOW);
     }
     peers
 }
@@ -115,7 +116,7 @@
 ) {
     let reads = |i: &usize| {
         let own = place(*i, data_centres);
-        spread(*i, nodes, data_centres).is_among(&name(*i), own.as_str(), 4, NOW)
+        spread(*i, nodes, data_centres).ranks_among_first(&name(*i), own.as_str(), 4, NOW)
     };
     assert_eq!((0..nodes).filter(reads).count(), readers);
 }
@@ -124,15 +125,15 @@
 fn a_node_that_hears_nobody_reads_for_itself() {
     let mut peers = spread(0, 61, 3);
     peers.forget(NOW + Millis::from_secs(30));
-    assert!(peers.is_among("n-0", "dc-0", 4, NOW + Millis::from_secs(30)));
+    assert!(peers.ranks_among_first("n-0", "dc-0", 4, NOW + Millis::from_secs(30)));
 }
 
 #[test]
 fn who_is_told_less_often_is_believed_for_longer() {
     let mut peers = Peers::default();
-    peers.on_pulse(OWN, address(1), name(1), pulse(Vec::new()), NOW);
-    let rare = Pulse { next_ms: 900, ..pulse(Vec::new()) };
-    peers.on_pulse(OWN, address(2), name(2), rare, NOW);
+    peers.on_heartbeat(OWN, address(1), name(1), heartbeat(Vec::new()), NOW);
+    let rare = Heartbeat { next_ms: 900, ..heartbeat(Vec::new()) };
+    peers.on_heartbeat(OWN, address(2), name(2), rare, NOW);
     let heard = |after: u64| peers.heard(NOW + Millis(after)).count();
     assert_eq!((heard(1_099), heard(1_100), heard(2_899), heard(2_900)), (2, 1, 1, 0));
 }
@@ -142,10 +143,10 @@
     let mut peers = spread(0, 7, 3);
     peers.add(address(99), NOW);
     let own_name = name(0);
-    let own = Own { address: address(0), name: &own_name, data_centre: "dc-0" };
+    let own = LocalNode { address: address(0), name: &own_name, data_centre: "dc-0" };
     let told = |is_first| {
         let told: BTreeSet<SocketAddr> =
-            peers.told_of_news(&own, is_first, NOW).into_iter().collect();
+            peers.news_recipients(&own, is_first, NOW).into_iter().collect();
         told
     };
     assert_eq!(told(false), BTreeSet::from([address(3), address(6)]));
@@ -167,8 +168,8 @@
             let hears = all[i].sample(round * 31 + i as u64 * 7, now);
             for to in all[i].addresses() {
                 let to = usize::from(to.port() - 7_000);
-                let said = Pulse { hears: hears.clone(), ..pulse(Vec::new()) };
-                all[to].on_pulse(address(to), address(i), name(i), said, now);
+                let said = Heartbeat { hears: hears.clone(), ..heartbeat(Vec::new()) };
+                all[to].on_heartbeat(address(to), address(i), name(i), said, now);
             }
         }
     }
--- a/crates/workshold-gateway/tests/relay.rs
+++ b/crates/workshold-gateway/tests/relay.rs
@@ -196,7 +196,7 @@
         }
         let text = deployment::config(1, "k1");
         let serving_config = config::decode(text.as_bytes()).unwrap();
-        node.take_config(serving_config, Bytes::from(text), node.now());
+        node.install_config(serving_config, Bytes::from(text), node.now());
         Self { node: Arc::new(node), script, members }
     }
 
--- a/crates/workshold-gateway/tests/repeats.rs
+++ b/crates/workshold-gateway/tests/repeats.rs
@@ -95,7 +95,7 @@
         for ms in (from..until).step_by(REQUEST_EVERY_MS as usize) {
             *self.now.lock() = Millis(ms);
             if ms % PULSE_EVERY_MS == 0 {
-                self.pulse(cut);
+                self.heartbeat(cut);
             }
             let node = &self.nodes[(ms / REQUEST_EVERY_MS) as usize % self.nodes.len()];
             node.count_request(&self.service);
@@ -107,15 +107,15 @@
         *self.now.lock() = Millis(until);
     }
 
-    fn pulse(&self, cut: &BTreeSet<usize>) {
+    fn heartbeat(&self, cut: &BTreeSet<usize>) {
         for (i, node) in self.nodes.iter().enumerate() {
             let own = node.settings().control();
             let mut peers = node.peers.lock();
             let others = self.nodes.iter().enumerate().filter(|(j, _)| *j != i);
             for (j, other) in others.filter(|(j, _)| !cut.contains(&i) && !cut.contains(j)) {
                 let name = SmolStr::new(format!("n-{j}"));
-                let said = common::pulse(other.settings().listen.callers);
-                peers.on_pulse(own, other.settings().control(), name, said, node.now());
+                let said = common::heartbeat(other.settings().listen.callers);
+                peers.on_heartbeat(own, other.settings().control(), name, said, node.now());
             }
             peers.forget(node.now());
         }
--- a/crates/workshold-gateway/tests/sleep.rs
+++ b/crates/workshold-gateway/tests/sleep.rs
@@ -16,9 +16,9 @@
 use tokio::net::UdpSocket;
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::Datagram;
+use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::peers::ListNews;
 use workshold_gateway::peers::Message;
-use workshold_gateway::peers::Pulse;
 use workshold_gateway::peers::VERSION;
 use workshold_gateway::tasks::gossip;
 use workshold_platform::config;
@@ -37,7 +37,7 @@
     let node = Arc::new(node);
     let text = deployment::config(1, "k1");
     let serving_config = config::decode(text.as_bytes()).unwrap();
-    node.take_config(serving_config, text.into(), node.now());
+    node.install_config(serving_config, text.into(), node.now());
     let news = ListNews {
         from: 0.into(),
         next: 4.into(),
@@ -45,7 +45,7 @@
         age_ms: 0,
         records: Vec::new(),
     };
-    workshold_gateway::tasks::following::take_news(&node, &news, node.now());
+    workshold_gateway::tasks::following::apply_list_news(&node, &news, node.now());
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
     let address = socket.local_addr().unwrap();
     tokio::spawn(gossip::receive(Arc::clone(&node), socket));
@@ -60,9 +60,9 @@
 
 fn fresh() -> Message {
     let callers = "127.0.0.1:9000".parse().unwrap();
-    let pulse = common::pulse(callers);
-    let pulse = Pulse { config: Some((1, 100)), list: Some((4.into(), 100)), ..pulse };
-    Message::Pulse(Box::new(pulse))
+    let heartbeat = common::heartbeat(callers);
+    let heartbeat = Heartbeat { config: Some((1, 100)), list: Some((4.into(), 100)), ..heartbeat };
+    Message::Heartbeat(Box::new(heartbeat))
 }
 
 /// It is sent, then the machine sleeps, and only then anything is read.
@@ -80,7 +80,7 @@
     assert!(age >= SLEPT, "the configuration looks {age} old");
     let list_age = node.now().since(node.list.lock().read_at);
     assert!(list_age >= SLEPT, "the list looks {list_age} old");
-    assert!(!node.are_keys_believed());
+    assert!(!node.are_keys_trusted());
 }
 
 #[tokio::test]
