--- a/crates/workshold-gateway/src/callers/answers.rs
+++ b/crates/workshold-gateway/src/callers/answers.rs
@@ -15,7 +15,7 @@
 
 /// The body of an answer; an error breaks the caller's connection, so that what is
 /// not whole never looks whole.
-pub type AnswerBody = UnsyncBoxBody<Bytes, Cut>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, Cut>;
 
 /// An answer that ends before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -29,12 +29,12 @@
 impl std::error::Error for Cut {}
 
 /// A body that is there as a whole.
-pub fn whole(bytes: Bytes) -> AnswerBody {
+pub fn whole(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// An answer of this node's own.
-pub fn own(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+pub fn own(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut res = Response::new(whole(Bytes::from_static(text.as_bytes())));
     *res.status_mut() = status;
     res.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
@@ -42,7 +42,7 @@
 }
 
 /// The request has not run and will not; the caller may come back `after`.
-pub fn not_run(text: &'static str, after: Millis) -> Response<AnswerBody> {
+pub fn not_run(text: &'static str, after: Millis) -> Response<ResponseBody> {
     let mut res = own(StatusCode::SERVICE_UNAVAILABLE, text);
     let secs = format!("{:.3}", after.as_secs_f64());
     let value = HeaderValue::from_str(&secs).expect("digits are a header's value");
--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -13,7 +13,7 @@
 use workshold_core::hosted::instance_limits::Rate;
 
 use crate::callers::answers;
-use crate::callers::answers::AnswerBody;
+use crate::callers::answers::ResponseBody;
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
@@ -30,7 +30,7 @@
 pub const METRICS_PATH: &str = "/metrics";
 
 /// Answers other nodes and operators.
-pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     match req.uri().path() {
         gossip::CONFIG_PATH => match node.config_bytes() {
             Some(bytes) => Response::new(answers::whole(bytes)),
@@ -44,7 +44,7 @@
     }
 }
 
-fn release(node: &Node, method: &Method, path: &str) -> Response<AnswerBody> {
+fn release(node: &Node, method: &Method, path: &str) -> Response<ResponseBody> {
     if method != Method::DELETE {
         return answers::own(StatusCode::METHOD_NOT_ALLOWED, "DELETE lets a request go");
     }
@@ -59,7 +59,7 @@
     answers::own(StatusCode::OK, "it is let go, here and soon at all nodes")
 }
 
-fn list(node: &Node, query: &str) -> Response<AnswerBody> {
+fn list(node: &Node, query: &str) -> Response<ResponseBody> {
     let from = query.strip_prefix("from=").and_then(place).unwrap_or_default();
     let records = following::news(node, from);
     let bytes = postcard::to_stdvec(&records).expect("records have only plain fields");
--- a/crates/workshold-gateway/src/callers/directory.rs
+++ b/crates/workshold-gateway/src/callers/directory.rs
@@ -13,7 +13,7 @@
 use workshold_platform::names;
 
 use crate::callers::answers;
-use crate::callers::answers::AnswerBody;
+use crate::callers::answers::ResponseBody;
 use crate::node::Node;
 
 /// With fewer nodes than this in a caller's data centre, others are named as well:
@@ -21,7 +21,7 @@
 const LEAST_NEAR: usize = 2;
 
 /// Answers callers who ask which addresses to use.
-pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::RESOLVE_PATH {
         return answers::own(StatusCode::NOT_FOUND, "no such question");
     }
@@ -66,7 +66,7 @@
 }
 
 /// Answers the platform's question whether this node serves.
-pub fn readiness(node: &Node, req: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn readiness(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::READY_PATH {
         return answers::own(StatusCode::NOT_FOUND, "no such question");
     }
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -28,7 +28,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::callers::answers;
-use crate::callers::answers::AnswerBody;
+use crate::callers::answers::ResponseBody;
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
@@ -36,7 +36,7 @@
 
 /// A request that is allowed, and all that is needed to carry it to an upstream.
 #[derive(Debug)]
-pub struct Job {
+pub struct AdmittedRequest {
     /// The caller's name for it.
     pub id: SmolStr,
     /// Its route.
@@ -60,14 +60,14 @@
     /// Tokens of its prompt, by the caller's word.
     pub prompt_tokens: f64,
     /// The last event that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// When it came.
-    pub began: Millis,
+    pub received_at: Millis,
     /// When its time is up.
-    pub ends: Millis,
+    pub deadline: Millis,
 }
 
-impl Job {
+impl AdmittedRequest {
     /// The request as it is told from others.
     pub fn request_key(&self) -> RequestKey {
         RequestKey { fingerprint: self.fingerprint, caller: self.caller }
@@ -75,7 +75,7 @@
 
     /// Time that is left at `now`.
     pub fn left(&self, now: Millis) -> Millis {
-        self.ends.since(now)
+        self.deadline.since(now)
     }
 }
 
@@ -90,7 +90,7 @@
 const LEAST_URGENT: u8 = 9;
 
 /// Answers one request.
-pub async fn answer(node: Arc<Node>, req: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn answer(node: Arc<Node>, req: Request<Incoming>) -> Response<ResponseBody> {
     let guard = node.begin_request();
     node.note_traffic();
     let mut res = match prepare(&node, req).await {
@@ -103,8 +103,11 @@
     res
 }
 
-async fn prepare(node: &Node, req: Request<Incoming>) -> Result<Job, Box<Response<AnswerBody>>> {
-    let began = node.now();
+async fn prepare(
+    node: &Node,
+    req: Request<Incoming>,
+) -> Result<AdmittedRequest, Box<Response<ResponseBody>>> {
+    let received_at = node.now();
     let (parts, incoming) = req.into_parts();
     let serving_config = node.serving_config();
     let serving_config =
@@ -127,14 +130,14 @@
     let mut headers = parts.headers;
     let model = text(&headers, &names::MODEL);
     let prompt_tokens = prompt_tokens(&headers);
-    let last_event = text(&headers, &names::LAST_EVENT).and_then(|text| text.parse().ok());
+    let last_event_id = text(&headers, &names::LAST_EVENT).and_then(|text| text.parse().ok());
     let rank = team.as_ref().map_or(0, |(_, rank)| *rank);
     let path = parts.uri.path_and_query().map_or(path, |path| path.as_str());
     let caller = team.as_ref().map(|(name, _)| name.as_str());
     let fingerprint = Fingerprint::of(caller, path, &body);
     let caller = quarantine::name_hash(caller.unwrap_or_default());
     set_headers(&mut headers, team.map(|(name, _)| name), urgency(rank, route.priority));
-    Ok(Job {
+    Ok(AdmittedRequest {
         id,
         route: Arc::clone(route),
         service,
@@ -146,24 +149,24 @@
         caller,
         model,
         prompt_tokens,
-        last_event,
-        began,
-        ends: began + time,
+        last_event_id,
+        received_at,
+        deadline: received_at + time,
     })
 }
 
-fn refuse(text: &'static str) -> Box<Response<AnswerBody>> {
+fn refuse(text: &'static str) -> Box<Response<ResponseBody>> {
     Box::new(answers::not_run(text, COME_BACK))
 }
 
 /// Others serve: the caller need not wait to go there.
-fn refuse_stopping(id: &str) -> Box<Response<AnswerBody>> {
+fn refuse_stopping(id: &str) -> Box<Response<ResponseBody>> {
     let why = "this node is stopping";
     emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
     Box::new(answers::not_run(why, COME_BACK_ELSEWHERE))
 }
 
-fn deny(id: &str, status: StatusCode, text: &'static str) -> Box<Response<AnswerBody>> {
+fn deny(id: &str, status: StatusCode, text: &'static str) -> Box<Response<ResponseBody>> {
     let fields = [("request", id), ("why", text), ("status", status.as_str())];
     emit(Event::RequestNotRun, &fields);
     Box::new(answers::own(status, text))
@@ -178,7 +181,7 @@
     route: &Route,
     headers: &HeaderMap,
     id: &str,
-) -> Result<Option<TeamAndRank>, Box<Response<AnswerBody>>> {
+) -> Result<Option<TeamAndRank>, Box<Response<ResponseBody>>> {
     if serving_config.needs_key(route) && !node.are_keys_trusted() {
         let why = "keys may be out of date here";
         emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
@@ -217,7 +220,7 @@
     incoming: Incoming,
     serving_config: &ServingConfig,
     time: Millis,
-) -> Result<Bytes, Response<AnswerBody>> {
+) -> Result<Bytes, Response<ResponseBody>> {
     let within = time.min(serving_config.limits.idle_time).to_duration();
     // A length that is too long by its own word need not be waited for.
     if incoming.size_hint().lower() > serving_config.limits.body_len as u64 {
--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -26,7 +26,7 @@
 use workshold_protocol::Millis;
 use workshold_protocol::clock::SystemClock;
 
-use crate::callers::answers::AnswerBody;
+use crate::callers::answers::ResponseBody;
 use crate::callers::control;
 use crate::callers::directory;
 use crate::callers::requests;
@@ -154,7 +154,7 @@
     Ok(callers)
 }
 
-type SideAnswer = fn(&Node, &Request<Incoming>) -> Response<AnswerBody>;
+type SideAnswer = fn(&Node, &Request<Incoming>) -> Response<ResponseBody>;
 
 fn serve_side(
     node: &Arc<Node>,
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -62,7 +62,7 @@
 use crate::peers::news::ListGap;
 use crate::settings::Settings;
 use crate::store_monitor::StoreMonitor;
-use crate::table::Table;
+use crate::table::RoutingTable;
 use crate::table::Target;
 
 pub use self::doubts::Probe;
@@ -154,7 +154,7 @@
     currency: Mutex<ConfigFreshness>,
     /// The list of instances.
     pub list: Mutex<List>,
-    table: RwLock<Arc<Table>>,
+    table: RwLock<Arc<RoutingTable>>,
     made: Mutex<MadeTable>,
     /// Who cannot be reached.
     pub suspicions: Mutex<Suspicions<Identity>>,
@@ -378,7 +378,7 @@
     }
 
     /// Where requests can be sent.
-    pub fn table(&self) -> Arc<Table> {
+    pub fn table(&self) -> Arc<RoutingTable> {
         Arc::clone(&self.table.read())
     }
 
@@ -401,7 +401,7 @@
         let Some(serving_config) = self.serving_config() else { return };
         let now = self.now();
         let list = self.list.lock();
-        let table = Table::make(&serving_config, &list.roster, &list.trust, now);
+        let table = RoutingTable::make(&serving_config, &list.roster, &list.trust, now);
         let made = MadeTable { version: list.roster.version(), at: now };
         drop(list);
         *self.table.write() = Arc::new(table);
--- a/crates/workshold-gateway/src/node/held.rs
+++ b/crates/workshold-gateway/src/node/held.rs
@@ -12,7 +12,7 @@
 use workshold_core::hosted::roster::Entry;
 use workshold_protocol::Millis;
 
-use crate::callers::requests::Job;
+use crate::callers::requests::AdmittedRequest;
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
@@ -35,7 +35,7 @@
     /// The connection to a target broke while a request began there. Returns whether the
     /// target's end would keep that request from others. One that leaves with a plan ends
     /// for its own reasons.
-    pub fn note_connection_lost(&self, job: &Job, target: &Target) -> bool {
+    pub fn note_connection_lost(&self, job: &AdmittedRequest, target: &Target) -> bool {
         let now = self.now();
         let (domain, is_leaving) = {
             let list = self.list.lock();
@@ -62,7 +62,7 @@
     }
 
     /// A request ran to its end.
-    pub fn note_finished(&self, job: &Job) {
+    pub fn note_finished(&self, job: &AdmittedRequest) {
         let now = self.now();
         self.change_quarantine(|known| known.on_completed(job.fingerprint, now));
     }
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -30,8 +30,8 @@
 use workshold_protocol::Millis;
 
 use crate::callers::answers;
-use crate::callers::answers::AnswerBody;
-use crate::callers::requests::Job;
+use crate::callers::answers::ResponseBody;
+use crate::callers::requests::AdmittedRequest;
 use crate::events::Event;
 use crate::events::emit;
 use crate::metrics::Metric;
@@ -72,7 +72,7 @@
 /// Where a request stands.
 pub struct Course {
     /// What is to be done.
-    pub job: Arc<Job>,
+    pub job: Arc<AdmittedRequest>,
     /// What has ended of it.
     pub used: AttemptsUsed,
     /// Instances that it was tried at.
@@ -88,7 +88,7 @@
 }
 
 impl Course {
-    fn new(job: Job) -> Self {
+    fn new(job: AdmittedRequest) -> Self {
         let used = AttemptsUsed { sent: 0, not_sent: 0, may_have_run: false };
         Self {
             job: Arc::new(job),
@@ -104,7 +104,7 @@
     /// Whether nothing was tried yet: one that has run in part goes on wherever there
     /// is a place, full or not.
     fn is_new(&self) -> bool {
-        self.tried.is_empty() && self.job.last_event.is_none()
+        self.tried.is_empty() && self.job.last_event_id.is_none()
     }
 
     /// How long to wait for the newest of `under_way` attempts, which was last heard at
@@ -116,7 +116,7 @@
             probe_after: self.job.route.is_repeatable().then_some(after.0),
             failover_after: may_begin.then_some(after.1),
             held_until: self.held_until,
-            ends: self.job.ends,
+            deadline: self.job.deadline,
             waiting: None,
         }
     }
@@ -280,7 +280,11 @@
 }
 
 /// Carries one request; the answer is final.
-pub async fn run(node: &Arc<Node>, job: Job, guard: RequestGuard) -> Response<AnswerBody> {
+pub async fn run(
+    node: &Arc<Node>,
+    job: AdmittedRequest,
+    guard: RequestGuard,
+) -> Response<ResponseBody> {
     // What ends whoever runs it comes back under new ids, at any node: before it is counted
     // or sent it is asked for by what it asks.
     if let Some(until) = node.quarantined_until(job.fingerprint) {
@@ -289,7 +293,7 @@
     node.count_request(&job.service);
     node.metrics.count(Metric::Requests);
     note_demand(node, &job);
-    let last = job.last_event;
+    let last = job.last_event_id;
     let mut course = Course::new(job);
     let mut attempts = Attempts::default();
     loop {
@@ -380,22 +384,22 @@
 }
 
 /// What is asked counts, whether it can be served or not.
-fn note_demand(node: &Node, job: &Job) {
+fn note_demand(node: &Node, job: &AdmittedRequest) {
     if let Some(model) = &job.model {
         node.demand.lock().on_request(model, asked(job), node.now());
     }
 }
 
-fn asked(job: &Job) -> RequestCost {
+fn asked(job: &AdmittedRequest) -> RequestCost {
     RequestCost { prompt_tokens: job.prompt_tokens, pause_goal: job.route.pause_goal }
 }
 
-fn is_worth_repeating(course: &Course, res: &Response<AnswerBody>) -> bool {
+fn is_worth_repeating(course: &Course, res: &Response<ResponseBody>) -> bool {
     res.status().is_server_error() && course.job.route.is_repeatable()
 }
 
 fn log_end(node: &Node, course: &Course, target: &Target, status: StatusCode) {
-    let took = node.now().since(course.job.began);
+    let took = node.now().since(course.job.received_at);
     if status.is_success() {
         node.note_finished(&course.job);
     }
@@ -414,7 +418,7 @@
 
 /// Refuses what would end whoever runs it. Nobody is invited back in a moment: until an
 /// operator lets it go it fares no better.
-fn refuse_held(node: &Node, job: &Job, until: Millis) -> Response<AnswerBody> {
+fn refuse_held(node: &Node, job: &AdmittedRequest, until: Millis) -> Response<ResponseBody> {
     let after = until.since(node.now()).min(COME_BACK_HELD);
     let fingerprint = job.fingerprint.to_string();
     let fields = [("request", &*job.id), ("fingerprint", &*fingerprint), ("why", HELD)];
@@ -425,9 +429,9 @@
 }
 
 /// The final answer of a request that is given up, at once.
-fn give_up(node: &Node, course: &Course, next: NextStep) -> Response<AnswerBody> {
+fn give_up(node: &Node, course: &Course, next: NextStep) -> Response<ResponseBody> {
     let is_time_up = course.left(node) <= LEAST_TIME;
-    let took = node.now().since(course.job.began).0.to_string();
+    let took = node.now().since(course.job.received_at).0.to_string();
     let sent = course.used.sent.to_string();
     let fingerprint = course.job.fingerprint.to_string();
     let fields = [
@@ -551,7 +555,7 @@
             (look, Millis(latency_goal.0 * 4).max(LEAST_FIRST_MOVE))
         }
         RequestKind::Idempotent | RequestKind::AtMostOnce => {
-            let half = Millis(course.job.ends.since(course.job.began).0 / 2);
+            let half = Millis(course.job.deadline.since(course.job.received_at).0 / 2);
             (Millis(latency_goal.0 * 2 / 3), Millis(latency_goal.0 * 3).min(half))
         }
     }
--- a/crates/workshold-gateway/src/relay/attempt.rs
+++ b/crates/workshold-gateway/src/relay/attempt.rs
@@ -27,8 +27,8 @@
 use workshold_protocol::Millis;
 
 use crate::callers::answers;
-use crate::callers::answers::AnswerBody;
-use crate::callers::requests::Job;
+use crate::callers::answers::ResponseBody;
+use crate::callers::requests::AdmittedRequest;
 use crate::loads::InFlight;
 use crate::node::Node;
 use crate::node::ProbeTask;
@@ -44,7 +44,7 @@
 /// An answer that has begun.
 pub enum Opened {
     /// It is there as a whole.
-    Whole(Response<AnswerBody>),
+    Whole(Response<ResponseBody>),
     /// A stream with its first events.
     Stream(Box<(Parts, Current)>),
 }
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone)]
 pub struct Dispatch {
     /// The request.
-    pub job: Arc<Job>,
+    pub job: Arc<AdmittedRequest>,
     /// Where it goes.
     pub target: Arc<Target>,
     /// The last event that the caller has: a stream goes on behind it.
@@ -153,7 +153,12 @@
     Ok(Opened::Stream(Box::new((parts, current))))
 }
 
-fn request(job: &Job, target: &Target, last: Option<u64>, left: Millis) -> Request<Body> {
+fn request(
+    job: &AdmittedRequest,
+    target: &Target,
+    last: Option<u64>,
+    left: Millis,
+) -> Request<Body> {
     let mut req = Request::new(full(job.body.clone()));
     *req.method_mut() = job.method.clone();
     *req.uri_mut() = job.path.parse().expect("the path was one when it came");
@@ -170,12 +175,12 @@
 }
 
 /// Whether an answer comes from the instance that was asked, and belongs to this request.
-fn is_of(job: &Job, res: &Response<Incoming>) -> bool {
+fn is_of(job: &AdmittedRequest, res: &Response<Incoming>) -> bool {
     res.status() != StatusCode::MISDIRECTED_REQUEST && !is_foreign(job, res.headers())
 }
 
 /// Whether an answer is one to this request, and says that it has run.
-fn check_head(job: &Job, res: &Response<Incoming>) -> Result<(), Failure> {
+fn check_head(job: &AdmittedRequest, res: &Response<Incoming>) -> Result<(), Failure> {
     let (status, headers) = (res.status(), res.headers());
     if headers.contains_key(names::NOT_RUN) {
         return Err((AttemptEnd::Refused, "the upstream has not run it"));
@@ -205,12 +210,12 @@
     Ok(())
 }
 
-fn is_foreign(job: &Job, headers: &HeaderMap) -> bool {
+fn is_foreign(job: &AdmittedRequest, headers: &HeaderMap) -> bool {
     let echoed = headers.get(names::REQUEST_ID);
     echoed.is_some_and(|echoed| echoed.as_bytes() != job.id.as_bytes())
 }
 
-async fn read_whole(res: Response<Incoming>) -> Result<Response<AnswerBody>, Failure> {
+async fn read_whole(res: Response<Incoming>) -> Result<Response<ResponseBody>, Failure> {
     let (mut parts, body) = res.into_parts();
     let collected = Limited::new(body, MOST_HELD).collect().await;
     let bytes = collected.map_err(|_| (AttemptEnd::Broken, "the answer broke off"))?.to_bytes();
@@ -235,7 +240,7 @@
             }
             Some(Err(_)) => Err((AttemptEnd::Broken, "the stream broke off")),
             // However its end is told, a stream that is whole ends with an event.
-            None if self.framer.has_rest() => {
+            None if self.framer.has_partial_event() => {
                 Err((AttemptEnd::Broken, "the stream ended within an event"))
             }
             None => {
--- a/crates/workshold-gateway/src/relay/attempts.rs
+++ b/crates/workshold-gateway/src/relay/attempts.rs
@@ -16,7 +16,7 @@
 use workshold_core::hosted::tries::AttemptEnd;
 use workshold_protocol::Millis;
 
-use crate::callers::requests::Job;
+use crate::callers::requests::AdmittedRequest;
 use crate::events::Event;
 use crate::events::emit;
 use crate::metrics::Metric;
@@ -54,7 +54,12 @@
 
 impl Attempt {
     /// Begins one; a stream goes on behind event `last`.
-    pub fn begin(node: &Arc<Node>, job: &Arc<Job>, target: Arc<Target>, last: Option<u64>) -> Self {
+    pub fn begin(
+        node: &Arc<Node>,
+        job: &Arc<AdmittedRequest>,
+        target: Arc<Target>,
+        last: Option<u64>,
+    ) -> Self {
         let is_sent = Arc::new(AtomicBool::new(false));
         let dispatch = Dispatch {
             job: Arc::clone(job),
--- a/crates/workshold-gateway/src/relay/events.rs
+++ b/crates/workshold-gateway/src/relay/events.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether bytes are left that are no whole event.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
--- a/crates/workshold-gateway/src/relay/stream.rs
+++ b/crates/workshold-gateway/src/relay/stream.rs
@@ -14,8 +14,8 @@
 use workshold_protocol::Millis;
 
 use crate::callers::answers;
-use crate::callers::answers::AnswerBody;
 use crate::callers::answers::Cut;
+use crate::callers::answers::ResponseBody;
 use crate::events::Event;
 use crate::events::emit;
 use crate::metrics::Metric;
@@ -64,13 +64,13 @@
         guard: RequestGuard,
         mut head: Parts,
         current: Current,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         answers::strip(&mut head.headers);
         let now = node.now();
         let speaker = Arc::clone(&current.target);
         node.outliers.lock().on_answer(&speaker.id, now.since(current.since), now);
-        node.metrics.time(Metric::FirstEvent, now.since(course.job.began));
-        let last = course.job.last_event;
+        node.metrics.time(Metric::FirstEvent, now.since(course.job.received_at));
+        let last = course.job.last_event_id;
         let mut relay = Self {
             node,
             course,
@@ -240,7 +240,7 @@
     /// How long answers are says what is asked of the groups.
     fn note_length(&self, now: Millis) {
         let job = &self.course.job;
-        let is_whole = job.last_event.is_none();
+        let is_whole = job.last_event_id.is_none();
         if let Some(model) = job.model.as_ref().filter(|_| is_whole) {
             let events = (self.events_before + self.events) as f64;
             let mean_ms = self.node.expected_answer_events();
@@ -264,12 +264,12 @@
                 ("request", &job.id),
                 ("instance", self.speaker.id.as_str()),
                 ("status", "stream"),
-                ("first_ms", &self.first_at.since(job.began).0.to_string()),
+                ("first_ms", &self.first_at.since(job.received_at).0.to_string()),
                 ("first_goal_ms", &job.route.latency_goal.0.to_string()),
                 ("gap_ms", &self.longest_gap.0.to_string()),
                 ("gap_goal_ms", &job.route.pause_goal.0.to_string()),
                 ("load", &self.course.load.to_string()),
-                ("ms", &now.since(job.began).0.to_string()),
+                ("ms", &now.since(job.received_at).0.to_string()),
             ],
         );
     }
--- a/crates/workshold-gateway/src/relay/watching.rs
+++ b/crates/workshold-gateway/src/relay/watching.rs
@@ -36,7 +36,7 @@
     /// No doubt is told before this: nothing followed from the last one.
     pub held_until: Millis,
     /// When the request's time is up.
-    pub ends: Millis,
+    pub deadline: Millis,
     /// What it asks, as long as it may not have begun to run.
     pub waiting: Option<Fingerprint>,
 }
@@ -54,7 +54,7 @@
 /// Waits until there is doubt that `target` will say something.
 pub async fn doubt(node: &Node, target: &Target, patience: Patience) -> WaitOver {
     let mut changed = node.suspicion_changed.subscribe();
-    let ends = patience.ends - ANSWER_LEAD;
+    let deadline = patience.deadline - ANSWER_LEAD;
     let mut look_at = patience.probe_after.map(|after| patience.since + after);
     let mut move_at =
         patience.failover_after.map(|after| (patience.since + after).max(patience.held_until));
@@ -68,7 +68,7 @@
         if is_doubted && doubt_at.is_some_and(|at| now >= at) {
             return WaitOver::Suspect("a member is out of reach");
         }
-        if now >= ends {
+        if now >= deadline {
             return WaitOver::TimeUp;
         }
         // Unread in an instance's queue it can still be called back.
@@ -91,8 +91,8 @@
             look_at = Some(node.now() + LOOK_AGAIN);
             continue;
         }
-        let times = [Some(ends), ended_at, move_at, look_at, doubt_at.filter(|_| is_doubted)];
-        let wake_at = times.into_iter().flatten().min().unwrap_or(ends);
+        let times = [Some(deadline), ended_at, move_at, look_at, doubt_at.filter(|_| is_doubted)];
+        let wake_at = times.into_iter().flatten().min().unwrap_or(deadline);
         tokio::select! {
             biased;
             _ = changed.changed() => {}
--- a/crates/workshold-gateway/src/table.rs
+++ b/crates/workshold-gateway/src/table.rs
@@ -42,7 +42,7 @@
 
 /// All targets by service.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct RoutingTable {
     by_service: HashMap<ServiceName, Vec<Arc<Target>>>,
 }
 
@@ -50,7 +50,7 @@
 /// ratio to other targets matters.
 const PLAIN_PACE_MS: f64 = 30.0;
 
-impl Table {
+impl RoutingTable {
     /// Judges every instance by its entry.
     pub fn make(
         serving_config: &ServingConfig,
--- a/crates/workshold-gateway/tests/framing.rs
+++ b/crates/workshold-gateway/tests/framing.rs
@@ -23,7 +23,7 @@
             }
         }
         prop_assert_eq!(out, text.as_bytes());
-        prop_assert!(!framer.has_rest());
+        prop_assert!(!framer.has_partial_event());
         prop_assert_eq!(framer.last(), Some(20));
     }
 
@@ -52,7 +52,7 @@
     let mut framer = Framer::after(None);
     let out = framer.push((event(1) + "id: 2\ndata: tok").as_bytes()).unwrap();
     assert_eq!(out, event(1).as_bytes());
-    assert!(framer.has_rest());
+    assert!(framer.has_partial_event());
     assert_eq!(framer.last(), Some(1));
 }
 
--- a/crates/workshold-gateway/tests/relay.rs
+++ b/crates/workshold-gateway/tests/relay.rs
@@ -37,8 +37,8 @@
 use workshold_core::hosted::roster::MemberState;
 use workshold_core::hosted::roster::Membership;
 use workshold_core::hosted::suspicion::ProbeResult;
-use workshold_gateway::callers::answers::AnswerBody;
-use workshold_gateway::callers::requests::Job;
+use workshold_gateway::callers::answers::ResponseBody;
+use workshold_gateway::callers::requests::AdmittedRequest;
 use workshold_gateway::node::Node;
 use workshold_gateway::relay;
 use workshold_gateway::settings;
@@ -201,11 +201,11 @@
     }
 
     /// Sends a request; its answer begins.
-    async fn ask(&self) -> Response<AnswerBody> {
+    async fn ask(&self) -> Response<ResponseBody> {
         let serving_config = self.node.serving_config().unwrap();
         let route = Arc::clone(serving_config.route("lot.example", "/chat/x").unwrap());
-        let began = self.node.now();
-        let job = Job {
+        let received_at = self.node.now();
+        let job = AdmittedRequest {
             id: SmolStr::new("r-1"),
             service: ServiceName::new("llm").unwrap(),
             method: Method::POST,
@@ -216,9 +216,9 @@
             caller: 0,
             model: Some(SmolStr::new("m1")),
             prompt_tokens: 100.0,
-            last_event: None,
-            began,
-            ends: began + Millis(6_000),
+            last_event_id: None,
+            received_at,
+            deadline: received_at + Millis(6_000),
             route,
         };
         relay::run(&self.node, job, self.node.begin_request()).await
@@ -275,7 +275,7 @@
 }
 
 /// The events of an answer that ends as whole.
-async fn events(res: Response<AnswerBody>) -> Result<Vec<u64>, String> {
+async fn events(res: Response<ResponseBody>) -> Result<Vec<u64>, String> {
     assert_eq!(res.status(), 200);
     let whole = res.into_body().collect().await.map_err(|cut| cut.to_string())?;
     Ok(caller::event_ids(&String::from_utf8_lossy(&whole.to_bytes())))
