--- a/crates/workshold-bench/benches/hot_paths.rs
+++ b/crates/workshold-bench/benches/hot_paths.rs
@@ -14,15 +14,15 @@
 use workshold_core::admission::FairQueue;
 use workshold_core::admission::Priority;
 use workshold_core::admission::QueueRules;
-use workshold_core::gate::GateRules;
-use workshold_core::gate::judge;
+use workshold_core::gate::GroupReadinessRules;
+use workshold_core::gate::check_group;
 use workshold_core::prefix::PrefixChain;
 use workshold_core::rendezvous;
 use workshold_core::routing::Candidate;
 use workshold_core::routing::Router;
 use workshold_core::routing::RoutingRules;
 use workshold_core::steward;
-use workshold_core::steward::Memory;
+use workshold_core::steward::StewardTimers;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::TeamName;
@@ -128,12 +128,12 @@
     let mut bench = c.benchmark_group("judge all groups");
     for groups in [4, 16, 57] {
         let fixture = fixtures::domain(groups * 16 + 5, groups, 16);
-        let rules = GateRules { report_ttl: Millis(2_500) };
+        let rules = GroupReadinessRules { report_ttl: Millis(2_500) };
         let leaving = BTreeSet::new();
         bench.bench_function(BenchmarkId::from_parameter(groups), |b| {
             b.iter(|| {
                 let judged = fixture.state.fleet.groups().filter(|group| {
-                    judge(group, &fixture.witnesses, &leaving, fixture.now, rules).is_ok()
+                    check_group(group, &fixture.observations, &leaving, fixture.now, rules).is_ok()
                 });
                 black_box(judged.count())
             });
@@ -143,9 +143,9 @@
     let mut bench = c.benchmark_group("plan a domain");
     for groups in [1, 4, 16] {
         let fixture = fixtures::domain(groups * 16 + 5, groups, 16);
-        let mut memory = Memory::default();
+        let mut timers = StewardTimers::default();
         bench.bench_function(BenchmarkId::from_parameter(groups * 16 + 5), |b| {
-            b.iter(|| black_box(steward::plan(&fixture.view(), &mut memory, &fixture.rules)));
+            b.iter(|| black_box(steward::plan(&fixture.view(), &mut timers, &fixture.rules)));
         });
     }
 }
--- a/crates/workshold-bench/src/fixtures.rs
+++ b/crates/workshold-bench/src/fixtures.rs
@@ -1,12 +1,12 @@
 //! Domains and records of a given size, for the benches of hot paths.
 
-use workshold_core::gate::GateRules;
+use workshold_core::gate::GroupReadinessRules;
 use workshold_core::listing::Listing;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward::StewardRules;
 use workshold_core::steward::View;
-use workshold_core::witness::Witnesses;
+use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
 use workshold_protocol::bundle::SignedBundle;
@@ -40,7 +40,7 @@
     /// What lasts.
     pub state: State,
     /// What instances said.
-    pub witnesses: Witnesses,
+    pub observations: Observations,
     /// What is listed.
     pub list: Listing,
     /// The time.
@@ -56,7 +56,7 @@
         View {
             domain: &self.domain,
             state: &self.state,
-            witnesses: &self.witnesses,
+            observations: &self.observations,
             list: &self.list,
             now: self.now,
         }
@@ -94,7 +94,7 @@
     append(Fact::BundlePublished(Box::new(signed)));
     append(Fact::BundleSignedOff(SignOff { bundle: hash, parent: None }));
     let now = Millis(10_000);
-    let mut witnesses = Witnesses::default();
+    let mut observations = Observations::default();
     for g in 0..groups {
         let members = (g * size..(g + 1) * size)
             .map(|i| Member { instance: instance(i), incarnation: Incarnation(1) });
@@ -113,11 +113,11 @@
         for i in g * size..(g + 1) * size {
             let readiness = Readiness::Ready;
             let seat = Membership { group: group.clone(), fence: fence.into(), readiness };
-            witnesses.take(&instance(i), now, now, report(Some(seat)));
+            observations.take(&instance(i), now, now, report(Some(seat)));
         }
     }
     for i in groups * size..instances {
-        witnesses.take(&instance(i), now, now, report(None));
+        observations.take(&instance(i), now, now, report(None));
     }
     let listed = |i| ListedInstance {
         instance: instance(i),
@@ -127,7 +127,7 @@
         leaving: false,
     };
     let list = Listing::new((0..instances).map(listed).collect());
-    Fixture { state, witnesses, list, now, rules: rules(), domain }
+    Fixture { state, observations, list, now, rules: rules(), domain }
 }
 
 fn report(membership: Option<Membership>) -> Report {
@@ -145,7 +145,7 @@
 
 fn rules() -> StewardRules {
     StewardRules {
-        gate: GateRules { report_ttl: Millis(2_500) },
+        gate: GroupReadinessRules { report_ttl: Millis(2_500) },
         release_wait: Millis(2_600),
         member_grace: Millis(3_000),
         gone_after: Millis(60_000),
--- a/crates/workshold-bench/src/repair/fleet.rs
+++ b/crates/workshold-bench/src/repair/fleet.rs
@@ -7,16 +7,16 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use workshold_core::gate::GateRules;
-use workshold_core::gate::judge;
+use workshold_core::gate::GroupReadinessRules;
+use workshold_core::gate::check_group;
 use workshold_core::listing::Listing;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward;
-use workshold_core::steward::Memory;
 use workshold_core::steward::StewardRules;
+use workshold_core::steward::StewardTimers;
 use workshold_core::steward::View;
-use workshold_core::witness::Witnesses;
+use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
 use workshold_protocol::bundle::SignedBundle;
@@ -142,8 +142,8 @@
     month: &'a Month,
     name: FabricDomain,
     state: State,
-    witnesses: Witnesses,
-    memory: Memory,
+    observations: Observations,
+    timers: StewardTimers,
     instances: Vec<Instance>,
     list: Listing,
     store_free: Millis,
@@ -193,7 +193,7 @@
 
     fn rules(&self) -> StewardRules {
         StewardRules {
-            gate: GateRules { report_ttl: Millis(2_500) },
+            gate: GroupReadinessRules { report_ttl: Millis(2_500) },
             release_wait: Millis(2_600),
             member_grace: Millis(3_000),
             gone_after: Millis(60_000),
@@ -249,8 +249,8 @@
             month,
             name,
             state: State::default(),
-            witnesses: Witnesses::default(),
-            memory: Memory::default(),
+            observations: Observations::default(),
+            timers: StewardTimers::default(),
             instances: vec![fresh; usable],
             list: Listing::new((0..usable).map(listed).collect()),
             store_free: Millis::ZERO,
@@ -340,11 +340,11 @@
         let view = View {
             domain: &self.name,
             state: &self.state,
-            witnesses: &self.witnesses,
+            observations: &self.observations,
             list: &self.list,
             now,
         };
-        let plan = steward::plan(&view, &mut self.memory, &rules);
+        let plan = steward::plan(&view, &mut self.timers, &rules);
         let is_quiet = plan.facts.is_empty() && plan.orders.is_empty() && self.all_settled();
         sums.ended +=
             plan.facts.iter().filter(|f| matches!(f, Fact::GroupDissolved(_))).count() as f64;
@@ -369,7 +369,7 @@
             !group.is_active() && group.members.iter().any(|m| is_claimed(m) && is_up(m))
         });
         let just_lost = self.instances.iter().enumerate().any(|(i, instance)| {
-            let witness = self.witnesses.get(&instance_id(i));
+            let witness = self.observations.get(&instance_id(i));
             let silent = witness.map_or(Millis::ZERO, |w| self.now.since(w.true_since));
             instance.back_at.is_some() && silent < FRESH_LOSS
         });
@@ -395,7 +395,7 @@
                 queued: 0,
                 slots: 64,
             };
-            self.witnesses.take(&instance_id(i), self.now, self.now, report);
+            self.observations.take(&instance_id(i), self.now, self.now, report);
         }
     }
 
@@ -443,8 +443,8 @@
             .fleet
             .groups()
             .filter(|group| {
-                let gate = GateRules { report_ttl: Millis(2_500) };
-                judge(group, &self.witnesses, &BTreeSet::new(), self.now, gate).is_ok()
+                let gate = GroupReadinessRules { report_ttl: Millis(2_500) };
+                check_group(group, &self.observations, &BTreeSet::new(), self.now, gate).is_ok()
             })
             .collect();
         let worth: BTreeMap<&str, f64> = BTreeMap::from([("full", 1.0), ("half", HALF_WORTH)]);
--- a/crates/workshold-core/src/gate.rs
+++ b/crates/workshold-core/src/gate.rs
@@ -10,12 +10,12 @@
 use workshold_protocol::report::Readiness;
 
 use crate::fleet::Group;
-use crate::witness::Voucher;
-use crate::witness::Witnesses;
+use crate::witness::GroupObservation;
+use crate::witness::Observations;
 
 /// How long a report is believed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct GateRules {
+pub struct GroupReadinessRules {
     /// A report older than this proves nothing.
     pub report_ttl: Millis,
 }
@@ -23,7 +23,7 @@
 /// Why a group gets no new work.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Closed {
+pub enum GroupNotReady {
     /// the group is draining or over
     NotActive,
     /// nothing recent is known of {0}
@@ -45,21 +45,21 @@
 /// # Errors
 ///
 /// The first reason why not, in the order of the members.
-pub fn judge(
+pub fn check_group(
     group: &Group,
-    witnesses: &Witnesses,
+    observations: &Observations,
     leaving: &BTreeSet<InstanceId>,
     now: Millis,
-    rules: GateRules,
-) -> Result<(), Closed> {
+    rules: GroupReadinessRules,
+) -> Result<(), GroupNotReady> {
     if !group.is_active() {
-        return Err(Closed::NotActive);
+        return Err(GroupNotReady::NotActive);
     }
     group.members.iter().try_for_each(|member| {
         if leaving.contains(&member.instance) {
-            return Err(Closed::Leaving(member.instance.clone()));
+            return Err(GroupNotReady::Leaving(member.instance.clone()));
         }
-        judge_member(group, member, witnesses, now, rules)
+        judge_member(group, member, observations, now, rules)
     })
 }
 
@@ -67,23 +67,24 @@
 ///
 /// # Errors
 ///
-/// The reason why not; [`Closed::Unseen`] names the head if nobody vouches.
-pub fn judge_elsewhere<'a>(
+/// The reason why not; [`GroupNotReady::Unseen`] names the head if nobody vouches.
+pub fn check_remote_group<'a>(
     group: &Group,
-    witnesses: &'a Witnesses,
+    observations: &'a Observations,
     leaving: &BTreeSet<InstanceId>,
     now: Millis,
-    rules: GateRules,
-) -> Result<&'a Voucher, Closed> {
+    rules: GroupReadinessRules,
+) -> Result<&'a GroupObservation, GroupNotReady> {
     if !group.is_active() {
-        return Err(Closed::NotActive);
+        return Err(GroupNotReady::NotActive);
     }
     let gone = group.members.iter().find(|member| leaving.contains(&member.instance));
     if let Some(member) = gone {
-        return Err(Closed::Leaving(member.instance.clone()));
+        return Err(GroupNotReady::Leaving(member.instance.clone()));
     }
-    let voucher = witnesses.voucher(&group.id, group.fence, now, rules.report_ttl);
-    voucher.ok_or_else(|| Closed::Unseen(group.head().instance.clone()))
+    let group_observation =
+        observations.group_observation(&group.id, group.fence, now, rules.report_ttl);
+    group_observation.ok_or_else(|| GroupNotReady::Unseen(group.head().instance.clone()))
 }
 
 /// Judges one member by its own last report.
@@ -94,25 +95,25 @@
 pub fn judge_member(
     group: &Group,
     member: &Member,
-    witnesses: &Witnesses,
+    observations: &Observations,
     now: Millis,
-    rules: GateRules,
-) -> Result<(), Closed> {
+    rules: GroupReadinessRules,
+) -> Result<(), GroupNotReady> {
     let name = || member.instance.clone();
-    let witness = witnesses
+    let witness = observations
         .fresh(&member.instance, now, rules.report_ttl)
-        .ok_or_else(|| Closed::Unseen(name()))?;
+        .ok_or_else(|| GroupNotReady::Unseen(name()))?;
     if witness.report.incarnation != member.incarnation {
-        return Err(Closed::Reborn(name()));
+        return Err(GroupNotReady::Reborn(name()));
     }
     let membership = witness.report.membership.as_ref();
-    let membership = membership.ok_or_else(|| Closed::Elsewhere(name()))?;
+    let membership = membership.ok_or_else(|| GroupNotReady::Elsewhere(name()))?;
     if membership.group != group.id || membership.fence != group.fence {
-        return Err(Closed::Elsewhere(name()));
+        return Err(GroupNotReady::Elsewhere(name()));
     }
     match membership.readiness {
         Readiness::Ready => Ok(()),
-        Readiness::Loading => Err(Closed::Loading(name())),
-        Readiness::Draining => Err(Closed::Draining(name())),
+        Readiness::Loading => Err(GroupNotReady::Loading(name())),
+        Readiness::Draining => Err(GroupNotReady::Draining(name())),
     }
 }
--- a/crates/workshold-core/src/membership.rs
+++ b/crates/workshold-core/src/membership.rs
@@ -137,7 +137,12 @@
     }
 
     /// Whether this node plans for `domain`.
-    pub fn stewards(&self, domain: &FabricDomain, now: Millis, rules: &MembershipRules) -> bool {
+    pub fn is_steward_for(
+        &self,
+        domain: &FabricDomain,
+        now: Millis,
+        rules: &MembershipRules,
+    ) -> bool {
         self.is_mine(domain.as_str().as_bytes(), now, rules)
     }
 
--- a/crates/workshold-core/src/steward.rs
+++ b/crates/workshold-core/src/steward.rs
@@ -6,14 +6,14 @@
 
 mod ending;
 mod forming;
-mod memory;
 mod mending;
 mod plan;
 mod preloading;
+mod timers;
 
-pub use crate::steward::memory::Memory;
 pub use crate::steward::plan::Decision;
 pub use crate::steward::plan::Plan;
+pub use crate::steward::timers::StewardTimers;
 
 use std::collections::BTreeSet;
 
@@ -25,18 +25,18 @@
 use workshold_protocol::report::InstanceKind;
 use workshold_protocol::report::ListedInstance;
 
-use crate::gate::GateRules;
+use crate::gate::GroupReadinessRules;
 use crate::listing::Listing;
 use crate::repair::Expectations;
 use crate::state::State;
-use crate::witness::Witness;
-use crate::witness::Witnesses;
+use crate::witness::Observation;
+use crate::witness::Observations;
 
 /// The times that a steward keeps to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StewardRules {
     /// How long a report is believed, by every node.
-    pub gate: GateRules,
+    pub gate: GroupReadinessRules,
     /// How long an instance must be seen outside of its old group before it is
     /// free: longer than `report_ttl` and the drift of two clocks over that time,
     /// so that no node can still believe an older report.
@@ -61,7 +61,7 @@
     /// What lasts.
     pub state: &'a State,
     /// What instances said.
-    pub witnesses: &'a Witnesses,
+    pub observations: &'a Observations,
     /// The platform's instance list, all of it.
     pub list: &'a Listing,
     /// The steward's own clock.
@@ -90,8 +90,8 @@
         self.is_leaving(instance) || self.state.fleet.is_stopping(instance)
     }
 
-    fn fresh(&self, instance: &InstanceId, rules: &StewardRules) -> Option<&Witness> {
-        self.witnesses.fresh(instance, self.now, rules.gate.report_ttl)
+    fn fresh(&self, instance: &InstanceId, rules: &StewardRules) -> Option<&Observation> {
+        self.observations.fresh(instance, self.now, rules.gate.report_ttl)
     }
 
     /// Instances that can be claimed: listed, staying, and idle by their own account.
@@ -108,7 +108,7 @@
 
     /// Whether an instance says that it has these weights in memory.
     fn has_weights(&self, instance: &InstanceId, name: &ModelName, model: &Model) -> bool {
-        let loaded = self.witnesses.get(instance).and_then(|w| w.report.loaded.as_ref());
+        let loaded = self.observations.get(instance).and_then(|w| w.report.loaded.as_ref());
         loaded.is_some_and(|own| &own.model == name && own.version == model.version)
     }
 
@@ -119,12 +119,12 @@
 }
 
 /// Plans the next steps for one domain.
-pub fn plan(view: &View<'_>, memory: &mut Memory, rules: &StewardRules) -> Plan {
+pub fn plan(view: &View<'_>, timers: &mut StewardTimers, rules: &StewardRules) -> Plan {
     let mut plan = Plan::default();
-    ending::carry_out_ends(view, memory, rules, &mut plan);
-    mending::mend_groups(view, memory, rules, &mut plan);
+    ending::carry_out_ends(view, timers, rules, &mut plan);
+    mending::mend_groups(view, timers, rules, &mut plan);
     forming::form_groups(view, rules, &mut plan);
-    preloading::preload_spares(view, memory, rules, &mut plan);
-    memory.forget_ended(view.state);
+    preloading::preload_spares(view, timers, rules, &mut plan);
+    timers.forget_ended(view.state);
     plan
 }
--- a/crates/workshold-core/src/steward/ending.rs
+++ b/crates/workshold-core/src/steward/ending.rs
@@ -15,15 +15,15 @@
 
 use crate::fleet::Group;
 use crate::fleet::Phase;
-use crate::steward::Memory;
 use crate::steward::Plan;
 use crate::steward::StewardRules;
+use crate::steward::StewardTimers;
 use crate::steward::View;
 
 /// Goes on with every group of the domain that is draining or over.
 pub(super) fn carry_out_ends(
     view: &View<'_>,
-    memory: &mut Memory,
+    timers: &mut StewardTimers,
     rules: &StewardRules,
     plan: &mut Plan,
 ) {
@@ -31,14 +31,14 @@
         match group.phase {
             Phase::Active => {}
             Phase::Draining { since, cause } => {
-                go_on_draining(view, memory, rules, group, since, cause, plan);
+                go_on_draining(view, timers, rules, group, since, cause, plan);
             }
             Phase::Dissolved { since, .. } => {
-                free_members(view, memory, rules, group, since, plan);
+                free_members(view, timers, rules, group, since, plan);
             }
         }
     }
-    order_strays_out(view, memory, rules, plan);
+    order_strays_out(view, timers, rules, plan);
 }
 
 /// A draining group ends when every member reports that it drains and has nothing
@@ -48,7 +48,7 @@
 /// one such report of each is enough; the model finds no breach without a wait.
 fn go_on_draining(
     view: &View<'_>,
-    memory: &mut Memory,
+    timers: &mut StewardTimers,
     rules: &StewardRules,
     group: &Group,
     since: Offset,
@@ -56,7 +56,7 @@
     plan: &mut Plan,
 ) {
     let is_lost = group.members.iter().any(|member| is_lost(view, rules, group, member));
-    let lost_for = memory.broken_for(&group.id, is_lost, view.now);
+    let lost_for = timers.broken_for(&group.id, is_lost, view.now);
     if lost_for > rules.member_grace {
         plan.decide(&group.id, "ended while draining: a member is lost");
         plan.facts.push(dissolved(group, EndCause::MemberLost));
@@ -70,14 +70,14 @@
     let action = OrderAction::Drain { group: group.id.clone() };
     for member in &group.members {
         if !is_draining(view, rules, group, member) {
-            send(view, memory, rules, &member.instance, since.into(), &action, plan);
+            send(view, timers, rules, &member.instance, since.into(), &action, plan);
         }
     }
 }
 
 fn free_members(
     view: &View<'_>,
-    memory: &mut Memory,
+    timers: &mut StewardTimers,
     rules: &StewardRules,
     group: &Group,
     since: Offset,
@@ -92,19 +92,24 @@
         let is_outside = witness.is_some_and(|witness| {
             witness.report.membership.as_ref().is_none_or(|own| own.group != group.id)
         });
-        let outside_for = memory.outside_for(&group.id, instance, is_outside, view.now);
+        let outside_for = timers.outside_for(&group.id, instance, is_outside, view.now);
         let is_gone = witness.is_none() && view.listed(instance).is_none();
-        let gone_for = memory.gone_for(instance, is_gone, view.now);
+        let gone_for = timers.gone_for(instance, is_gone, view.now);
         if outside_for > rules.release_wait || gone_for > rules.gone_after {
             plan.facts.push(released(group, instance));
         } else if witness.is_some() && !is_outside {
-            send(view, memory, rules, instance, since.into(), &action, plan);
+            send(view, timers, rules, instance, since.into(), &action, plan);
         }
     }
 }
 
 /// An instance that nobody claims but that believes itself in a group.
-fn order_strays_out(view: &View<'_>, memory: &mut Memory, rules: &StewardRules, plan: &mut Plan) {
+fn order_strays_out(
+    view: &View<'_>,
+    timers: &mut StewardTimers,
+    rules: &StewardRules,
+    plan: &mut Plan,
+) {
     let fence = Fence(view.state.next().0.saturating_sub(1));
     for listed in view.engines() {
         if view.state.fleet.claim_of(&listed.instance).is_some() {
@@ -119,21 +124,21 @@
             continue;
         }
         let action = OrderAction::Leave { group: membership.group.clone() };
-        send(view, memory, rules, &listed.instance, fence, &action, plan);
+        send(view, timers, rules, &listed.instance, fence, &action, plan);
     }
 }
 
 /// Sends an order unless one went out a moment ago.
 pub(super) fn send(
     view: &View<'_>,
-    memory: &mut Memory,
+    timers: &mut StewardTimers,
     rules: &StewardRules,
     instance: &InstanceId,
     fence: Fence,
     action: &OrderAction,
     plan: &mut Plan,
 ) {
-    if memory.may_order(instance, rules.order_every, view.now) {
+    if timers.may_order(instance, rules.order_every, view.now) {
         plan.orders.push((instance.clone(), Order { fence, action: action.clone() }));
     }
 }
--- a/crates/workshold-core/src/steward/forming.rs
+++ b/crates/workshold-core/src/steward/forming.rs
@@ -16,7 +16,7 @@
 use crate::bundles::InForce;
 use crate::fleet::Group;
 use crate::fleet::Phase;
-use crate::gate::judge;
+use crate::gate::check_group;
 use crate::rendezvous;
 use crate::state::State;
 use crate::steward::Plan;
@@ -65,7 +65,7 @@
         };
         let is_here = &group.domain == view.domain && &group.model == model;
         let waits_for_nobody = group.members.iter().all(|member| {
-            view.witnesses
+            view.observations
                 .get(&member.instance)
                 .is_some_and(|witness| view.now.since(witness.seen) < GROWTH_PATIENCE)
         });
@@ -127,7 +127,7 @@
     let leaving = view.leaving();
     let all_new_serve = same_model()
         .filter(|other| !is_old(other))
-        .all(|other| judge(other, view.witnesses, &leaving, view.now, rules.gate).is_ok());
+        .all(|other| check_group(other, view.observations, &leaving, view.now, rules.gate).is_ok());
     let is_oldest = oldest.is_some_and(|oldest| oldest.id == group.id);
     is_oldest && !any_ending && all_new_serve && !may_form(view, rules, &group.model, model)
 }
@@ -173,7 +173,7 @@
 
 fn members_of(view: &View<'_>, chosen: &[&ListedInstance]) -> Option<Vec<Member>> {
     let member = |listed: &&ListedInstance| {
-        let witness = view.witnesses.get(&listed.instance)?;
+        let witness = view.observations.get(&listed.instance)?;
         let incarnation = witness.report.incarnation;
         Some(Member { instance: listed.instance.clone(), incarnation })
     };
--- a/crates/workshold-core/src/steward/mending.rs
+++ b/crates/workshold-core/src/steward/mending.rs
@@ -12,15 +12,15 @@
 use crate::bundles::InForce;
 use crate::fleet::Fleet;
 use crate::fleet::Group;
-use crate::gate::judge;
+use crate::gate::check_group;
 use crate::repair::Repair;
 use crate::repair::Situation;
 use crate::repair::SmallerRole;
 use crate::repair::choose;
 use crate::steward::Decision;
-use crate::steward::Memory;
 use crate::steward::Plan;
 use crate::steward::StewardRules;
+use crate::steward::StewardTimers;
 use crate::steward::View;
 use crate::steward::ending::dissolved;
 use crate::steward::ending::draining;
@@ -32,27 +32,27 @@
 /// Looks after every active group of the domain.
 pub(super) fn mend_groups(
     view: &View<'_>,
-    memory: &mut Memory,
+    timers: &mut StewardTimers,
     rules: &StewardRules,
     plan: &mut Plan,
 ) {
     let Some(in_force) = view.state.bundles.in_force() else { return };
     let active = view.state.fleet.groups().filter(|group| group.is_active());
     for group in active.filter(|group| &group.domain == view.domain) {
-        if mend_lost(view, memory, rules, in_force, group, plan) {
+        if mend_lost(view, timers, rules, in_force, group, plan) {
             continue;
         }
         if let Some(cause) = why_it_must_go(view, rules, in_force, group) {
             let leaving = group.members.iter().any(|member| view.is_leaving(&member.instance));
             retire(view, rules, group, cause, leaving, plan);
         }
-        order_members_in(view, memory, rules, in_force, group, plan);
+        order_members_in(view, timers, rules, in_force, group, plan);
     }
 }
 
 fn mend_lost(
     view: &View<'_>,
-    memory: &mut Memory,
+    timers: &mut StewardTimers,
     rules: &StewardRules,
     in_force: &InForce,
     group: &Group,
@@ -60,7 +60,7 @@
 ) -> bool {
     let lost: Vec<_> =
         group.members.iter().filter(|member| is_lost(view, rules, group, member)).collect();
-    let lost_for = memory.broken_for(&group.id, !lost.is_empty(), view.now);
+    let lost_for = timers.broken_for(&group.id, !lost.is_empty(), view.now);
     if lost.is_empty() || lost_for < rules.member_grace {
         return false;
     }
@@ -231,7 +231,8 @@
         return;
     }
     if let Some(stand_in) = view.state.fleet.replacement_of(&group.id) {
-        let serves = judge(stand_in, view.witnesses, &view.leaving(), view.now, rules.gate);
+        let serves =
+            check_group(stand_in, view.observations, &view.leaving(), view.now, rules.gate);
         match serves {
             Ok(()) => {
                 plan.decide(&group.id, format!("draining: {} serves in its place", stand_in.id));
@@ -253,7 +254,7 @@
 /// Orders in whoever does not say that it is in, and is still the same life.
 fn order_members_in(
     view: &View<'_>,
-    memory: &mut Memory,
+    timers: &mut StewardTimers,
     rules: &StewardRules,
     in_force: &InForce,
     group: &Group,
@@ -274,7 +275,7 @@
         let own = witness.report.membership.as_ref();
         let is_in = own.is_some_and(|own| own.group == group.id && own.fence == group.fence);
         if !is_in && witness.report.incarnation == member.incarnation {
-            send(view, memory, rules, &member.instance, group.fence, &action, plan);
+            send(view, timers, rules, &member.instance, group.fence, &action, plan);
         }
     }
 }
--- a/crates/workshold-core/src/steward/preloading.rs
+++ b/crates/workshold-core/src/steward/preloading.rs
@@ -12,10 +12,10 @@
 use workshold_protocol::report::Weights;
 
 use crate::bundles::InForce;
-use crate::gate::judge;
-use crate::steward::Memory;
+use crate::gate::check_group;
 use crate::steward::Plan;
 use crate::steward::StewardRules;
+use crate::steward::StewardTimers;
 use crate::steward::View;
 use crate::steward::ending::send;
 use crate::steward::mending::load_time;
@@ -23,7 +23,7 @@
 /// Orders the next spare to load, if nothing more urgent needs the store.
 pub(super) fn preload_spares(
     view: &View<'_>,
-    memory: &mut Memory,
+    timers: &mut StewardTimers,
     rules: &StewardRules,
     plan: &mut Plan,
 ) {
@@ -38,19 +38,19 @@
         !wanted.clone().any(|(name, model)| view.has_weights(instance, name, model))
     };
     let Some(spare) = free.iter().find(|listed| lacks(&listed.instance)) else { return };
-    if !memory.may_preload(load_time(model, rules) + rules.order_every, view.now) {
+    if !timers.may_preload(load_time(model, rules) + rules.order_every, view.now) {
         return;
     }
     let weights = Weights { model: name.clone(), version: model.version.clone() };
     let action = OrderAction::Load { weights, weights_mib: model.weights_mib };
     let fence = Fence(view.state.next().0.saturating_sub(1));
-    send(view, memory, rules, &spare.instance, fence, &action, plan);
+    send(view, timers, rules, &spare.instance, fence, &action, plan);
 }
 
 fn all_serve(view: &View<'_>, rules: &StewardRules) -> bool {
     let leaving = view.leaving();
     let mut here = view.state.fleet.groups().filter(|group| &group.domain == view.domain);
-    here.all(|group| judge(group, view.witnesses, &leaving, view.now, rules.gate).is_ok())
+    here.all(|group| check_group(group, view.observations, &leaving, view.now, rules.gate).is_ok())
 }
 
 /// The model whose groups here have the fewest loaded spares each.
--- a/crates/workshold-core/src/steward/memory.rs
+++ b/crates/workshold-core/src/steward/timers.rs
@@ -10,7 +10,7 @@
 
 /// Since when something has been so, by the steward's own clock.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Memory {
+pub struct StewardTimers {
     broken: BTreeMap<GroupId, Millis>,
     outside: BTreeMap<(GroupId, InstanceId), Millis>,
     gone: BTreeMap<InstanceId, Millis>,
@@ -27,7 +27,7 @@
     now.since(*map.entry(key).or_insert(now))
 }
 
-impl Memory {
+impl StewardTimers {
     /// How long the group has been broken.
     pub(super) fn broken_for(&mut self, group: &GroupId, is_broken: bool, now: Millis) -> Millis {
         lasting(&mut self.broken, group.clone(), is_broken, now)
--- a/crates/workshold-core/src/witness.rs
+++ b/crates/workshold-core/src/witness.rs
@@ -10,7 +10,7 @@
 
 /// A report and since when it is known to have been true.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Witness {
+pub struct Observation {
     /// By this node's clock: the probe was sent no earlier, less the lag that
     /// the instance admits. What the report says was true at some time since.
     pub true_since: Millis,
@@ -20,7 +20,7 @@
     pub report: Report,
 }
 
-impl Witness {
+impl Observation {
     /// Whether it is younger than `ttl`.
     pub fn is_fresh(&self, now: Millis, ttl: Millis) -> bool {
         now.since(self.true_since) < ttl
@@ -33,7 +33,7 @@
 /// oldest, counted as for any report that is passed on. So it is believed no
 /// longer than the reports themselves.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Voucher {
+pub struct GroupObservation {
     /// The fencing number of the group that was judged.
     pub fence: Fence,
     /// Since when all members' reports are known to have been true.
@@ -48,12 +48,12 @@
 
 /// The last report of each instance, and the vouchers for groups elsewhere.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Witnesses {
-    by_instance: BTreeMap<InstanceId, Witness>,
-    vouchers: BTreeMap<GroupId, Voucher>,
+pub struct Observations {
+    by_instance: BTreeMap<InstanceId, Observation>,
+    group_observations: BTreeMap<GroupId, GroupObservation>,
 }
 
-impl Witnesses {
+impl Observations {
     /// Takes a report whose probe was sent at `sent`, by this node's clock.
     ///
     /// For a report passed on by a peer, `sent` is when the peer was *asked*
@@ -69,50 +69,52 @@
         let true_since = sent - report.lag;
         let newer = self.get(instance).is_none_or(|known| known.true_since <= true_since);
         if newer {
-            self.by_instance.insert(instance.clone(), Witness { true_since, seen, report });
+            self.by_instance.insert(instance.clone(), Observation { true_since, seen, report });
         }
         newer
     }
 
     /// The last report of `instance`, however old.
-    pub fn get(&self, instance: &InstanceId) -> Option<&Witness> {
+    pub fn get(&self, instance: &InstanceId) -> Option<&Observation> {
         self.by_instance.get(instance)
     }
 
     /// The last report of `instance` if it is younger than `ttl`.
-    pub fn fresh(&self, instance: &InstanceId, now: Millis, ttl: Millis) -> Option<&Witness> {
+    pub fn fresh(&self, instance: &InstanceId, now: Millis, ttl: Millis) -> Option<&Observation> {
         self.get(instance).filter(|witness| witness.is_fresh(now, ttl))
     }
 
     /// Takes a voucher for a group; the newest counts.
-    pub fn take_voucher(&mut self, group: &GroupId, voucher: Voucher) {
-        let known = self.vouchers.get(group);
-        if known.is_none_or(|known| known.true_since <= voucher.true_since) {
-            self.vouchers.insert(group.clone(), voucher);
+    pub fn record_group(&mut self, group: &GroupId, group_observation: GroupObservation) {
+        let known = self.group_observations.get(group);
+        if known.is_none_or(|known| known.true_since <= group_observation.true_since) {
+            self.group_observations.insert(group.clone(), group_observation);
         }
     }
 
     /// The voucher for a group under `fence`, if it is younger than `ttl`.
-    pub fn voucher(
+    pub fn group_observation(
         &self,
         group: &GroupId,
         fence: Fence,
         now: Millis,
         ttl: Millis,
-    ) -> Option<&Voucher> {
-        let voucher = self.vouchers.get(group)?;
-        let is_good = voucher.fence == fence && now.since(voucher.true_since) < ttl;
-        is_good.then_some(voucher)
+    ) -> Option<&GroupObservation> {
+        let group_observation = self.group_observations.get(group)?;
+        let is_good =
+            group_observation.fence == fence && now.since(group_observation.true_since) < ttl;
+        is_good.then_some(group_observation)
     }
 
     /// All reports.
-    pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &Witness)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &Observation)> {
         self.by_instance.iter()
     }
 
     /// Drops those that are older than `age`.
     pub fn drop_older(&mut self, now: Millis, age: Millis) {
         self.by_instance.retain(|_, witness| witness.is_fresh(now, age));
-        self.vouchers.retain(|_, voucher| now.since(voucher.true_since) < age);
+        self.group_observations
+            .retain(|_, group_observation| now.since(group_observation.true_since) < age);
     }
 }
--- a/crates/workshold-core/tests/steward.rs
+++ b/crates/workshold-core/tests/steward.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 
 use rstest::rstest;
-use workshold_core::gate::GateRules;
+use workshold_core::gate::GroupReadinessRules;
 use workshold_core::listing::Listing;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward;
-use workshold_core::steward::Memory;
 use workshold_core::steward::StewardRules;
+use workshold_core::steward::StewardTimers;
 use workshold_core::steward::View;
-use workshold_core::witness::Witnesses;
+use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
 use workshold_protocol::bundle::SignedBundle;
@@ -37,8 +37,8 @@
 /// Instances that obey at once, and a steward that plans every half second.
 struct Domain {
     state: State,
-    witnesses: Witnesses,
-    memory: Memory,
+    observations: Observations,
+    timers: StewardTimers,
     now: Millis,
     up: BTreeMap<InstanceId, Instance>,
     list: Listing,
@@ -82,8 +82,8 @@
         let up = |i| (id(i), Instance { is_up: true, life: 1, ..Instance::default() });
         let mut domain = Self {
             state: State::default(),
-            witnesses: Witnesses::default(),
-            memory: Memory::default(),
+            observations: Observations::default(),
+            timers: StewardTimers::default(),
             now: Millis(10_000),
             up: (0..instances).map(up).collect(),
             list: Listing::new((0..instances).map(listed).collect()),
@@ -136,10 +136,10 @@
                 queued: 0,
                 slots: 4,
             };
-            self.witnesses.take(id, self.now, self.now, report);
+            self.observations.take(id, self.now, self.now, report);
         }
         let rules = StewardRules {
-            gate: GateRules { report_ttl: Millis(2_500) },
+            gate: GroupReadinessRules { report_ttl: Millis(2_500) },
             release_wait: Millis(2_600),
             member_grace: Millis(3_000),
             gone_after: Millis(60_000),
@@ -150,11 +150,11 @@
         let view = View {
             domain: &domain(),
             state: &self.state,
-            witnesses: &self.witnesses,
+            observations: &self.observations,
             list: &self.list,
             now: self.now,
         };
-        let plan = steward::plan(&view, &mut self.memory, &rules);
+        let plan = steward::plan(&view, &mut self.timers, &rules);
         for (id, order) in plan.orders {
             let instance = self.up.get_mut(&id).unwrap();
             match order.action {
--- a/crates/workshold-model/src/groups.rs
+++ b/crates/workshold-model/src/groups.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use workshold_core::gate::GateRules;
+use workshold_core::gate::GroupReadinessRules;
 use workshold_core::listing::Listing;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
@@ -166,8 +166,8 @@
         }
     }
 
-    fn gate(&self) -> GateRules {
-        GateRules { report_ttl: REPORT_TTL }
+    fn gate(&self) -> GroupReadinessRules {
+        GroupReadinessRules { report_ttl: REPORT_TTL }
     }
 
     fn list(&self) -> Listing {
@@ -338,8 +338,8 @@
     /// answers are under way.
     fn hold(&mut self, n: usize) {
         if self.nodes[n].is_far {
-            let vouchers = self.nodes[0].vouchers(self.now, self.gate());
-            self.nodes[n].hold_vouchers(vouchers, self.now);
+            let group_observations = self.nodes[0].group_observations(self.now, self.gate());
+            self.nodes[n].hold_vouchers(group_observations, self.now);
         } else {
             self.nodes[n].hold(&self.instances, self.now);
         }
@@ -348,8 +348,8 @@
     /// The same, answered at once.
     fn hear(&mut self, n: usize) {
         if self.nodes[n].is_far {
-            let vouchers = self.nodes[0].vouchers(self.now, self.gate());
-            self.nodes[n].take_vouchers(vouchers);
+            let group_observations = self.nodes[0].group_observations(self.now, self.gate());
+            self.nodes[n].take_vouchers(group_observations);
         } else {
             self.nodes[n].probe(&self.instances, self.now, self.mutation);
         }
@@ -460,7 +460,7 @@
             return;
         }
         let now = self.now;
-        self.nodes.iter_mut().for_each(|node| node.witnesses.drop_older(now, REPORT_TTL));
+        self.nodes.iter_mut().for_each(|node| node.observations.drop_older(now, REPORT_TTL));
     }
 }
 
--- a/crates/workshold-model/src/groups/node.rs
+++ b/crates/workshold-model/src/groups/node.rs
@@ -7,16 +7,16 @@
 
 use workshold_core::fleet::Group;
 use workshold_core::gate;
-use workshold_core::gate::GateRules;
+use workshold_core::gate::GroupReadinessRules;
 use workshold_core::listing::Listing;
 use workshold_core::state::State;
 use workshold_core::steward;
-use workshold_core::steward::Memory;
 use workshold_core::steward::Plan;
 use workshold_core::steward::StewardRules;
+use workshold_core::steward::StewardTimers;
 use workshold_core::steward::View;
-use workshold_core::witness::Voucher;
-use workshold_core::witness::Witnesses;
+use workshold_core::witness::GroupObservation;
+use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::InstanceId;
@@ -62,7 +62,7 @@
 pub(super) struct Held {
     sent: Millis,
     reports: Vec<(usize, Report)>,
-    vouchers: Vec<(GroupId, Voucher)>,
+    group_observations: Vec<(GroupId, GroupObservation)>,
 }
 
 /// An entry node.
@@ -73,8 +73,8 @@
     pub(super) is_far: bool,
     pub(super) next: usize,
     pub(super) state: Derived<State>,
-    pub(super) witnesses: Witnesses,
-    memory: Memory,
+    pub(super) observations: Observations,
+    timers: StewardTimers,
     pub(super) pending: Option<LogEntry>,
     pub(super) held: Option<Held>,
 }
@@ -91,8 +91,8 @@
             is_far,
             next: state.next().0 as usize,
             state: Derived(Arc::new(state)),
-            witnesses: Witnesses::default(),
-            memory: Memory::default(),
+            observations: Observations::default(),
+            timers: StewardTimers::default(),
             pending: None,
             held: None,
         }
@@ -100,7 +100,7 @@
 
     fn take(&mut self, i: usize, sent: Millis, report: Report) {
         // When it came in makes no difference to any rule.
-        self.witnesses.take(&start::instance_id(i), sent, sent, report);
+        self.observations.take(&start::instance_id(i), sent, sent, report);
     }
 
     pub(super) fn probe(
@@ -122,29 +122,38 @@
 
     pub(super) fn hold(&mut self, instances: &[Instance], now: Millis) {
         let reports = reports(instances);
-        self.held = Some(Held { sent: now, reports, vouchers: Vec::new() });
+        self.held = Some(Held { sent: now, reports, group_observations: Vec::new() });
     }
 
     /// Asks the other node which groups serve; the answer is under way.
-    pub(super) fn hold_vouchers(&mut self, vouchers: Vec<(GroupId, Voucher)>, now: Millis) {
-        self.held = Some(Held { sent: now, reports: Vec::new(), vouchers });
+    pub(super) fn hold_vouchers(
+        &mut self,
+        group_observations: Vec<(GroupId, GroupObservation)>,
+        now: Millis,
+    ) {
+        self.held = Some(Held { sent: now, reports: Vec::new(), group_observations });
     }
 
     /// What it vouches for to a node of another data centre.
-    pub(super) fn vouchers(&self, now: Millis, rules: GateRules) -> Vec<(GroupId, Voucher)> {
+    pub(super) fn group_observations(
+        &self,
+        now: Millis,
+        rules: GroupReadinessRules,
+    ) -> Vec<(GroupId, GroupObservation)> {
         let leaving = BTreeSet::new();
         let groups = self.state.get().fleet.groups();
-        let serving =
-            groups.filter(|g| gate::judge(g, &self.witnesses, &leaving, now, rules).is_ok());
-        let voucher = |group: &Group| {
+        let serving = groups
+            .filter(|g| gate::check_group(g, &self.observations, &leaving, now, rules).is_ok());
+        let group_observation = |group: &Group| {
             let members = group.members.iter();
-            let reports = members.filter_map(|member| self.witnesses.get(&member.instance));
+            let reports = members.filter_map(|member| self.observations.get(&member.instance));
             let true_since = reports.map(|witness| witness.true_since).min()?;
             let (fence, load_since) = (group.fence, true_since);
-            let voucher = Voucher { fence, true_since, load_since, reported: 0, slots: 1 };
-            Some((group.id.clone(), voucher))
+            let group_observation =
+                GroupObservation { fence, true_since, load_since, reported: 0, slots: 1 };
+            Some((group.id.clone(), group_observation))
         };
-        serving.filter_map(voucher).collect()
+        serving.filter_map(group_observation).collect()
     }
 
     pub(super) fn deliver(&mut self, now: Millis, mutation: Option<Mutation>) {
@@ -156,17 +165,18 @@
         for (i, report) in held.reports {
             self.take(i, sent, report);
         }
-        let vouchers = held.vouchers.into_iter().map(|(group, voucher)| {
-            // What it says was so old when it was asked for.
-            let true_since = sent - held.sent.since(voucher.true_since);
-            (group, Voucher { true_since, ..voucher })
-        });
-        self.take_vouchers(vouchers.collect());
+        let group_observations =
+            held.group_observations.into_iter().map(|(group, group_observation)| {
+                // What it says was so old when it was asked for.
+                let true_since = sent - held.sent.since(group_observation.true_since);
+                (group, GroupObservation { true_since, ..group_observation })
+            });
+        self.take_vouchers(group_observations.collect());
     }
 
-    pub(super) fn take_vouchers(&mut self, vouchers: Vec<(GroupId, Voucher)>) {
-        for (group, voucher) in vouchers {
-            self.witnesses.take_voucher(&group, voucher);
+    pub(super) fn take_vouchers(&mut self, group_observations: Vec<(GroupId, GroupObservation)>) {
+        for (group, group_observation) in group_observations {
+            self.observations.record_group(&group, group_observation);
         }
     }
 
@@ -185,8 +195,9 @@
     pub(super) fn plan(&mut self, rules: &StewardRules, list: &Listing, now: Millis) -> Plan {
         let domain = start::domain();
         let state = Arc::clone(self.state.get());
-        let view = View { domain: &domain, state: &state, witnesses: &self.witnesses, list, now };
-        steward::plan(&view, &mut self.memory, rules)
+        let view =
+            View { domain: &domain, state: &state, observations: &self.observations, list, now };
+        steward::plan(&view, &mut self.timers, rules)
     }
 
     /// The groups that it would send work to, each with its fence and members.
@@ -194,11 +205,11 @@
         &self,
         leaving: &BTreeSet<InstanceId>,
         now: Millis,
-        rules: GateRules,
+        rules: GroupReadinessRules,
         mutation: Option<Mutation>,
     ) -> Vec<(GroupId, u64, Vec<InstanceId>)> {
         let rules = match mutation {
-            Some(Mutation::BelieveOldReports) => GateRules { report_ttl: Millis(1_000) },
+            Some(Mutation::BelieveOldReports) => GroupReadinessRules { report_ttl: Millis(1_000) },
             _ => rules,
         };
         let groups = self.state.get().fleet.groups().filter(|group| match mutation {
@@ -206,16 +217,16 @@
             Some(Mutation::IgnoreIncarnation) => {
                 let mut group = (*group).clone();
                 for member in &mut group.members {
-                    if let Some(witness) = self.witnesses.get(&member.instance) {
+                    if let Some(witness) = self.observations.get(&member.instance) {
                         member.incarnation = witness.report.incarnation;
                     }
                 }
-                gate::judge(&group, &self.witnesses, leaving, now, rules).is_ok()
+                gate::check_group(&group, &self.observations, leaving, now, rules).is_ok()
             }
             _ if self.is_far => {
-                gate::judge_elsewhere(group, &self.witnesses, leaving, now, rules).is_ok()
+                gate::check_remote_group(group, &self.observations, leaving, now, rules).is_ok()
             }
-            _ => gate::judge(group, &self.witnesses, leaving, now, rules).is_ok(),
+            _ => gate::check_group(group, &self.observations, leaving, now, rules).is_ok(),
         });
         groups
             .map(|group| {
--- a/crates/workshold-node/src/dump.rs
+++ b/crates/workshold-node/src/dump.rs
@@ -241,10 +241,10 @@
         _ => None,
     });
     let rows = node.with_state(|state| {
-        let witnesses = node.witnesses.read();
+        let observations = node.observations.read();
         engines
             .map(|(listed, domain)| {
-                let witness = witnesses.get(&listed.instance);
+                let witness = observations.get(&listed.instance);
                 let says = witness.and_then(|witness| witness.report.membership.as_ref());
                 InstanceRow {
                     instance: listed.instance.clone(),
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -23,7 +23,7 @@
 use workshold_core::retry::RetryRules;
 use workshold_core::state::State;
 use workshold_core::steward::Decision;
-use workshold_core::witness::Witnesses;
+use workshold_core::witness::Observations;
 use workshold_protocol::Clock;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
@@ -135,7 +135,7 @@
     /// Says how far the log was replayed.
     pub replayed: watch::Sender<Offset>,
     /// What instances said.
-    pub witnesses: RwLock<Witnesses>,
+    pub observations: RwLock<Observations>,
     /// Instances that this node probed itself of late.
     pub probed: RwLock<BTreeSet<InstanceId>>,
     /// The other nodes.
@@ -195,7 +195,7 @@
             counters: Counters::default(),
             lasting: RwLock::default(),
             replayed: watch::channel(Offset(0)).0,
-            witnesses: RwLock::default(),
+            observations: RwLock::default(),
             probed: RwLock::default(),
             links: Mutex::default(),
             list: RwLock::default(),
@@ -392,11 +392,11 @@
         let made = self.with_state(|state| {
             ServingTable::make(&Sources {
                 state,
-                witnesses: &self.witnesses.read(),
+                observations: &self.observations.read(),
                 list: &list,
                 data_centre: &self.settings.node.data_centre,
                 now,
-                rules: self.settings.gate_rules(),
+                rules: self.settings.group_readiness_rules(),
             })
         });
         let Some(made) = made else { return };
@@ -409,7 +409,7 @@
         let now = self.now();
         let ttl = self.settings.times.report_ttl;
         let highest = self
-            .witnesses
+            .observations
             .read()
             .iter()
             .filter(|(_, witness)| witness.is_fresh(now, ttl))
@@ -425,7 +425,7 @@
     /// Forgets reports and nodes that are long gone.
     pub fn forget_gone(&self) {
         let now = self.now();
-        self.witnesses.write().drop_older(now, REPORT_KEPT);
+        self.observations.write().drop_older(now, REPORT_KEPT);
         self.membership.write().forget_gone(now, &self.settings.membership_rules());
         if let Some(floor) = self.with_state(|state| state.keys.floor()) {
             self.keys.forget_before(floor);
--- a/crates/workshold-node/src/serving.rs
+++ b/crates/workshold-node/src/serving.rs
@@ -9,11 +9,11 @@
 use serde::Serialize;
 use workshold_core::fleet::Group;
 use workshold_core::gate;
-use workshold_core::gate::Closed;
-use workshold_core::gate::GateRules;
+use workshold_core::gate::GroupNotReady;
+use workshold_core::gate::GroupReadinessRules;
 use workshold_core::listing::Listing;
 use workshold_core::state::State;
-use workshold_core::witness::Witnesses;
+use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
 use workshold_protocol::ids::Fence;
@@ -57,7 +57,7 @@
     /// Those that serve, by model.
     pub serving: BTreeMap<ModelName, Vec<ServingGroup>>,
     /// Those that do not, and why.
-    pub closed: BTreeMap<GroupId, Closed>,
+    pub closed: BTreeMap<GroupId, GroupNotReady>,
 }
 
 /// What a table is made of.
@@ -66,7 +66,7 @@
     /// What lasts.
     pub state: &'a State,
     /// What instances said.
-    pub witnesses: &'a Witnesses,
+    pub observations: &'a Observations,
     /// The platform's list.
     pub list: &'a Listing,
     /// This node's data centre.
@@ -74,7 +74,7 @@
     /// Its clock.
     pub now: Millis,
     /// How groups are judged.
-    pub rules: GateRules,
+    pub rules: GroupReadinessRules,
 }
 
 impl ServingTable {
@@ -119,15 +119,19 @@
 }
 
 impl Sources<'_> {
-    fn row(&self, group: &Group, leaving: &BTreeSet<InstanceId>) -> Result<ServingGroup, Closed> {
+    fn row(
+        &self,
+        group: &Group,
+        leaving: &BTreeSet<InstanceId>,
+    ) -> Result<ServingGroup, GroupNotReady> {
         let head = &group.head().instance;
-        let unseen = || Closed::Unseen(head.clone());
+        let unseen = || GroupNotReady::Unseen(head.clone());
         let listed = self.list.find(head).ok_or_else(unseen)?;
         let is_remote = &listed.data_centre != self.data_centre;
         let basis = if is_remote {
             self.vouched(group, leaving)?
         } else {
-            gate::judge(group, self.witnesses, leaving, self.now, self.rules)?;
+            gate::check_group(group, self.observations, leaving, self.now, self.rules)?;
             self.reported(group).ok_or_else(unseen)?
         };
         Ok(ServingGroup {
@@ -149,9 +153,9 @@
     /// By the members' own reports.
     fn reported(&self, group: &Group) -> Option<Basis> {
         let members = group.members.iter();
-        let reports = members.map(|member| self.witnesses.get(&member.instance));
+        let reports = members.map(|member| self.observations.get(&member.instance));
         let oldest = reports.map(|witness| witness.map(|w| w.true_since)).min()??;
-        let head = self.witnesses.get(&group.head().instance)?;
+        let head = self.observations.get(&group.head().instance)?;
         Some(Basis {
             proved_since: oldest,
             load_since: head.true_since,
@@ -161,13 +165,18 @@
     }
 
     /// By what a node of its own data centre vouches for.
-    fn vouched(&self, group: &Group, leaving: &BTreeSet<InstanceId>) -> Result<Basis, Closed> {
-        let voucher = gate::judge_elsewhere(group, self.witnesses, leaving, self.now, self.rules)?;
+    fn vouched(
+        &self,
+        group: &Group,
+        leaving: &BTreeSet<InstanceId>,
+    ) -> Result<Basis, GroupNotReady> {
+        let group_observation =
+            gate::check_remote_group(group, self.observations, leaving, self.now, self.rules)?;
         Ok(Basis {
-            proved_since: voucher.true_since,
-            load_since: voucher.load_since,
-            reported: voucher.reported,
-            slots: voucher.slots,
+            proved_since: group_observation.true_since,
+            load_since: group_observation.load_since,
+            reported: group_observation.reported,
+            slots: group_observation.slots,
         })
     }
 
--- a/crates/workshold-node/src/settings.rs
+++ b/crates/workshold-node/src/settings.rs
@@ -8,7 +8,7 @@
 
 use serde::Deserialize;
 use workshold_core::checkpointing::UpkeepRules;
-use workshold_core::gate::GateRules;
+use workshold_core::gate::GroupReadinessRules;
 use workshold_core::membership::MembershipRules;
 use workshold_core::repair::Expectations;
 use workshold_core::steward::StewardRules;
@@ -366,14 +366,14 @@
     }
 
     /// How groups are judged.
-    pub fn gate_rules(&self) -> GateRules {
-        GateRules { report_ttl: self.times.report_ttl }
+    pub fn group_readiness_rules(&self) -> GroupReadinessRules {
+        GroupReadinessRules { report_ttl: self.times.report_ttl }
     }
 
     /// What a steward keeps to.
     pub fn steward_rules(&self) -> StewardRules {
         StewardRules {
-            gate: self.gate_rules(),
+            gate: self.group_readiness_rules(),
             release_wait: self.times.report_ttl + self.times.clock_error,
             member_grace: self.times.member_grace,
             gone_after: self.times.gone_after,
--- a/crates/workshold-node/src/tasks/peers.rs
+++ b/crates/workshold-node/src/tasks/peers.rs
@@ -5,7 +5,7 @@
 
 use displaydoc::Display;
 use tokio::task::JoinSet;
-use workshold_core::witness::Voucher;
+use workshold_core::witness::GroupObservation;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
 use workshold_protocol::ids::NodeId;
@@ -149,11 +149,11 @@
 fn reports(node: &Node, now: Millis) -> Vec<AgedReport> {
     let ttl = node.settings.times.report_ttl;
     let probed = node.probed.read();
-    let witnesses = node.witnesses.read();
+    let observations = node.observations.read();
     probed
         .iter()
         .filter_map(|instance| {
-            let witness = witnesses.fresh(instance, now, ttl)?;
+            let witness = observations.fresh(instance, now, ttl)?;
             // The lag is in the report and is taken off again by who takes it.
             let sent = witness.true_since + witness.report.lag;
             Some(AgedReport {
@@ -233,21 +233,21 @@
             membership.on_answer(&near.node, near.status, asked);
         }
     }
-    let mut witnesses = node.witnesses.write();
+    let mut observations = node.observations.write();
     for aged in digest.reports {
-        witnesses.take(&aged.instance, asked - aged.age, seen, aged.report);
+        observations.take(&aged.instance, asked - aged.age, seen, aged.report);
     }
     for aged in digest.groups {
-        let voucher = Voucher {
+        let group_observation = GroupObservation {
             fence: aged.fence,
             true_since: asked - aged.age,
             load_since: asked - aged.load_age,
             reported: aged.reported,
             slots: aged.slots,
         };
-        witnesses.take_voucher(&aged.group, voucher);
+        observations.record_group(&aged.group, group_observation);
     }
-    drop(witnesses);
+    drop(observations);
     node.touch();
 }
 
--- a/crates/workshold-node/src/tasks/probing.rs
+++ b/crates/workshold-node/src/tasks/probing.rs
@@ -63,5 +63,5 @@
     };
     node.counters.control_received.add(REPORT_LEN);
     let seen = node.now();
-    node.witnesses.write().take(&instance, sent, seen, report);
+    node.observations.write().take(&instance, sent, seen, report);
 }
--- a/crates/workshold-node/src/tasks/stewarding.rs
+++ b/crates/workshold-node/src/tasks/stewarding.rs
@@ -7,8 +7,8 @@
 
 use hyper::Method;
 use workshold_core::steward;
-use workshold_core::steward::Memory;
 use workshold_core::steward::Plan;
+use workshold_core::steward::StewardTimers;
 use workshold_core::steward::View;
 use workshold_http::client;
 use workshold_protocol::ids::FabricDomain;
@@ -28,7 +28,7 @@
 
 /// Plans for as long as the node runs.
 pub async fn run(node: Arc<Node>) {
-    let mut memories: BTreeMap<FabricDomain, Memory> = BTreeMap::new();
+    let mut memories: BTreeMap<FabricDomain, StewardTimers> = BTreeMap::new();
     let mut tick = tokio::time::interval(node.settings.times.plan_every.to_duration());
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -37,8 +37,8 @@
         let mine = mine(&node);
         memories.retain(|domain, _| mine.contains(domain));
         for domain in mine {
-            let memory = memories.entry(domain.clone()).or_default();
-            if let Some(plan) = plan(&node, &domain, memory) {
+            let timers = memories.entry(domain.clone()).or_default();
+            if let Some(plan) = plan(&node, &domain, timers) {
                 carry_out(&node, plan).await;
             }
         }
@@ -60,10 +60,10 @@
         })
         .collect();
     let membership = node.membership.read();
-    domains.into_iter().filter(|domain| membership.stewards(domain, now, &rules)).collect()
+    domains.into_iter().filter(|domain| membership.is_steward_for(domain, now, &rules)).collect()
 }
 
-fn plan(node: &Node, domain: &FabricDomain, memory: &mut Memory) -> Option<Plan> {
+fn plan(node: &Node, domain: &FabricDomain, timers: &mut StewardTimers) -> Option<Plan> {
     let list = Arc::clone(&node.list.read());
     let rules = node.settings.steward_rules();
     let lasting = node.lasting.read();
@@ -71,10 +71,15 @@
     if lasting.is_diverged {
         return None;
     }
-    let witnesses = node.witnesses.read();
-    let view =
-        View { domain, state: replay.state(), witnesses: &witnesses, list: &list, now: node.now() };
-    Some(steward::plan(&view, memory, &rules))
+    let observations = node.observations.read();
+    let view = View {
+        domain,
+        state: replay.state(),
+        observations: &observations,
+        list: &list,
+        now: node.now(),
+    };
+    Some(steward::plan(&view, timers, &rules))
 }
 
 async fn carry_out(node: &Arc<Node>, plan: Plan) {
