--- a/crates/workshold-bench/src/retries.rs
+++ b/crates/workshold-bench/src/retries.rs
@@ -3,11 +3,11 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use workshold_core::course::Course;
 use workshold_core::course::End;
 use workshold_core::course::Event;
 use workshold_core::course::Next;
 use workshold_core::course::Repeatability;
+use workshold_core::course::RequestLifecycle;
 use workshold_core::retry::RetryBudget;
 use workshold_core::retry::RetryRules;
 use workshold_protocol::Millis;
@@ -35,7 +35,8 @@
     let mut budget = RetryBudget::new(rules);
     let (mut attempts, mut answered, mut unknown, mut not_run) = (0, 0, 0, 0);
     for _ in 0..REQUESTS {
-        let mut course = Course::new(Repeatability::Repeatable, Millis(1_000), rules.max_attempts);
+        let mut course =
+            RequestLifecycle::new(Repeatability::Repeatable, Millis(1_000), rules.max_attempts);
         budget.on_request();
         let end = loop {
             attempts += 1;
--- a/crates/workshold-core/src/custody.rs
+++ b/crates/workshold-core/src/authority.rs
@@ -9,11 +9,11 @@
 
 /// Whether this node may take what it has read for what is in force.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Custody {
+pub struct Authority {
     is_held: bool,
 }
 
-impl Custody {
+impl Authority {
     /// Whether it may.
     pub fn is_held(self) -> bool {
         self.is_held
--- a/crates/workshold-core/src/course.rs
+++ b/crates/workshold-core/src/course.rs
@@ -60,7 +60,7 @@
 
 /// Where a request stands.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Course {
+pub struct RequestLifecycle {
     repeatability: Repeatability,
     deadline: Millis,
     max_attempts: u32,
@@ -73,7 +73,7 @@
     end: Option<End>,
 }
 
-impl Course {
+impl RequestLifecycle {
     /// A request that stands before its first attempt.
     pub fn new(repeatability: Repeatability, deadline: Millis, max_attempts: u32) -> Self {
         Self {
@@ -111,7 +111,7 @@
     /// Whether the token `index` of `attempt` is the next one for the caller.
     ///
     /// Tokens of a superseded attempt, and those the caller has, are dropped.
-    pub fn take_token(&mut self, attempt: u32, index: u32) -> bool {
+    pub fn accept_token(&mut self, attempt: u32, index: u32) -> bool {
         let is_next = self.end.is_none() && attempt == self.attempt && index == self.tokens;
         if is_next {
             self.tokens += 1;
--- a/crates/workshold-core/src/lib.rs
+++ b/crates/workshold-core/src/lib.rs
@@ -11,13 +11,13 @@
 //! - Requests: [`course`], [`once`], [`routing`], [`admission`], [`limits`], [`retry`],
 //!   [`outlier`].
 //! - Where the platform keeps the state: [`hosted`].
-//! - Nodes: [`membership`], [`listing`], [`custody`], [`rendezvous`].
+//! - Nodes: [`membership`], [`listing`], [`authority`], [`rendezvous`].
 
 pub mod admission;
+pub mod authority;
 pub mod bundles;
 pub mod checkpointing;
 pub mod course;
-pub mod custody;
 pub mod fleet;
 pub mod gate;
 pub mod hosted;
--- a/crates/workshold-core/src/once.rs
+++ b/crates/workshold-core/src/once.rs
@@ -14,7 +14,7 @@
 
 /// What this node, in this life, has done with a key so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Local {
+pub enum KeyProgress {
     /// Nothing.
     Untouched,
     /// It asked the log for the key and waits.
@@ -27,7 +27,7 @@
 
 /// What to do next with a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step<'a> {
+pub enum KeyAction<'a> {
     /// Ask the log for the key.
     Record,
     /// Wait for the log.
@@ -35,7 +35,7 @@
     /// Run it: the key is this request's.
     Run,
     /// Answer what this node keeps under the key.
-    AnswerKept,
+    AnswerFromStore,
     /// Ask the owner what came of it; never run it.
     AskOwner(&'a Owner),
     /// Refuse it, with this code.
@@ -44,16 +44,20 @@
 
 /// Decides on the next step by what the log says of the key, and what this node
 /// has done with it.
-pub fn next<'a>(status: &KeyStatus<'a>, me: (&NodeId, Incarnation), local: Local) -> Step<'a> {
+pub fn next<'a>(
+    status: &KeyStatus<'a>,
+    me: (&NodeId, Incarnation),
+    local: KeyProgress,
+) -> KeyAction<'a> {
     match (status, local) {
-        (_, Local::Begun | Local::GivenUp) => Step::AnswerKept,
-        (KeyStatus::Reused, _) => Step::Refuse(Code::KeyReused),
-        (KeyStatus::Forgotten, _) => Step::Refuse(Code::KeyExpired),
-        (KeyStatus::Free, Local::Untouched) => Step::Record,
-        (KeyStatus::Free, Local::Recording) => Step::Wait,
-        (KeyStatus::Owned(owner), Local::Recording) if is_me(owner, me) => Step::Run,
+        (_, KeyProgress::Begun | KeyProgress::GivenUp) => KeyAction::AnswerFromStore,
+        (KeyStatus::Reused, _) => KeyAction::Refuse(Code::KeyReused),
+        (KeyStatus::Forgotten, _) => KeyAction::Refuse(Code::KeyExpired),
+        (KeyStatus::Free, KeyProgress::Untouched) => KeyAction::Record,
+        (KeyStatus::Free, KeyProgress::Recording) => KeyAction::Wait,
+        (KeyStatus::Owned(owner), KeyProgress::Recording) if is_me(owner, me) => KeyAction::Run,
         // Also where this node has the key but does not know what it did with it.
-        (KeyStatus::Owned(owner), _) => Step::AskOwner(owner),
+        (KeyStatus::Owned(owner), _) => KeyAction::AskOwner(owner),
     }
 }
 
--- a/crates/workshold-model/src/bundles.rs
+++ b/crates/workshold-model/src/bundles.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use workshold_core::custody::Custody;
+use workshold_core::authority::Authority;
 use workshold_core::membership::Membership;
 use workshold_core::membership::MembershipRules;
 use workshold_core::replay::Replay;
@@ -58,7 +58,7 @@
     log_heard: u64,
     peer_heard: u64,
     is_cut: bool,
-    custody: Custody,
+    authority: Authority,
 }
 
 /// How much may go wrong.
@@ -162,10 +162,10 @@
             Item::Publish(1),
             Item::Publish(2),
         ];
-        let mut custody = Custody::default();
-        custody.on_log();
+        let mut authority = Authority::default();
+        authority.on_log();
         let next = Some(log.len());
-        let node = Node { next, log_heard: 0, peer_heard: 0, is_cut: false, custody };
+        let node = Node { next, log_heard: 0, peer_heard: 0, is_cut: false, authority };
         Self {
             mutation,
             left: bounds,
@@ -274,16 +274,16 @@
     /// The generation that a node serves by, if it serves.
     fn serves(&self, i: usize) -> Option<u64> {
         let generation = self.generation(self.nodes[i].next?);
-        let may_serve = generation > 0 && self.has_custody(i) && !self.is_isolated(i);
+        let may_serve = generation > 0 && self.is_authoritative(i) && !self.is_isolated(i);
         may_serve.then_some(generation)
     }
 
-    fn has_custody(&self, i: usize) -> bool {
+    fn is_authoritative(&self, i: usize) -> bool {
         let ignores = matches!(
             self.mutation,
             Some(Mutation::ServeWhileIsolated | Mutation::TakeSilenceForEmpty)
         );
-        ignores || self.nodes[i].custody.is_held()
+        ignores || self.nodes[i].authority.is_held()
     }
 
     fn read_to(&mut self, i: usize, end: usize) {
@@ -312,7 +312,7 @@
         if self.can_reach_log(i) {
             if let Some(next) = self.started(self.first, self.log.len()) {
                 self.nodes[i].log_heard = self.now;
-                self.nodes[i].custody.on_log();
+                self.nodes[i].authority.on_log();
                 self.read_to(i, next);
             }
         } else if self.can_reach_peer(i) {
@@ -330,8 +330,8 @@
     fn hear_peer(&mut self, i: usize) {
         let peer = self.nodes[1 - i].clone();
         let (Some(own), Some(next)) = (self.nodes[i].next, peer.next) else { return };
-        let held = peer.custody.is_held() && !self.is_isolated(1 - i);
-        self.nodes[i].custody.on_peer(held, Offset(next as u64), Offset(own as u64));
+        let held = peer.authority.is_held() && !self.is_isolated(1 - i);
+        self.nodes[i].authority.on_peer(held, Offset(next as u64), Offset(own as u64));
     }
 
     fn tick(&mut self) {
@@ -342,7 +342,7 @@
         for i in 0..NODES {
             if self.nodes[i].next.is_some() && self.can_reach_log(i) {
                 self.nodes[i].log_heard = self.now;
-                self.nodes[i].custody.on_log();
+                self.nodes[i].authority.on_log();
             }
             if self.can_reach_peer(i) {
                 self.nodes[i].peer_heard = self.now;
@@ -351,7 +351,7 @@
         }
         for i in 0..NODES {
             if self.is_isolated(i) {
-                self.nodes[i].custody.on_isolated();
+                self.nodes[i].authority.on_isolated();
             }
         }
     }
@@ -402,7 +402,7 @@
                         self.with(|w| {
                             w.left.crashes -= 1;
                             w.nodes[i].next = None;
-                            w.nodes[i].custody = Custody::default();
+                            w.nodes[i].authority = Authority::default();
                         }),
                     ));
                 }
--- a/crates/workshold-model/src/once.rs
+++ b/crates/workshold-model/src/once.rs
@@ -3,8 +3,8 @@
 use workshold_core::keys::KeyStatus;
 use workshold_core::keys::Keys;
 use workshold_core::once;
-use workshold_core::once::Local;
-use workshold_core::once::Step;
+use workshold_core::once::KeyAction;
+use workshold_core::once::KeyProgress;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::Incarnation;
 use workshold_protocol::ids::KeyDigest;
@@ -34,7 +34,7 @@
 struct Node {
     life: u64,
     next: usize,
-    local: Local,
+    local: KeyProgress,
     /// The append is under way: it may take effect once, twice or not at all.
     copies: u8,
     is_asked: bool,
@@ -110,7 +110,7 @@
         Self {
             life,
             next: 0,
-            local: Local::Untouched,
+            local: KeyProgress::Untouched,
             copies: 0,
             is_asked: false,
             about_to_send: false,
@@ -162,26 +162,26 @@
         let step = self.mutated(i, &status, step);
         let node = &mut self.nodes[i];
         match step {
-            Step::Record => {
-                node.local = Local::Recording;
+            KeyAction::Record => {
+                node.local = KeyProgress::Recording;
                 node.copies = 1;
             }
-            Step::Run => {
-                node.local = Local::Begun;
+            KeyAction::Run => {
+                node.local = KeyProgress::Begun;
                 node.about_to_send = true;
             }
-            Step::Wait => {}
-            Step::AnswerKept | Step::AskOwner(_) | Step::Refuse(_) => {
+            KeyAction::Wait => {}
+            KeyAction::AnswerFromStore | KeyAction::AskOwner(_) | KeyAction::Refuse(_) => {
                 node.is_asked = false;
-                if node.local == Local::Recording {
-                    node.local = Local::Untouched;
+                if node.local == KeyProgress::Recording {
+                    node.local = KeyProgress::Untouched;
                     node.copies = 0;
                 }
             }
         }
     }
 
-    fn mutated<'a>(&self, i: usize, status: &KeyStatus<'a>, step: Step<'a>) -> Step<'a> {
+    fn mutated<'a>(&self, i: usize, status: &KeyStatus<'a>, step: KeyAction<'a>) -> KeyAction<'a> {
         let local = self.nodes[i].local;
         let is_mine = |any_life: bool| match status {
             KeyStatus::Owned(owner) => {
@@ -190,12 +190,14 @@
             _ => false,
         };
         match self.mutation {
-            Some(Mutation::RunBeforeRecord) if step == Step::Record => Step::Run,
-            Some(Mutation::RunForFormerLife) if local == Local::Untouched && is_mine(true) => {
-                Step::Run
+            Some(Mutation::RunBeforeRecord) if step == KeyAction::Record => KeyAction::Run,
+            Some(Mutation::RunForFormerLife)
+                if local == KeyProgress::Untouched && is_mine(true) =>
+            {
+                KeyAction::Run
             }
-            Some(Mutation::RunAfterGivingUp) if local == Local::GivenUp && is_mine(false) => {
-                Step::Run
+            Some(Mutation::RunAfterGivingUp) if local == KeyProgress::GivenUp && is_mine(false) => {
+                KeyAction::Run
             }
             _ => step,
         }
@@ -213,7 +215,7 @@
 
     fn give_up(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        node.local = Local::GivenUp;
+        node.local = KeyProgress::GivenUp;
         node.is_asked = false;
         node.told_not_run = true;
     }
@@ -272,7 +274,7 @@
             if node.is_asked && !node.about_to_send {
                 moves.push((Move::Act(i), self.with(|w| w.act(i))));
             }
-            if node.local == Local::Recording {
+            if node.local == KeyProgress::Recording {
                 moves.push((Move::GiveUp(i), self.with(|w| w.give_up(i))));
             }
             if node.about_to_send {
--- a/crates/workshold-model/src/streams.rs
+++ b/crates/workshold-model/src/streams.rs
@@ -1,10 +1,10 @@
 //! The world of one streamed answer: attempts that break, overlap and speak late.
 
-use workshold_core::course::Course;
 use workshold_core::course::End;
 use workshold_core::course::Event;
 use workshold_core::course::Next;
 use workshold_core::course::Repeatability;
+use workshold_core::course::RequestLifecycle;
 use workshold_protocol::Millis;
 
 use crate::checker::Promise;
@@ -33,7 +33,7 @@
 pub struct StreamWorld {
     mutation: Option<Mutation>,
     repeatability: Repeatability,
-    course: Course,
+    course: RequestLifecycle,
     attempts: Vec<Attempt>,
     /// Tokens that the caller has, by the attempt and place that they came from.
     caller: Vec<(u32, u32)>,
@@ -63,7 +63,7 @@
 impl StreamWorld {
     /// A request before its first attempt.
     pub fn new(repeatability: Repeatability, mutation: Option<Mutation>) -> Self {
-        let course = Course::new(repeatability, Millis(10), MAX_ATTEMPTS);
+        let course = RequestLifecycle::new(repeatability, Millis(10), MAX_ATTEMPTS);
         let first = Attempt { number: 1, from: 0, heard: 0, is_cut: false, was_sent: false };
         Self {
             mutation,
@@ -90,7 +90,7 @@
         if self.mutation == Some(Mutation::RetryBroken) && event == Event::Broken && is_over {
             // The rule that is broken: it is sent again all the same.
             next = Next::TryAgain(attempt + 1);
-            self.course = Course::new(self.repeatability, Millis(10), MAX_ATTEMPTS);
+            self.course = RequestLifecycle::new(self.repeatability, Millis(10), MAX_ATTEMPTS);
         }
         match next {
             Next::Finish(end) => self.told = Some(end),
@@ -126,7 +126,7 @@
         };
         if index < TOKENS {
             let merged = self.mutation == Some(Mutation::MergeAttempts) && self.told.is_none();
-            if self.course.take_token(as_number, index) || merged {
+            if self.course.accept_token(as_number, index) || merged {
                 self.caller.push((attempt.number, index));
             }
         } else {
--- a/crates/workshold-node/src/callers/at_most_once.rs
+++ b/crates/workshold-node/src/callers/at_most_once.rs
@@ -14,8 +14,8 @@
 use workshold_core::keys::Owner;
 use workshold_core::keys::key_time;
 use workshold_core::once;
-use workshold_core::once::Local;
-use workshold_core::once::Step;
+use workshold_core::once::KeyAction;
+use workshold_core::once::KeyProgress;
 use workshold_http::Body;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::KeyDigest;
@@ -132,10 +132,12 @@
         Begin::Mine(running) => running,
         Begin::Others(answer) => return wait_for_other(node, &keyed, answer).await,
     };
-    let mut step = decide(node, &keyed, Local::Untouched);
+    let mut step = decide(node, &keyed, KeyProgress::Untouched);
     if step == Decided::Record {
         step = match record(node, &keyed).await {
-            IntentOutcome::Granted | IntentOutcome::Lost => decide(node, &keyed, Local::Recording),
+            IntentOutcome::Granted | IntentOutcome::Lost => {
+                decide(node, &keyed, KeyProgress::Recording)
+            }
             IntentOutcome::NotRecorded => Decided::GiveUp,
             IntentOutcome::NotTried => Decided::LogAway,
         };
@@ -169,15 +171,15 @@
     Refuse(Code),
 }
 
-fn decide(node: &Node, keyed: &Keyed, local: Local) -> Decided {
+fn decide(node: &Node, keyed: &Keyed, local: KeyProgress) -> Decided {
     let decided = node.with_state(|state| {
         let status = state.keys.status(&keyed.key, keyed.time, &keyed.call.request);
         match once::next(&status, (node.name(), node.incarnation), local) {
-            Step::Record => Decided::Record,
-            Step::Run => Decided::Run,
-            Step::AskOwner(owner) => Decided::AskOwner(owner.clone()),
-            Step::Refuse(code) => Decided::Refuse(code),
-            Step::Wait | Step::AnswerKept => Decided::GiveUp,
+            KeyAction::Record => Decided::Record,
+            KeyAction::Run => Decided::Run,
+            KeyAction::AskOwner(owner) => Decided::AskOwner(owner.clone()),
+            KeyAction::Refuse(code) => Decided::Refuse(code),
+            KeyAction::Wait | KeyAction::AnswerFromStore => Decided::GiveUp,
         }
     });
     decided.unwrap_or(Decided::GiveUp)
--- a/crates/workshold-node/src/callers/generation.rs
+++ b/crates/workshold-node/src/callers/generation.rs
@@ -10,11 +10,11 @@
 use uuid::Uuid;
 use workshold_core::admission::Arrival;
 use workshold_core::admission::Priority;
-use workshold_core::course::Course;
 use workshold_core::course::End;
 use workshold_core::course::Event;
 use workshold_core::course::Next;
 use workshold_core::course::Repeatability;
+use workshold_core::course::RequestLifecycle;
 use workshold_core::prefix::PrefixChain;
 use workshold_core::retry::RetryBudget;
 use workshold_core::retry::RetryRules;
@@ -112,7 +112,8 @@
         group: None,
         since: node.now(),
     });
-    let course = Course::new(job.repeatability, job.deadline, RetryRules::default().max_attempts);
+    let course =
+        RequestLifecycle::new(job.repeatability, job.deadline, RetryRules::default().max_attempts);
     let mut run = Run {
         node: &node,
         job: &job,
@@ -134,7 +135,7 @@
     job: &'a Job,
     tx: &'a mpsc::Sender<Piece>,
     guard: InFlightGuard<'a>,
-    course: Course,
+    course: RequestLifecycle,
     generated: Vec<String>,
     /// The stream that the caller was last told of.
     placed: Option<Uuid>,
@@ -347,7 +348,7 @@
             let Ok((who, heard)) = heard else { return Ended::By(Event::DeadlinePassed) };
             let event = match heard {
                 Heard::Event(TokenEvent::Token { index, text }) => {
-                    if self.course.take_token(self.course.attempt(), index) {
+                    if self.course.accept_token(self.course.attempt(), index) {
                         self.give_turn_back();
                         self.choose(talks, who, first_token);
                         first_token.get_or_insert_with(|| self.node.now());
--- a/crates/workshold-node/src/callers/plain.rs
+++ b/crates/workshold-node/src/callers/plain.rs
@@ -16,11 +16,11 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HOST;
 use tokio::time::timeout;
-use workshold_core::course::Course;
 use workshold_core::course::End;
 use workshold_core::course::Event;
 use workshold_core::course::Next;
 use workshold_core::course::Repeatability;
+use workshold_core::course::RequestLifecycle;
 use workshold_core::outlier::OutlierRules;
 use workshold_core::outlier::Outliers;
 use workshold_core::retry::RetryRules;
@@ -216,8 +216,11 @@
         group: None,
         since: node.now(),
     });
-    let mut course =
-        Course::new(call.repeatability, call.deadline, RetryRules::default().max_attempts);
+    let mut course = RequestLifecycle::new(
+        call.repeatability,
+        call.deadline,
+        RetryRules::default().max_attempts,
+    );
     let mut tried = BTreeSet::new();
     loop {
         let attempt = course.attempt();
@@ -244,7 +247,7 @@
 
 const RETRY_AFTER: Millis = Millis(2_000);
 
-fn detail(course: &Course) -> String {
+fn detail(course: &RequestLifecycle) -> String {
     format!("after {} attempt(s)", course.attempt())
 }
 
@@ -257,7 +260,7 @@
 async fn attempt_one(
     node: &Arc<Node>,
     call: &Call,
-    course: &mut Course,
+    course: &mut RequestLifecycle,
     tried: &mut BTreeSet<InstanceId>,
 ) -> (Event, Option<StoredAnswer>) {
     let started = node.now();
@@ -298,7 +301,7 @@
 async fn talk(
     node: &Node,
     call: &Call,
-    course: &mut Course,
+    course: &mut RequestLifecycle,
     address: &str,
 ) -> (Event, Option<StoredAnswer>) {
     let Ok(connected) = client::connect(address, CONNECT_TIME).await else {
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -12,7 +12,7 @@
 use parking_lot::RwLock;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
-use workshold_core::custody::Custody;
+use workshold_core::authority::Authority;
 use workshold_core::limits::ShareRules;
 use workshold_core::limits::TeamShare;
 use workshold_core::listing::Listing;
@@ -64,7 +64,7 @@
     /// The records as they stand, for peers.
     pub tail: Tail,
     /// Whether what was read may be taken for what is in force.
-    pub custody: Custody,
+    pub authority: Authority,
     /// Whether a checkpoint named another history.
     pub is_diverged: bool,
     /// When the log last answered; none if it never did.
@@ -272,23 +272,23 @@
         if replay.state().bundles.in_force().is_none() {
             return Err(Unready::NoBundle);
         }
-        let (log_heard, custody) = (lasting.log_heard.unwrap_or_default(), lasting.custody);
+        let (log_heard, authority) = (lasting.log_heard.unwrap_or_default(), lasting.authority);
         drop(lasting);
         if self.membership.read().is_isolated(log_heard, now, &rules) {
             return Err(Unready::Isolated);
         }
-        if custody.is_held() { Ok(()) } else { Err(Unready::NoCustody) }
+        if authority.is_held() { Ok(()) } else { Err(Unready::NoCustody) }
     }
 
     /// Whether other nodes may take what this one has read for what is in force.
-    pub fn has_custody(&self) -> bool {
+    pub fn is_authoritative(&self) -> bool {
         let rules = self.settings.membership_rules();
-        let (log_heard, custody, is_diverged) = {
+        let (log_heard, authority, is_diverged) = {
             let lasting = self.lasting.read();
-            (lasting.log_heard.unwrap_or_default(), lasting.custody, lasting.is_diverged)
+            (lasting.log_heard.unwrap_or_default(), lasting.authority, lasting.is_diverged)
         };
         let is_isolated = self.membership.read().is_isolated(log_heard, self.now(), &rules);
-        custody.is_held() && !is_isolated && !is_diverged
+        authority.is_held() && !is_isolated && !is_diverged
     }
 
     /// Gives custody up once this node has been cut off for too long.
@@ -296,7 +296,7 @@
         let rules = self.settings.membership_rules();
         let log_heard = self.lasting.read().log_heard.unwrap_or_default();
         if self.membership.read().is_isolated(log_heard, self.now(), &rules) {
-            self.lasting.write().custody.on_isolated();
+            self.lasting.write().authority.on_isolated();
         }
     }
 
@@ -304,7 +304,7 @@
     pub fn note_peer(&self, is_held: bool, peer_next: Offset) {
         let mut lasting = self.lasting.write();
         let own_next = lasting.replay.as_ref().map_or(Offset(0), |replay| replay.state().next());
-        lasting.custody.on_peer(is_held, peer_next, own_next);
+        lasting.authority.on_peer(is_held, peer_next, own_next);
     }
 
     /// What this node tells others of itself.
@@ -321,7 +321,7 @@
         NodeStatus {
             incarnation: self.incarnation,
             ready: self.readiness().is_ok(),
-            custody: self.has_custody(),
+            custody: self.is_authoritative(),
             leaving: self.is_leaving(),
             data_centre: self.settings.node.data_centre.clone(),
             callers: self.settings.node.callers.clone(),
--- a/crates/workshold-node/src/tasks/peers.rs
+++ b/crates/workshold-node/src/tasks/peers.rs
@@ -94,7 +94,7 @@
     let body = match question.ask {
         Ask::Digest { data_centre } => AnswerBody::Digest(Box::new(digest(node, &data_centre))),
         Ask::Records { from } => {
-            let custody = node.has_custody();
+            let custody = node.is_authoritative();
             let lasting = node.lasting.read();
             let next = lasting.tail.next();
             AnswerBody::Records { records: lasting.tail.part(from), next, custody }
