--- a/crates/workshold-bench/benches/hot_paths.rs
+++ b/crates/workshold-bench/benches/hot_paths.rs
@@ -47,7 +47,7 @@
                 slots: 32,
                 worth: 1.0,
                 is_remote: false,
-                is_set_aside: false,
+                is_ejected: false,
             })
             .collect();
         let chain = PrefixChain::of("model", &"a prompt of some length ".repeat(64));
--- a/crates/workshold-bench/src/fixtures.rs
+++ b/crates/workshold-bench/src/fixtures.rs
@@ -1,7 +1,7 @@
 //! Domains and records of a given size, for the benches of hot paths.
 
 use workshold_core::gate::GroupReadinessRules;
-use workshold_core::listing::Listing;
+use workshold_core::listing::InstanceList;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward::StewardRules;
@@ -42,7 +42,7 @@
     /// What instances said.
     pub observations: Observations,
     /// What is listed.
-    pub list: Listing,
+    pub list: InstanceList,
     /// The time.
     pub now: Millis,
     /// What a steward keeps to.
@@ -126,7 +126,7 @@
         kind: InstanceKind::Engine { domain: domain.clone(), accelerators: 8, fenced: true },
         leaving: false,
     };
-    let list = Listing::new((0..instances).map(listed).collect());
+    let list = InstanceList::new((0..instances).map(listed).collect());
     Fixture { state, observations, list, now, rules: rules(), domain }
 }
 
--- a/crates/workshold-bench/src/limits.rs
+++ b/crates/workshold-bench/src/limits.rs
@@ -4,8 +4,8 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use workshold_core::limits::ShareRules;
-use workshold_core::limits::TeamShare;
+use workshold_core::limits::TeamRateLimiter;
+use workshold_core::limits::TeamRateRules;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::NodeId;
 
@@ -64,10 +64,10 @@
     table
 }
 
-fn rules(policy: Policy) -> ShareRules {
+fn rules(policy: Policy) -> TeamRateRules {
     match policy {
-        Policy::Shipped | Policy::NoSplit => ShareRules::default(),
-        Policy::EvenSplit => ShareRules { even_part: 1.0, ..ShareRules::default() },
+        Policy::Shipped | Policy::NoSplit => TeamRateRules::default(),
+        Policy::EvenSplit => TeamRateRules { even_fraction: 1.0, ..TeamRateRules::default() },
     }
 }
 
@@ -87,7 +87,7 @@
 fn simulate(case: Case, policy: Policy, seed: u64) -> Vec<f64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let share_of = if policy == Policy::NoSplit { 1 } else { NODES };
-    let make = || TeamShare::new(rules(policy), LIMIT, share_of, Millis::ZERO);
+    let make = || TeamRateLimiter::new(rules(policy), LIMIT, share_of, Millis::ZERO);
     let mut shares: Vec<_> = (0..NODES).map(|_| make()).collect();
     let names: Vec<_> =
         (0..NODES).map(|i| NodeId::new(&format!("node-{i}")).expect("it is a name")).collect();
@@ -110,7 +110,7 @@
     figures(&admitted)
 }
 
-fn tell(shares: &mut [TeamShare], names: &[NodeId], case: Case, now: Millis) {
+fn tell(shares: &mut [TeamRateLimiter], names: &[NodeId], case: Case, now: Millis) {
     let is_cut = |i: usize| case == Case::Cut && now.0 >= CHANGE_AT_MS && i == 0;
     let demands: Vec<_> = shares.iter().map(|share| share.demand(now)).collect();
     for (i, share) in shares.iter_mut().enumerate() {
--- a/crates/workshold-bench/src/repair/fleet.rs
+++ b/crates/workshold-bench/src/repair/fleet.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use workshold_core::gate::GroupReadinessRules;
 use workshold_core::gate::check_group;
-use workshold_core::listing::Listing;
+use workshold_core::listing::InstanceList;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward;
@@ -145,7 +145,7 @@
     observations: Observations,
     timers: StewardTimers,
     instances: Vec<Instance>,
-    list: Listing,
+    list: InstanceList,
     store_free: Millis,
     now: Millis,
     records: u64,
@@ -252,7 +252,7 @@
             observations: Observations::default(),
             timers: StewardTimers::default(),
             instances: vec![fresh; usable],
-            list: Listing::new((0..usable).map(listed).collect()),
+            list: InstanceList::new((0..usable).map(listed).collect()),
             store_free: Millis::ZERO,
             now: Millis(10_000),
             records: 0,
--- a/crates/workshold-bench/src/routing/world.rs
+++ b/crates/workshold-bench/src/routing/world.rs
@@ -8,8 +8,8 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
+use workshold_core::outlier::OutlierDetector;
 use workshold_core::outlier::OutlierRules;
-use workshold_core::outlier::Outliers;
 use workshold_core::prefix::PrefixChain;
 use workshold_core::rendezvous;
 use workshold_core::routing::Candidate;
@@ -146,7 +146,7 @@
 #[derive(Debug)]
 struct Node {
     router: Router,
-    outliers: Outliers<GroupId>,
+    outliers: OutlierDetector<GroupId>,
     turn: usize,
 }
 
@@ -200,7 +200,7 @@
         };
         let node = |_| Node {
             router: Router::new(RoutingRules::default()),
-            outliers: Outliers::new(OutlierRules::default()),
+            outliers: OutlierDetector::new(OutlierRules::default()),
             turn: 0,
         };
         let chain = |prefix: usize| {
@@ -344,7 +344,7 @@
             slots: self.setup.slots,
             worth: 1.0,
             is_remote: false,
-            is_set_aside: node.outliers.is_set_aside(&group.id, now),
+            is_ejected: node.outliers.is_ejected(&group.id, now),
         }
     }
 
--- a/crates/workshold-cli/src/commands/events.rs
+++ b/crates/workshold-cli/src/commands/events.rs
@@ -31,6 +31,7 @@
 
 /// Prints the catalogues.
 pub fn run(out: Output) {
-    let catalogue = Catalogue { events: events::catalogue(), metrics: metrics::catalogue() };
-    out.result(&catalogue, |c| vec![c.events.clone(), c.metrics.clone()]);
+    let reference_page =
+        Catalogue { events: events::reference_page(), metrics: metrics::reference_page() };
+    out.result(&reference_page, |c| vec![c.events.clone(), c.metrics.clone()]);
 }
--- a/crates/workshold-core/src/admission.rs
+++ b/crates/workshold-core/src/admission.rs
@@ -62,7 +62,7 @@
     }
 
     /// What engines are told; higher goes first.
-    pub const fn for_engine(self) -> u8 {
+    pub const fn engine_priority(self) -> u8 {
         match self {
             Self::High => 2,
             Self::Normal => 1,
--- a/crates/workshold-core/src/limits.rs
+++ b/crates/workshold-core/src/limits.rs
@@ -12,9 +12,9 @@
 
 /// How shares are made.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ShareRules {
+pub struct TeamRateRules {
     /// Part of the allowance that is split evenly.
-    pub even_part: f64,
+    pub even_fraction: f64,
     /// A peer's demand is believed for this long.
     pub demand_ttl: Millis,
     /// Time constant of the demand's average.
@@ -23,10 +23,10 @@
     pub burst_secs: f64,
 }
 
-impl Default for ShareRules {
+impl Default for TeamRateRules {
     fn default() -> Self {
         Self {
-            even_part: 0.2,
+            even_fraction: 0.2,
             demand_ttl: Millis(3_000),
             smoothing: Millis(2_000),
             burst_secs: 1.0,
@@ -36,8 +36,8 @@
 
 /// One team's allowance at one node.
 #[derive(Debug, Clone)]
-pub struct TeamShare {
-    rules: ShareRules,
+pub struct TeamRateLimiter {
+    rules: TeamRateRules,
     limit: f64,
     nodes: usize,
     peers: BTreeMap<NodeId, (f64, Millis)>,
@@ -53,9 +53,9 @@
     pub retry_after: Millis,
 }
 
-impl TeamShare {
+impl TeamRateLimiter {
     /// A share of `limit` units a second, over `nodes` nodes.
-    pub fn new(rules: ShareRules, limit: f64, nodes: usize, now: Millis) -> Self {
+    pub fn new(rules: TeamRateRules, limit: f64, nodes: usize, now: Millis) -> Self {
         let nodes = nodes.max(1);
         let saved = limit / nodes as f64 * rules.burst_secs;
         Self { rules, limit, nodes, peers: BTreeMap::new(), own_demand: 0.0, last: now, saved }
@@ -79,7 +79,7 @@
 
     /// This node's rate, in units a second.
     ///
-    /// It is `even_part` of the even share plus the rest by demand while *every*
+    /// It is `even_fraction` of the even share plus the rest by demand while *every*
     /// other node is heard, and the even share otherwise: so a node that is cut
     /// off never keeps more than the others, who hear too few, leave for it.
     pub fn rate(&self, now: Millis) -> f64 {
@@ -95,7 +95,8 @@
         if total <= f64::EPSILON {
             return even;
         }
-        self.rules.even_part * even + (1.0 - self.rules.even_part) * self.limit * own / total
+        self.rules.even_fraction * even
+            + (1.0 - self.rules.even_fraction) * self.limit * own / total
     }
 
     /// Takes `cost` units out of the allowance.
--- a/crates/workshold-core/src/listing.rs
+++ b/crates/workshold-core/src/listing.rs
@@ -7,11 +7,11 @@
 
 /// The instance list as last read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Listing {
+pub struct InstanceList {
     rows: Vec<ListedInstance>,
 }
 
-impl Listing {
+impl InstanceList {
     /// Puts `rows` in order.
     pub fn new(mut rows: Vec<ListedInstance>) -> Self {
         rows.sort_by(|a, b| a.instance.cmp(&b.instance));
@@ -25,7 +25,7 @@
     }
 }
 
-impl Deref for Listing {
+impl Deref for InstanceList {
     type Target = [ListedInstance];
 
     fn deref(&self) -> &[ListedInstance] {
--- a/crates/workshold-core/src/membership.rs
+++ b/crates/workshold-core/src/membership.rs
@@ -21,7 +21,7 @@
     /// Nodes of a data centre that probe each instance.
     pub probers: usize,
     /// Nodes that are asked in each other data centre.
-    pub asked_remotely: usize,
+    pub remote_polls: usize,
     /// Cut off from the log and from all peers for this long, a node steps out.
     pub isolation_after: Millis,
 }
@@ -37,7 +37,7 @@
 
 /// This node and those it has heard of.
 #[derive(Debug, Clone)]
-pub struct Membership {
+pub struct ClusterMembership {
     me: NodeId,
     data_centre: DataCentre,
     peers: BTreeMap<NodeId, Peer>,
@@ -46,7 +46,7 @@
 
 /// An address for callers and its weight against the others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Entry {
+pub struct EntryAddress {
     /// Where to connect, as `ip:port`.
     pub address: String,
     /// Share of the calls it should get, against the others' weights.
@@ -55,7 +55,7 @@
     pub data_centre: DataCentre,
 }
 
-impl Membership {
+impl ClusterMembership {
     /// A node that knows nobody yet.
     pub fn new(me: NodeId, data_centre: DataCentre) -> Self {
         Self { me, data_centre, peers: BTreeMap::new(), expected: BTreeSet::new() }
@@ -76,7 +76,7 @@
 
     /// The nodes to ask next out of `known` ones: all of this data centre, and
     /// of every other as many as are asked there, different ones for each asker.
-    pub fn to_ask<'a>(
+    pub fn poll_targets<'a>(
         &self,
         known: impl Iterator<Item = (&'a NodeId, &'a DataCentre)>,
         rules: &MembershipRules,
@@ -87,7 +87,7 @@
         }
         let mut chosen = Vec::new();
         for (place, nodes) in by_place {
-            let count = if place == &self.data_centre { nodes.len() } else { rules.asked_remotely };
+            let count = if place == &self.data_centre { nodes.len() } else { rules.remote_polls };
             let key = self.me.as_str().as_bytes();
             let ranked =
                 rendezvous::ranked(key, nodes.into_iter(), |node| node.as_str().as_bytes());
@@ -131,7 +131,12 @@
     }
 
     /// Whether this node is a prober of `instance`.
-    pub fn probes(&self, instance: &InstanceId, now: Millis, rules: &MembershipRules) -> bool {
+    pub fn is_prober_of(
+        &self,
+        instance: &InstanceId,
+        now: Millis,
+        rules: &MembershipRules,
+    ) -> bool {
         let rank = self.rank(instance.as_str().as_bytes(), now, rules);
         rank.is_some_and(|rank| rank < rules.probers)
     }
@@ -162,23 +167,25 @@
     /// with less under way first in weight. `own` is this node's, if it serves.
     pub fn entries(
         &self,
-        own: Option<(Entry, u32)>,
+        own: Option<(EntryAddress, u32)>,
         now: Millis,
         rules: &MembershipRules,
-    ) -> Vec<Entry> {
+    ) -> Vec<EntryAddress> {
         let serving =
             self.live(now, rules).filter(|(_, peer)| peer.status.ready && !peer.status.leaving);
         let peers = serving.map(|(_, peer)| {
             let (address, data_centre) =
                 (peer.status.callers.clone(), peer.status.data_centre.clone());
-            (Entry { address, weight: 0, data_centre }, peer.status.in_flight)
+            (EntryAddress { address, weight: 0, data_centre }, peer.status.in_flight)
         });
         let mut all: Vec<_> = own.into_iter().chain(peers).collect();
         all.sort_by(|a, b| a.0.address.cmp(&b.0.address));
         let mean =
             all.iter().map(|(_, load)| f64::from(*load)).sum::<f64>() / all.len().max(1) as f64;
-        let weigh =
-            |(entry, load): (Entry, u32)| Entry { weight: entry_weight(load, mean), ..entry };
+        let weigh = |(entry, load): (EntryAddress, u32)| EntryAddress {
+            weight: entry_weight(load, mean),
+            ..entry
+        };
         all.into_iter().map(weigh).collect()
     }
 
--- a/crates/workshold-core/src/outlier.rs
+++ b/crates/workshold-core/src/outlier.rs
@@ -12,7 +12,7 @@
     /// Set aside after this many failures in a row.
     pub failures: u32,
     /// For how long the first time; doubles with each time in a row.
-    pub set_aside_for: Millis,
+    pub base_ejection_time: Millis,
     /// Never set aside more than this share of all.
     pub max_share: f64,
     /// Weight of the newest sample in the average.
@@ -24,7 +24,7 @@
         Self {
             slow_factor: 3.0,
             failures: 3,
-            set_aside_for: Millis::from_secs(5),
+            base_ejection_time: Millis::from_secs(5),
             max_share: 0.34,
             smoothing: 0.2,
         }
@@ -47,12 +47,12 @@
 
 /// How each upstream of one kind has done of late.
 #[derive(Debug, Clone)]
-pub struct Outliers<K> {
+pub struct OutlierDetector<K> {
     rules: OutlierRules,
     health: BTreeMap<K, Health>,
 }
 
-impl<K: Ord + Clone> Outliers<K> {
+impl<K: Ord + Clone> OutlierDetector<K> {
     /// Nothing known yet.
     pub fn new(rules: OutlierRules) -> Self {
         Self { rules, health: BTreeMap::new() }
@@ -87,7 +87,7 @@
     }
 
     /// Whether an upstream is set aside.
-    pub fn is_set_aside(&self, upstream: &K, now: Millis) -> bool {
+    pub fn is_ejected(&self, upstream: &K, now: Millis) -> bool {
         self.health.get(upstream).is_some_and(|health| health.until > now)
     }
 
@@ -118,7 +118,7 @@
             return;
         }
         let factor = 1_u32 << health.times_in_a_row.min(MAX_BACKOFF.ilog2());
-        health.until = now + Millis(rules.set_aside_for.0 * u64::from(factor));
+        health.until = now + Millis(rules.base_ejection_time.0 * u64::from(factor));
         health.times_in_a_row += 1;
         health.failures_in_a_row = 0;
         // It starts afresh when it is back, or it would never be tried again.
--- a/crates/workshold-core/src/replay.rs
+++ b/crates/workshold-core/src/replay.rs
@@ -25,7 +25,7 @@
 
 /// What one record did.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ReplayOutcome {
     /// It was applied; one outcome for each fact.
     Applied(Vec<Outcome>),
     /// It lies before what is known already.
@@ -39,7 +39,7 @@
 
 /// What a node that starts can do with the part of the log it was given.
 #[derive(Debug)]
-pub enum Start {
+pub enum ReplayStart {
     /// It can go on from this state.
     From(Box<Replay>),
     /// The log's beginning is gone and nothing retained restates it.
@@ -61,14 +61,18 @@
     /// `checkpoints` are those found, oldest first.
     ///
     /// A checkpoint serves only if all records from its `next` on are there.
-    pub fn start(first: Offset, checkpoints: &[Checkpoint]) -> Start {
+    pub fn start(first: Offset, checkpoints: &[Checkpoint]) -> ReplayStart {
         let usable = checkpoints.iter().rev().filter(|checkpoint| checkpoint.next >= first);
         for checkpoint in usable {
             if let Some(state) = State::from_checkpoint(checkpoint) {
-                return Start::From(Box::new(Self { state, ..Self::default() }));
+                return ReplayStart::From(Box::new(Self { state, ..Self::default() }));
             }
         }
-        if first == Offset(0) { Start::From(Box::default()) } else { Start::NoCheckpoint }
+        if first == Offset(0) {
+            ReplayStart::From(Box::default())
+        } else {
+            ReplayStart::NoCheckpoint
+        }
     }
 
     /// Takes the record at `offset`; `None` stands for one that is not ours.
@@ -80,12 +84,12 @@
         &mut self,
         offset: Offset,
         envelope: Option<&Envelope>,
-    ) -> Result<Step, ApplyError> {
+    ) -> Result<ReplayOutcome, ApplyError> {
         if offset < self.state.next() {
-            return Ok(Step::Old);
+            return Ok(ReplayOutcome::Old);
         }
         if let Some(next) = envelope.and_then(|envelope| self.divergence(envelope)) {
-            return Ok(Step::Diverged { next });
+            return Ok(ReplayOutcome::Diverged { next });
         }
         let outcomes = match envelope {
             Some(envelope) => self.state.apply(offset, envelope)?,
@@ -98,7 +102,7 @@
             self.last_checkpoint = Some(offset);
         }
         self.remember_digest();
-        Ok(Step::Applied(outcomes))
+        Ok(ReplayOutcome::Applied(outcomes))
     }
 
     fn divergence(&self, envelope: &Envelope) -> Option<Offset> {
--- a/crates/workshold-core/src/routing.rs
+++ b/crates/workshold-core/src/routing.rs
@@ -51,7 +51,7 @@
     /// Whether it is in another data centre.
     pub is_remote: bool,
     /// Whether it does worse than its like.
-    pub is_set_aside: bool,
+    pub is_ejected: bool,
 }
 
 /// Which prefix was sent where, and what this node has under way.
@@ -160,7 +160,7 @@
     /// The nearest that are not set aside; all, if there are no such.
     fn usable<'b, 'a>(&self, candidates: &'b [Candidate<'a>]) -> Vec<&'b Candidate<'a>> {
         let has_room = |c: &&Candidate<'a>| self.load(c) < f64::from(c.slots) * OVERFLOW;
-        let good: Vec<_> = candidates.iter().filter(|c| !c.is_set_aside).collect();
+        let good: Vec<_> = candidates.iter().filter(|c| !c.is_ejected).collect();
         let good = if good.is_empty() { candidates.iter().collect() } else { good };
         let near: Vec<_> = good.iter().filter(|c| !c.is_remote && has_room(c)).copied().collect();
         if near.is_empty() { good } else { near }
--- a/crates/workshold-core/src/steward.rs
+++ b/crates/workshold-core/src/steward.rs
@@ -26,7 +26,7 @@
 use workshold_protocol::report::ListedInstance;
 
 use crate::gate::GroupReadinessRules;
-use crate::listing::Listing;
+use crate::listing::InstanceList;
 use crate::repair::Expectations;
 use crate::state::State;
 use crate::witness::Observation;
@@ -63,7 +63,7 @@
     /// What instances said.
     pub observations: &'a Observations,
     /// The platform's instance list, all of it.
-    pub list: &'a Listing,
+    pub list: &'a InstanceList,
     /// The steward's own clock.
     pub now: Millis,
 }
--- a/crates/workshold-core/tests/steward.rs
+++ b/crates/workshold-core/tests/steward.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use workshold_core::gate::GroupReadinessRules;
-use workshold_core::listing::Listing;
+use workshold_core::listing::InstanceList;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward;
@@ -41,7 +41,7 @@
     timers: StewardTimers,
     now: Millis,
     up: BTreeMap<InstanceId, Instance>,
-    list: Listing,
+    list: InstanceList,
     records: usize,
 }
 
@@ -86,7 +86,7 @@
             timers: StewardTimers::default(),
             now: Millis(10_000),
             up: (0..instances).map(up).collect(),
-            list: Listing::new((0..instances).map(listed).collect()),
+            list: InstanceList::new((0..instances).map(listed).collect()),
             records: 0,
         };
         domain.roll_out(first);
--- a/crates/workshold-gateway/src/events.rs
+++ b/crates/workshold-gateway/src/events.rs
@@ -2,7 +2,7 @@
 //!
 //! `docs/EVENTS-PLATFORM.md` is written from this list; a test holds the two together.
 
-use workshold_telemetry::events::catalogue as page;
+use workshold_telemetry::events::reference_page as page;
 
 workshold_telemetry::events! {
     Started = 1001, Info, "the node has started", "Nothing.";
@@ -46,6 +46,6 @@
 }
 
 /// The text of `docs/EVENTS-PLATFORM.md`.
-pub fn catalogue() -> String {
+pub fn reference_page() -> String {
     page("Events of a node on the platform", rows())
 }
--- a/crates/workshold-gateway/src/metrics.rs
+++ b/crates/workshold-gateway/src/metrics.rs
@@ -131,7 +131,7 @@
 }
 
 /// The text of `docs/METRICS-PLATFORM.md`.
-pub fn catalogue() -> String {
+pub fn reference_page() -> String {
     let mut text = String::from(
         "# Metrics of a node on the platform\n\nServed as text at `/metrics` of the address for \
          other nodes and operators. Every name begins with `workshold_`.\n\n\
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -45,8 +45,8 @@
 use workshold_core::hosted::silence::StallRules;
 use workshold_core::hosted::suspicion::Suspicions;
 use workshold_core::hosted::tries::RetryBudget;
+use workshold_core::outlier::OutlierDetector;
 use workshold_core::outlier::OutlierRules;
-use workshold_core::outlier::Outliers;
 use workshold_platform::store::Store;
 use workshold_protocol::Clock;
 use workshold_protocol::Millis;
@@ -168,7 +168,7 @@
     /// Wakes the one who keeps what outlives this node.
     pub keep_wanted: Notify,
     /// Instances that fail more than others.
-    pub outliers: Mutex<Outliers<Identity>>,
+    pub outliers: Mutex<OutlierDetector<Identity>>,
     /// How much instances take.
     pub instance_limits: Mutex<InstanceLimits<Identity>>,
     /// Requests at instances.
@@ -235,7 +235,7 @@
 const OUTLIERS: OutlierRules = OutlierRules {
     slow_factor: 4.0,
     failures: 2,
-    set_aside_for: Millis(1_500),
+    base_ejection_time: Millis(1_500),
     max_share: 0.4,
     smoothing: 0.2,
 };
@@ -276,7 +276,7 @@
             gaps: Mutex::default(),
             quarantine: Mutex::default(),
             keep_wanted: Notify::new(),
-            outliers: Mutex::new(Outliers::new(OUTLIERS)),
+            outliers: Mutex::new(OutlierDetector::new(OUTLIERS)),
             instance_limits: Mutex::default(),
             loads: Loads::default(),
             metrics: Metrics::default(),
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -516,7 +516,7 @@
             slots: target.slots,
             event_ms: gaps.mean_ms(&target.id).unwrap_or(target.quiet_gap_ms),
             is_near: target.data_centre == settings.node.data_centre,
-            is_deprioritized: outliers.is_set_aside(&target.id, now) || node.is_suspected(target),
+            is_deprioritized: outliers.is_ejected(&target.id, now) || node.is_suspected(target),
         })
         .collect();
     if course.is_new() && placement::are_full(&candidates, MAY_WAIT) {
--- a/crates/workshold-gateway/tests/catalogues.rs
+++ b/crates/workshold-gateway/tests/catalogues.rs
@@ -17,20 +17,20 @@
 fn the_page_of_events_is_what_the_code_says() {
     let path = root().join("docs/EVENTS-PLATFORM.md");
     if std::env::var_os("WRITE_PAGES").is_some() {
-        std::fs::write(&path, events::catalogue()).unwrap();
+        std::fs::write(&path, events::reference_page()).unwrap();
     }
     let page = std::fs::read_to_string(path).unwrap();
-    assert_eq!(page, events::catalogue(), "write it anew with WRITE_PAGES=1");
+    assert_eq!(page, events::reference_page(), "write it anew with WRITE_PAGES=1");
 }
 
 #[test]
 fn the_page_of_metrics_is_what_the_code_says() {
     let path = root().join("docs/METRICS-PLATFORM.md");
     if std::env::var_os("WRITE_PAGES").is_some() {
-        std::fs::write(&path, metrics::catalogue()).unwrap();
+        std::fs::write(&path, metrics::reference_page()).unwrap();
     }
     let page = std::fs::read_to_string(path).unwrap();
-    assert_eq!(page, metrics::catalogue(), "write it anew with WRITE_PAGES=1");
+    assert_eq!(page, metrics::reference_page(), "write it anew with WRITE_PAGES=1");
 }
 
 #[test]
--- a/crates/workshold-gateway/tests/lives.rs
+++ b/crates/workshold-gateway/tests/lives.rs
@@ -115,7 +115,7 @@
         scene.node.outliers.lock().on_failure(&gates[0].id, now);
     }
     let next = Arc::clone(&scene.gates()[0]);
-    assert!(!scene.node.outliers.lock().is_set_aside(&next.id, now));
+    assert!(!scene.node.outliers.lock().is_ejected(&next.id, now));
     assert_eq!(scene.node.loads.of(&next.id).requests, 0, "its requests ended with it");
 }
 
--- a/crates/workshold-gateway/tests/relay.rs
+++ b/crates/workshold-gateway/tests/relay.rs
@@ -385,7 +385,7 @@
     }
     assert_eq!(scene.arrived(), 4);
     let now = scene.node.now();
-    assert!(!scene.node.outliers.lock().is_set_aside(&beside[0], now));
+    assert!(!scene.node.outliers.lock().is_ejected(&beside[0], now));
 }
 
 /// What never left is no repeat at any instance, and takes none of the budget.
--- a/crates/workshold-model/src/bundles.rs
+++ b/crates/workshold-model/src/bundles.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 
 use workshold_core::authority::Authority;
-use workshold_core::membership::Membership;
+use workshold_core::membership::ClusterMembership;
 use workshold_core::membership::MembershipRules;
 use workshold_core::replay::Replay;
-use workshold_core::replay::Start;
+use workshold_core::replay::ReplayStart;
 use workshold_core::replay::checkpoints_of;
 use workshold_core::state::State;
 use workshold_protocol::Millis;
@@ -223,7 +223,8 @@
         let envelopes: Vec<_> = (first..end).map(|at| self.envelope(at)).collect();
         let checkpoints: Vec<Checkpoint> =
             envelopes.iter().flat_map(|envelope| checkpoints_of(envelope).cloned()).collect();
-        let Start::From(mut replay) = Replay::start(Offset(first as u64), &checkpoints) else {
+        let ReplayStart::From(mut replay) = Replay::start(Offset(first as u64), &checkpoints)
+        else {
             return None;
         };
         for (at, envelope) in (first..).zip(&envelopes) {
@@ -247,7 +248,7 @@
         }
         let place = DataCentre::new("dc").expect("it is a name");
         let name = |i: usize| NodeId::new(&format!("n{i}")).expect("it is a name");
-        let mut membership = Membership::new(name(i), place.clone());
+        let mut membership = ClusterMembership::new(name(i), place.clone());
         membership.expect([name(1 - i)]);
         let status = NodeStatus {
             incarnation: Incarnation(1),
@@ -265,7 +266,7 @@
         let rules = MembershipRules {
             peer_ttl: Millis(1),
             probers: 1,
-            asked_remotely: 1,
+            remote_polls: 1,
             isolation_after: Millis(ISOLATION_AFTER),
         };
         membership.is_isolated(Millis(node.log_heard + 1), Millis(self.now + 1), &rules)
--- a/crates/workshold-model/src/groups.rs
+++ b/crates/workshold-model/src/groups.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use workshold_core::gate::GroupReadinessRules;
-use workshold_core::listing::Listing;
+use workshold_core::listing::InstanceList;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward::StewardRules;
@@ -170,13 +170,13 @@
         GroupReadinessRules { report_ttl: REPORT_TTL }
     }
 
-    fn list(&self) -> Listing {
+    fn list(&self) -> InstanceList {
         let is_leaving = |i: usize| match self.leaving {
             Some((leaving, since)) => leaving == i && self.now > since,
             None => false,
         };
         let rows = (0..self.instances.len()).map(|i| start::listed(i, is_leaving(i)));
-        Listing::new(rows.collect())
+        InstanceList::new(rows.collect())
     }
 
     fn leaving_set(&self) -> BTreeSet<InstanceId> {
--- a/crates/workshold-model/src/groups/node.rs
+++ b/crates/workshold-model/src/groups/node.rs
@@ -8,7 +8,7 @@
 use workshold_core::fleet::Group;
 use workshold_core::gate;
 use workshold_core::gate::GroupReadinessRules;
-use workshold_core::listing::Listing;
+use workshold_core::listing::InstanceList;
 use workshold_core::state::State;
 use workshold_core::steward;
 use workshold_core::steward::Plan;
@@ -192,7 +192,7 @@
         self.take(i, now, report);
     }
 
-    pub(super) fn plan(&mut self, rules: &StewardRules, list: &Listing, now: Millis) -> Plan {
+    pub(super) fn plan(&mut self, rules: &StewardRules, list: &InstanceList, now: Millis) -> Plan {
         let domain = start::domain();
         let state = Arc::clone(self.state.get());
         let view =
--- a/crates/workshold-node/src/callers/generation.rs
+++ b/crates/workshold-node/src/callers/generation.rs
@@ -323,7 +323,7 @@
             prompt: self.job.prompt.clone(),
             generated: self.generated.clone(),
             max_tokens: self.job.max_tokens,
-            priority: self.job.priority.for_engine(),
+            priority: self.job.priority.engine_priority(),
         }
     }
 
--- a/crates/workshold-node/src/callers/info.rs
+++ b/crates/workshold-node/src/callers/info.rs
@@ -3,7 +3,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use serde::Serialize;
-use workshold_core::membership::Entry;
+use workshold_core::membership::EntryAddress;
 use workshold_http::Body;
 use workshold_http::body;
 use workshold_protocol::Millis;
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Serialize)]
 struct Entries {
-    entries: Vec<Entry>,
+    entries: Vec<EntryAddress>,
     ttl_ms: Millis,
 }
 
--- a/crates/workshold-node/src/callers/plain.rs
+++ b/crates/workshold-node/src/callers/plain.rs
@@ -21,8 +21,8 @@
 use workshold_core::course::Next;
 use workshold_core::course::Repeatability;
 use workshold_core::course::RequestLifecycle;
+use workshold_core::outlier::OutlierDetector;
 use workshold_core::outlier::OutlierRules;
-use workshold_core::outlier::Outliers;
 use workshold_core::retry::RetryRules;
 use workshold_http::Body;
 use workshold_http::body;
@@ -54,12 +54,12 @@
 #[derive(Debug)]
 pub struct ServiceDesk {
     in_flight: BTreeMap<InstanceId, u32>,
-    outliers: Outliers<InstanceId>,
+    outliers: OutlierDetector<InstanceId>,
 }
 
 impl Default for ServiceDesk {
     fn default() -> Self {
-        Self { in_flight: BTreeMap::new(), outliers: Outliers::new(OutlierRules::default()) }
+        Self { in_flight: BTreeMap::new(), outliers: OutlierDetector::new(OutlierRules::default()) }
     }
 }
 
@@ -72,7 +72,7 @@
         now: Millis,
     ) -> Option<&'a ListedInstance> {
         let key = |one: &&&ListedInstance| {
-            let aside = self.outliers.is_set_aside(&one.instance, now);
+            let aside = self.outliers.is_ejected(&one.instance, now);
             let load = self.in_flight.get(&one.instance).copied().unwrap_or(0);
             (aside, !is_near(one), load)
         };
--- a/crates/workshold-node/src/desk.rs
+++ b/crates/workshold-node/src/desk.rs
@@ -9,8 +9,8 @@
 use workshold_core::admission::Popped;
 use workshold_core::admission::QueueRules;
 use workshold_core::admission::Refused;
+use workshold_core::outlier::OutlierDetector;
 use workshold_core::outlier::OutlierRules;
-use workshold_core::outlier::Outliers;
 use workshold_core::prefix::PrefixChain;
 use workshold_core::routing::Candidate;
 use workshold_core::routing::Router;
@@ -57,7 +57,7 @@
 pub struct ModelDesk {
     router: Router,
     queue: FairQueue<Waiter>,
-    outliers: Outliers<GroupId>,
+    outliers: OutlierDetector<GroupId>,
     /// When a request last failed at a group: until all of its members have been
     /// heard since, it gets no other.
     failed_at: HashMap<GroupId, Millis>,
@@ -72,7 +72,7 @@
         Self {
             router: Router::new(RoutingRules::default()),
             queue: FairQueue::new(QueueRules::default()),
-            outliers: Outliers::new(OutlierRules::default()),
+            outliers: OutlierDetector::new(OutlierRules::default()),
             failed_at: HashMap::new(),
             service_time: None,
         }
@@ -232,7 +232,7 @@
             slots: row.slots,
             worth: row.worth,
             is_remote: row.is_remote,
-            is_set_aside: self.outliers.is_set_aside(&row.group, now),
+            is_ejected: self.outliers.is_ejected(&row.group, now),
         }
     }
 }
--- a/crates/workshold-node/src/events.rs
+++ b/crates/workshold-node/src/events.rs
@@ -2,7 +2,7 @@
 //!
 //! `docs/EVENTS.md` is written from this list; a test holds the two to each other.
 
-use workshold_telemetry::events::catalogue as page;
+use workshold_telemetry::events::reference_page as page;
 
 workshold_telemetry::events! {
     Started = 101, Info, "the node has started", "Nothing.";
@@ -43,6 +43,6 @@
 }
 
 /// The text of `docs/EVENTS.md`.
-pub fn catalogue() -> String {
+pub fn reference_page() -> String {
     page("Events", rows())
 }
--- a/crates/workshold-node/src/metrics.rs
+++ b/crates/workshold-node/src/metrics.rs
@@ -48,7 +48,7 @@
 }
 
 /// The text of `docs/METRICS.md`.
-pub fn catalogue() -> String {
+pub fn reference_page() -> String {
     let mut text = String::from(
         "# Metrics\n\nSent to the statsd server of the settings every ten seconds, as counters.\n\n\
          | metric | counts |\n| --- | --- |\n",
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -13,11 +13,11 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 use workshold_core::authority::Authority;
-use workshold_core::limits::ShareRules;
-use workshold_core::limits::TeamShare;
-use workshold_core::listing::Listing;
-use workshold_core::membership::Entry;
-use workshold_core::membership::Membership;
+use workshold_core::limits::TeamRateLimiter;
+use workshold_core::limits::TeamRateRules;
+use workshold_core::listing::InstanceList;
+use workshold_core::membership::ClusterMembership;
+use workshold_core::membership::EntryAddress;
 use workshold_core::replay::Replay;
 use workshold_core::retry::RetryBudget;
 use workshold_core::retry::RetryRules;
@@ -100,9 +100,9 @@
 #[derive(Debug)]
 pub struct TeamDesk {
     /// Requests a second.
-    pub requests: TeamShare,
+    pub requests: TeamRateLimiter,
     /// Tokens a second.
-    pub tokens: TeamShare,
+    pub tokens: TeamRateLimiter,
     /// Retries.
     pub retries: RetryBudget,
 }
@@ -139,11 +139,11 @@
     /// Instances that this node probed itself of late.
     pub probed: RwLock<BTreeSet<InstanceId>>,
     /// The other nodes.
-    pub membership: RwLock<Membership>,
+    pub membership: RwLock<ClusterMembership>,
     /// Links to them.
     pub links: Mutex<BTreeMap<NodeId, Arc<PeerLink>>>,
     /// The platform's instance list as last read.
-    pub list: RwLock<Arc<Listing>>,
+    pub list: RwLock<Arc<InstanceList>>,
     /// Which groups serve.
     pub serving: RwLock<Arc<ServingTable>>,
     /// Routing and queue of each model.
@@ -187,7 +187,7 @@
         let (name, place) = (settings.node.name.clone(), settings.node.data_centre.clone());
         Arc::new(Self {
             log: LogClient::new(&settings.platform.log),
-            membership: RwLock::new(Membership::new(name, place)),
+            membership: RwLock::new(ClusterMembership::new(name, place)),
             settings,
             checked,
             clock,
@@ -333,9 +333,9 @@
     }
 
     /// The addresses for callers.
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn entries(&self) -> Vec<EntryAddress> {
         let own = self.readiness().is_ok().then(|| {
-            let entry = Entry {
+            let entry = EntryAddress {
                 address: self.settings.node.callers.clone(),
                 weight: 0,
                 data_centre: self.settings.node.data_centre.clone(),
@@ -464,8 +464,13 @@
         let team = bundle.teams.get(name)?;
         let (now, nodes) = (self.now(), self.node_count());
         let make = || TeamDesk {
-            requests: TeamShare::new(ShareRules::default(), team.requests_per_s, nodes, now),
-            tokens: TeamShare::new(ShareRules::default(), team.tokens_per_s, nodes, now),
+            requests: TeamRateLimiter::new(
+                TeamRateRules::default(),
+                team.requests_per_s,
+                nodes,
+                now,
+            ),
+            tokens: TeamRateLimiter::new(TeamRateRules::default(), team.tokens_per_s, nodes, now),
             retries: RetryBudget::new(RetryRules::default()),
         };
         Some(self.teams.with(name, make, |desk| {
--- a/crates/workshold-node/src/serving.rs
+++ b/crates/workshold-node/src/serving.rs
@@ -11,7 +11,7 @@
 use workshold_core::gate;
 use workshold_core::gate::GroupNotReady;
 use workshold_core::gate::GroupReadinessRules;
-use workshold_core::listing::Listing;
+use workshold_core::listing::InstanceList;
 use workshold_core::state::State;
 use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
@@ -68,7 +68,7 @@
     /// What instances said.
     pub observations: &'a Observations,
     /// The platform's list.
-    pub list: &'a Listing,
+    pub list: &'a InstanceList,
     /// This node's data centre.
     pub data_centre: &'a DataCentre,
     /// Its clock.
--- a/crates/workshold-node/src/settings.rs
+++ b/crates/workshold-node/src/settings.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 
 use serde::Deserialize;
-use workshold_core::checkpointing::UpkeepRules;
+use workshold_core::checkpointing::LogMaintenanceRules;
 use workshold_core::gate::GroupReadinessRules;
 use workshold_core::membership::MembershipRules;
 use workshold_core::repair::Expectations;
@@ -388,14 +388,14 @@
         MembershipRules {
             peer_ttl: self.times.peer_ttl,
             probers: PROBERS,
-            asked_remotely: ASKED_REMOTELY,
+            remote_polls: ASKED_REMOTELY,
             isolation_after: self.times.isolation_after,
         }
     }
 
     /// How the log is kept in order.
-    pub fn upkeep_rules(&self) -> UpkeepRules {
-        UpkeepRules {
+    pub fn log_maintenance_rules(&self) -> LogMaintenanceRules {
+        LogMaintenanceRules {
             checkpoint_every: self.times.checkpoint_every,
             checkpoint_records: self.bounds.checkpoint_records,
             key_window: self.times.key_window,
--- a/crates/workshold-node/src/tasks/catch_up.rs
+++ b/crates/workshold-node/src/tasks/catch_up.rs
@@ -1,7 +1,7 @@
 //! Starting from what the log, or a peer, still has.
 
 use workshold_core::replay::Replay;
-use workshold_core::replay::Start;
+use workshold_core::replay::ReplayStart;
 use workshold_core::replay::checkpoints_of;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::Offset;
@@ -130,7 +130,7 @@
             .filter_map(|(_, envelope)| envelope.as_ref())
             .flat_map(|envelope| checkpoints_of(envelope).cloned())
             .collect();
-        let Start::From(mut replay) = Replay::start(first, &checkpoints) else {
+        let ReplayStart::From(mut replay) = Replay::start(first, &checkpoints) else {
             return Gathered::NoCheckpoint;
         };
         let mut tail = Tail::starting_at(first);
--- a/crates/workshold-node/src/tasks/listing.rs
+++ b/crates/workshold-node/src/tasks/listing.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workshold_core::listing::Listing;
+use workshold_core::listing::InstanceList;
 use workshold_http::client;
 use workshold_protocol::report::ListedInstance;
 
@@ -33,7 +33,7 @@
 }
 
 fn take(node: &Node, list: Vec<ListedInstance>) {
-    let list = Listing::new(list);
+    let list = InstanceList::new(list);
     if **node.list.read() == list {
         return;
     }
--- a/crates/workshold-node/src/tasks/peers.rs
+++ b/crates/workshold-node/src/tasks/peers.rs
@@ -189,7 +189,7 @@
     let places = places(node, &known);
     let rules = node.settings.membership_rules();
     let membership = node.membership.read();
-    let chosen = membership.to_ask(places.iter().map(|(peer, place)| (peer, place)), &rules);
+    let chosen = membership.poll_targets(places.iter().map(|(peer, place)| (peer, place)), &rules);
     chosen.into_iter().map(|peer| (peer.clone(), known[peer].clone())).collect()
 }
 
--- a/crates/workshold-node/src/tasks/probing.rs
+++ b/crates/workshold-node/src/tasks/probing.rs
@@ -49,7 +49,7 @@
         matches!(listed.kind, InstanceKind::Engine { .. })
             && listed.data_centre == node.settings.node.data_centre
     });
-    near.filter(|listed| membership.probes(&listed.instance, now, &rules)).cloned().collect()
+    near.filter(|listed| membership.is_prober_of(&listed.instance, now, &rules)).cloned().collect()
 }
 
 async fn probe(node: Arc<Node>, instance: InstanceId, address: String) {
--- a/crates/workshold-node/src/tasks/replaying.rs
+++ b/crates/workshold-node/src/tasks/replaying.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workshold_core::replay::Step;
+use workshold_core::replay::ReplayOutcome;
 use workshold_core::replay::checkpoints_of;
 use workshold_core::state::Outcome;
 use workshold_protocol::Millis;
@@ -128,9 +128,9 @@
     };
     let Some(step) = step else { return false };
     match step {
-        Step::Old => {}
-        Step::Diverged { next } => emit(Event::Diverged, &[("next", &next.to_string())]),
-        Step::Applied(outcomes) => {
+        ReplayOutcome::Old => {}
+        ReplayOutcome::Diverged { next } => emit(Event::Diverged, &[("next", &next.to_string())]),
+        ReplayOutcome::Applied(outcomes) => {
             node.counters.records.add(1);
             if let Some(envelope) = &envelope {
                 note_facts(node, envelope, &outcomes);
@@ -146,12 +146,12 @@
     record: &ReadRecord,
     envelope: Option<&Envelope>,
     now: Millis,
-) -> Option<Step> {
+) -> Option<ReplayOutcome> {
     let step = lasting.replay.as_mut()?.take(record.offset, envelope).ok()?;
     match step {
-        Step::Diverged { .. } => lasting.is_diverged = true,
-        Step::Applied(_) => lasting.tail.push(record.offset, &record.data),
-        Step::Old => {}
+        ReplayOutcome::Diverged { .. } => lasting.is_diverged = true,
+        ReplayOutcome::Applied(_) => lasting.tail.push(record.offset, &record.data),
+        ReplayOutcome::Old => {}
     }
     if let Some(checkpoint) = envelope.and_then(|envelope| checkpoints_of(envelope).last()) {
         lasting.checkpoint_seen = now;
--- a/crates/workshold-node/src/tasks/upkeep.rs
+++ b/crates/workshold-node/src/tasks/upkeep.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use workshold_core::checkpointing;
-use workshold_core::checkpointing::UpkeepView;
+use workshold_core::checkpointing::LogMaintenanceView;
 use workshold_protocol::ids::Offset;
 use workshold_protocol::record::Envelope;
 use workshold_protocol::record::seal_as_node;
@@ -39,7 +39,7 @@
     let (now, rules) = (node.now(), node.settings.membership_rules());
     let membership = node.membership.read();
     let live = membership.live(now, &rules).map(|(peer, _)| peer);
-    checkpointing::keeper(live.chain([node.name()])) == Some(node.name())
+    checkpointing::log_maintainer(live.chain([node.name()])) == Some(node.name())
 }
 
 fn due(node: &Node) -> Vec<workshold_protocol::record::Fact> {
@@ -48,14 +48,14 @@
     if lasting.is_diverged || !lasting.log_answers {
         return Vec::new();
     }
-    let view = UpkeepView {
+    let view = LogMaintenanceView {
         state: replay.state(),
         last_checkpoint: replay.last_checkpoint(),
         checkpoint_seen: lasting.checkpoint_seen,
         now: node.now(),
         wall: node.clock.wall(),
     };
-    checkpointing::due(&view, &node.settings.upkeep_rules())
+    checkpointing::due(&view, &node.settings.log_maintenance_rules())
 }
 
 /// Appends once; without an answer it may stand in the log or not.
--- a/crates/workshold-node/tests/catalogues.rs
+++ b/crates/workshold-node/tests/catalogues.rs
@@ -14,10 +14,10 @@
 }
 
 #[rstest]
-#[case::events("EVENTS.md", events::catalogue())]
-#[case::metrics("METRICS.md", metrics::catalogue())]
-fn the_page_is_what_the_code_says(#[case] name: &str, #[case] catalogue: String) {
-    assert_eq!(page(name), catalogue, "write it anew: workshold events");
+#[case::events("EVENTS.md", events::reference_page())]
+#[case::metrics("METRICS.md", metrics::reference_page())]
+fn the_page_is_what_the_code_says(#[case] name: &str, #[case] reference_page: String) {
+    assert_eq!(page(name), reference_page, "write it anew: workshold events");
 }
 
 #[test]
--- a/crates/workshold-telemetry/src/events.rs
+++ b/crates/workshold-telemetry/src/events.rs
@@ -35,7 +35,7 @@
 }
 
 /// The text of a page that lists events.
-pub fn catalogue(title: &str, rows: impl Iterator<Item = Row>) -> String {
+pub fn reference_page(title: &str, rows: impl Iterator<Item = Row>) -> String {
     let mut text = format!(
         "# {title}\n\nEvery line that a node logs has a number. Fields follow the text.\n\n\
          | number | level | what happened | what to do |\n| --- | --- | --- | --- |\n",
