--- a/crates/workshold-bench/src/fixtures.rs
+++ b/crates/workshold-bench/src/fixtures.rs
@@ -1,12 +1,12 @@
 //! Domains and records of a given size, for the benches of hot paths.
 
-use workshold_core::gate::GroupReadinessRules;
-use workshold_core::listing::InstanceList;
+use workshold_core::group_readiness::GroupReadinessRules;
+use workshold_core::instance_list::InstanceList;
+use workshold_core::observation::Observations;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward::StewardRules;
 use workshold_core::steward::View;
-use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
 use workshold_protocol::bundle::SignedBundle;
@@ -145,7 +145,7 @@
 
 fn rules() -> StewardRules {
     StewardRules {
-        gate: GroupReadinessRules { report_ttl: Millis(2_500) },
+        group_readiness: GroupReadinessRules { report_ttl: Millis(2_500) },
         release_wait: Millis(2_600),
         member_grace: Millis(3_000),
         gone_after: Millis(60_000),
--- a/crates/workshold-bench/src/repair/fleet.rs
+++ b/crates/workshold-bench/src/repair/fleet.rs
@@ -7,16 +7,16 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use workshold_core::gate::GroupReadinessRules;
-use workshold_core::gate::check_group;
-use workshold_core::listing::InstanceList;
+use workshold_core::group_readiness::GroupReadinessRules;
+use workshold_core::group_readiness::check_group;
+use workshold_core::instance_list::InstanceList;
+use workshold_core::observation::Observations;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward;
 use workshold_core::steward::StewardRules;
 use workshold_core::steward::StewardTimers;
 use workshold_core::steward::View;
-use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
 use workshold_protocol::bundle::SignedBundle;
@@ -193,7 +193,7 @@
 
     fn rules(&self) -> StewardRules {
         StewardRules {
-            gate: GroupReadinessRules { report_ttl: Millis(2_500) },
+            group_readiness: GroupReadinessRules { report_ttl: Millis(2_500) },
             release_wait: Millis(2_600),
             member_grace: Millis(3_000),
             gone_after: Millis(60_000),
@@ -369,8 +369,8 @@
             !group.is_active() && group.members.iter().any(|m| is_claimed(m) && is_up(m))
         });
         let just_lost = self.instances.iter().enumerate().any(|(i, instance)| {
-            let witness = self.observations.get(&instance_id(i));
-            let silent = witness.map_or(Millis::ZERO, |w| self.now.since(w.true_since));
+            let observation = self.observations.get(&instance_id(i));
+            let silent = observation.map_or(Millis::ZERO, |w| self.now.since(w.true_since));
             instance.back_at.is_some() && silent < FRESH_LOSS
         });
         !any_ending && !just_lost && !self.instances.iter().any(is_loading)
@@ -443,8 +443,9 @@
             .fleet
             .groups()
             .filter(|group| {
-                let gate = GroupReadinessRules { report_ttl: Millis(2_500) };
-                check_group(group, &self.observations, &BTreeSet::new(), self.now, gate).is_ok()
+                let group_readiness = GroupReadinessRules { report_ttl: Millis(2_500) };
+                check_group(group, &self.observations, &BTreeSet::new(), self.now, group_readiness)
+                    .is_ok()
             })
             .collect();
         let worth: BTreeMap<&str, f64> = BTreeMap::from([("full", 1.0), ("half", HALF_WORTH)]);
--- a/crates/workshold-bench/src/retries.rs
+++ b/crates/workshold-bench/src/retries.rs
@@ -3,11 +3,11 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use workshold_core::course::End;
-use workshold_core::course::Event;
-use workshold_core::course::Next;
-use workshold_core::course::Repeatability;
-use workshold_core::course::RequestLifecycle;
+use workshold_core::lifecycle::End;
+use workshold_core::lifecycle::Event;
+use workshold_core::lifecycle::Next;
+use workshold_core::lifecycle::Repeatability;
+use workshold_core::lifecycle::RequestLifecycle;
 use workshold_core::retry::RetryBudget;
 use workshold_core::retry::RetryRules;
 use workshold_protocol::Millis;
@@ -35,16 +35,16 @@
     let mut budget = RetryBudget::new(rules);
     let (mut attempts, mut answered, mut unknown, mut not_run) = (0, 0, 0, 0);
     for _ in 0..REQUESTS {
-        let mut course =
+        let mut lifecycle =
             RequestLifecycle::new(Repeatability::Repeatable, Millis(1_000), rules.max_attempts);
         budget.on_request();
         let end = loop {
             attempts += 1;
-            let attempt = course.attempt();
-            course.on(attempt, Event::Sending, Millis::ZERO, || false);
+            let attempt = lifecycle.attempt();
+            lifecycle.on(attempt, Event::Sending, Millis::ZERO, || false);
             let event = if rng.random::<f64>() < failing { Event::Broken } else { Event::Done };
             let may_retry = || !has_budget || budget.take();
-            if let Next::Finish(end) = course.on(attempt, event, Millis::ZERO, may_retry) {
+            if let Next::Finish(end) = lifecycle.on(attempt, event, Millis::ZERO, may_retry) {
                 break end;
             }
         };
--- a/crates/workshold-core/src/gate.rs
+++ b/crates/workshold-core/src/group_readiness.rs
@@ -10,8 +10,8 @@
 use workshold_protocol::report::Readiness;
 
 use crate::fleet::Group;
-use crate::witness::GroupObservation;
-use crate::witness::Observations;
+use crate::observation::GroupObservation;
+use crate::observation::Observations;
 
 /// How long a report is believed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -100,13 +100,13 @@
     rules: GroupReadinessRules,
 ) -> Result<(), GroupNotReady> {
     let name = || member.instance.clone();
-    let witness = observations
+    let observation = observations
         .fresh(&member.instance, now, rules.report_ttl)
         .ok_or_else(|| GroupNotReady::Unseen(name()))?;
-    if witness.report.incarnation != member.incarnation {
+    if observation.report.incarnation != member.incarnation {
         return Err(GroupNotReady::Reborn(name()));
     }
-    let membership = witness.report.membership.as_ref();
+    let membership = observation.report.membership.as_ref();
     let membership = membership.ok_or_else(|| GroupNotReady::Elsewhere(name()))?;
     if membership.group != group.id || membership.fence != group.fence {
         return Err(GroupNotReady::Elsewhere(name()));
--- a/crates/workshold-core/src/hosted/partition_lease.rs
+++ b/crates/workshold-core/src/hosted/partition_lease.rs
@@ -6,7 +6,7 @@
 
 use workshold_protocol::Millis;
 
-use super::history::Fence;
+use super::store_era::Fence;
 
 /// The times that a new holder keeps to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/workshold-core/src/hosted/roster.rs
+++ b/crates/workshold-core/src/hosted/roster.rs
@@ -13,10 +13,10 @@
 use workshold_protocol::ids::ModelName;
 use workshold_protocol::ids::ServiceName;
 
-use super::history::Era;
-use super::history::LogPosition;
-use super::history::RESTORE_SETTLE_TIME;
 use super::identity::Identity;
+use super::store_era::Era;
+use super::store_era::LogPosition;
+use super::store_era::RESTORE_SETTLE_TIME;
 
 /// How far a member says its group is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/workshold-core/src/lib.rs
+++ b/crates/workshold-core/src/lib.rs
@@ -6,26 +6,27 @@
 //!
 //! - What lasts: [`state`] folds the log through the aggregates [`bundles`],
 //!   [`fleet`] and [`keys`]; [`replay`] feeds it.
-//! - What is true now: [`witness`] keeps reports, [`gate`] judges a group.
+//! - What is true now: [`observation`] keeps reports, [`group_readiness`] judges a group.
 //! - What to do about it: [`steward`] with [`repair`]; [`checkpointing`].
-//! - Requests: [`course`], [`once`], [`routing`], [`admission`], [`limits`], [`retry`],
+//! - Requests: [`lifecycle`], [`at_most_once`], [`routing`], [`admission`], [`limits`], [`retry`],
 //!   [`outlier`].
 //! - Where the platform keeps the state: [`hosted`].
-//! - Nodes: [`membership`], [`listing`], [`authority`], [`rendezvous`].
+//! - Nodes: [`membership`], [`instance_list`], [`authority`], [`rendezvous`].
 
 pub mod admission;
+pub mod at_most_once;
 pub mod authority;
 pub mod bundles;
 pub mod checkpointing;
-pub mod course;
 pub mod fleet;
-pub mod gate;
+pub mod group_readiness;
 pub mod hosted;
+pub mod instance_list;
 pub mod keys;
+pub mod lifecycle;
 pub mod limits;
-pub mod listing;
 pub mod membership;
-pub mod once;
+pub mod observation;
 pub mod outlier;
 pub mod prefix;
 pub mod rendezvous;
@@ -35,4 +36,3 @@
 pub mod routing;
 pub mod state;
 pub mod steward;
-pub mod witness;
--- a/crates/workshold-core/src/witness.rs
+++ b/crates/workshold-core/src/observation.rs
@@ -81,7 +81,7 @@
 
     /// The last report of `instance` if it is younger than `ttl`.
     pub fn fresh(&self, instance: &InstanceId, now: Millis, ttl: Millis) -> Option<&Observation> {
-        self.get(instance).filter(|witness| witness.is_fresh(now, ttl))
+        self.get(instance).filter(|observation| observation.is_fresh(now, ttl))
     }
 
     /// Takes a voucher for a group; the newest counts.
@@ -113,7 +113,7 @@
 
     /// Drops those that are older than `age`.
     pub fn drop_older(&mut self, now: Millis, age: Millis) {
-        self.by_instance.retain(|_, witness| witness.is_fresh(now, age));
+        self.by_instance.retain(|_, observation| observation.is_fresh(now, age));
         self.group_observations
             .retain(|_, group_observation| now.since(group_observation.true_since) < age);
     }
--- a/crates/workshold-core/src/steward.rs
+++ b/crates/workshold-core/src/steward.rs
@@ -25,18 +25,18 @@
 use workshold_protocol::report::InstanceKind;
 use workshold_protocol::report::ListedInstance;
 
-use crate::gate::GroupReadinessRules;
-use crate::listing::InstanceList;
+use crate::group_readiness::GroupReadinessRules;
+use crate::instance_list::InstanceList;
+use crate::observation::Observation;
+use crate::observation::Observations;
 use crate::repair::Expectations;
 use crate::state::State;
-use crate::witness::Observation;
-use crate::witness::Observations;
 
 /// The times that a steward keeps to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StewardRules {
     /// How long a report is believed, by every node.
-    pub gate: GroupReadinessRules,
+    pub group_readiness: GroupReadinessRules,
     /// How long an instance must be seen outside of its old group before it is
     /// free: longer than `report_ttl` and the drift of two clocks over that time,
     /// so that no node can still believe an older report.
@@ -91,7 +91,7 @@
     }
 
     fn fresh(&self, instance: &InstanceId, rules: &StewardRules) -> Option<&Observation> {
-        self.observations.fresh(instance, self.now, rules.gate.report_ttl)
+        self.observations.fresh(instance, self.now, rules.group_readiness.report_ttl)
     }
 
     /// Instances that can be claimed: listed, staying, and idle by their own account.
@@ -100,8 +100,8 @@
             .filter(|listed| self.state.fleet.claim_of(&listed.instance).is_none())
             .filter(|listed| !self.must_go(&listed.instance))
             .filter(|listed| {
-                let witness = self.fresh(&listed.instance, rules);
-                witness.is_some_and(|witness| witness.report.membership.is_none())
+                let observation = self.fresh(&listed.instance, rules);
+                observation.is_some_and(|observation| observation.report.membership.is_none())
             })
             .collect()
     }
--- a/crates/workshold-core/src/steward/ending.rs
+++ b/crates/workshold-core/src/steward/ending.rs
@@ -88,16 +88,16 @@
         if view.state.fleet.claim_of(instance) != Some(&group.id) {
             continue;
         }
-        let witness = view.fresh(instance, rules);
-        let is_outside = witness.is_some_and(|witness| {
-            witness.report.membership.as_ref().is_none_or(|own| own.group != group.id)
+        let observation = view.fresh(instance, rules);
+        let is_outside = observation.is_some_and(|observation| {
+            observation.report.membership.as_ref().is_none_or(|own| own.group != group.id)
         });
         let outside_for = timers.outside_for(&group.id, instance, is_outside, view.now);
-        let is_gone = witness.is_none() && view.listed(instance).is_none();
+        let is_gone = observation.is_none() && view.listed(instance).is_none();
         let gone_for = timers.gone_for(instance, is_gone, view.now);
         if outside_for > rules.release_wait || gone_for > rules.gone_after {
             plan.facts.push(released(group, instance));
-        } else if witness.is_some() && !is_outside {
+        } else if observation.is_some() && !is_outside {
             send(view, timers, rules, instance, since.into(), &action, plan);
         }
     }
@@ -117,7 +117,7 @@
         }
         let membership = view
             .fresh(&listed.instance, rules)
-            .and_then(|witness| witness.report.membership.as_ref());
+            .and_then(|observation| observation.report.membership.as_ref());
         let Some(membership) = membership else { continue };
         // A fence that is not read yet: this node is behind, not the instance astray.
         if membership.fence.0 >= view.state.next().0 {
@@ -166,24 +166,25 @@
     group: &Group,
     member: &Member,
 ) -> bool {
-    let Some(witness) = view.fresh(&member.instance, rules) else { return true };
-    if witness.report.incarnation != member.incarnation {
+    let Some(observation) = view.fresh(&member.instance, rules) else { return true };
+    if observation.report.incarnation != member.incarnation {
         return true;
     }
-    let own = witness.report.membership.as_ref();
+    let own = observation.report.membership.as_ref();
     own.is_some_and(|own| own.group != group.id && own.fence > group.fence)
 }
 
 fn is_draining(view: &View<'_>, rules: &StewardRules, group: &Group, member: &Member) -> bool {
-    let membership =
-        view.fresh(&member.instance, rules).and_then(|witness| witness.report.membership.as_ref());
+    let membership = view
+        .fresh(&member.instance, rules)
+        .and_then(|observation| observation.report.membership.as_ref());
     membership.is_some_and(|own| own.group == group.id && own.readiness == Readiness::Draining)
 }
 
 fn is_idle(view: &View<'_>, rules: &StewardRules, group: &Group, member: &Member) -> bool {
-    let Some(witness) = view.fresh(&member.instance, rules) else { return false };
-    let has_nothing = witness.report.running == 0 && witness.report.queued == 0;
-    let outside = witness.report.membership.is_none();
+    let Some(observation) = view.fresh(&member.instance, rules) else { return false };
+    let has_nothing = observation.report.running == 0 && observation.report.queued == 0;
+    let outside = observation.report.membership.is_none();
     has_nothing && (outside || is_draining(view, rules, group, member))
 }
 
--- a/crates/workshold-core/src/steward/forming.rs
+++ b/crates/workshold-core/src/steward/forming.rs
@@ -16,7 +16,7 @@
 use crate::bundles::InForce;
 use crate::fleet::Group;
 use crate::fleet::Phase;
-use crate::gate::check_group;
+use crate::group_readiness::check_group;
 use crate::rendezvous;
 use crate::state::State;
 use crate::steward::Plan;
@@ -67,7 +67,7 @@
         let waits_for_nobody = group.members.iter().all(|member| {
             view.observations
                 .get(&member.instance)
-                .is_some_and(|witness| view.now.since(witness.seen) < GROWTH_PATIENCE)
+                .is_some_and(|observation| view.now.since(observation.seen) < GROWTH_PATIENCE)
         });
         is_here && cause == Some(EndCause::Outgrown) && waits_for_nobody
     })
@@ -125,9 +125,9 @@
     let any_ending = same_model().filter(is_old).any(|other| !other.is_active());
     let oldest = same_model().filter(is_old).min_by_key(|other| other.age_key());
     let leaving = view.leaving();
-    let all_new_serve = same_model()
-        .filter(|other| !is_old(other))
-        .all(|other| check_group(other, view.observations, &leaving, view.now, rules.gate).is_ok());
+    let all_new_serve = same_model().filter(|other| !is_old(other)).all(|other| {
+        check_group(other, view.observations, &leaving, view.now, rules.group_readiness).is_ok()
+    });
     let is_oldest = oldest.is_some_and(|oldest| oldest.id == group.id);
     is_oldest && !any_ending && all_new_serve && !may_form(view, rules, &group.model, model)
 }
@@ -173,8 +173,8 @@
 
 fn members_of(view: &View<'_>, chosen: &[&ListedInstance]) -> Option<Vec<Member>> {
     let member = |listed: &&ListedInstance| {
-        let witness = view.observations.get(&listed.instance)?;
-        let incarnation = witness.report.incarnation;
+        let observation = view.observations.get(&listed.instance)?;
+        let incarnation = observation.report.incarnation;
         Some(Member { instance: listed.instance.clone(), incarnation })
     };
     chosen.iter().map(member).collect()
--- a/crates/workshold-core/src/steward/mending.rs
+++ b/crates/workshold-core/src/steward/mending.rs
@@ -12,7 +12,7 @@
 use crate::bundles::InForce;
 use crate::fleet::Fleet;
 use crate::fleet::Group;
-use crate::gate::check_group;
+use crate::group_readiness::check_group;
 use crate::repair::Repair;
 use crate::repair::Situation;
 use crate::repair::SmallerRole;
@@ -231,8 +231,13 @@
         return;
     }
     if let Some(stand_in) = view.state.fleet.replacement_of(&group.id) {
-        let serves =
-            check_group(stand_in, view.observations, &view.leaving(), view.now, rules.gate);
+        let serves = check_group(
+            stand_in,
+            view.observations,
+            &view.leaving(),
+            view.now,
+            rules.group_readiness,
+        );
         match serves {
             Ok(()) => {
                 plan.decide(&group.id, format!("draining: {} serves in its place", stand_in.id));
@@ -271,10 +276,10 @@
         weights_mib: model.weights_mib,
     });
     for member in &group.members {
-        let Some(witness) = view.fresh(&member.instance, rules) else { continue };
-        let own = witness.report.membership.as_ref();
+        let Some(observation) = view.fresh(&member.instance, rules) else { continue };
+        let own = observation.report.membership.as_ref();
         let is_in = own.is_some_and(|own| own.group == group.id && own.fence == group.fence);
-        if !is_in && witness.report.incarnation == member.incarnation {
+        if !is_in && observation.report.incarnation == member.incarnation {
             send(view, timers, rules, &member.instance, group.fence, &action, plan);
         }
     }
--- a/crates/workshold-core/src/steward/preloading.rs
+++ b/crates/workshold-core/src/steward/preloading.rs
@@ -12,7 +12,7 @@
 use workshold_protocol::report::Weights;
 
 use crate::bundles::InForce;
-use crate::gate::check_group;
+use crate::group_readiness::check_group;
 use crate::steward::Plan;
 use crate::steward::StewardRules;
 use crate::steward::StewardTimers;
@@ -50,7 +50,9 @@
 fn all_serve(view: &View<'_>, rules: &StewardRules) -> bool {
     let leaving = view.leaving();
     let mut here = view.state.fleet.groups().filter(|group| &group.domain == view.domain);
-    here.all(|group| check_group(group, view.observations, &leaving, view.now, rules.gate).is_ok())
+    here.all(|group| {
+        check_group(group, view.observations, &leaving, view.now, rules.group_readiness).is_ok()
+    })
 }
 
 /// The model whose groups here have the fewest loaded spares each.
--- a/crates/workshold-core/tests/hosted.rs
+++ b/crates/workshold-core/tests/hosted.rs
@@ -1,13 +1,13 @@
 //! Decisions for a deployment whose platform keeps the state.
 
-#[path = "hosted/asking.rs"]
-mod asking;
 #[path = "hosted/capacity.rs"]
 mod capacity;
-#[path = "hosted/histories.rs"]
-mod histories;
 #[path = "hosted/instance_limits.rs"]
 mod instance_limits;
+#[path = "hosted/liveness.rs"]
+mod liveness;
+#[path = "hosted/long_poll.rs"]
+mod long_poll;
 #[path = "hosted/partition_lease.rs"]
 mod partition_lease;
 #[path = "hosted/planned_anew.rs"]
@@ -18,9 +18,9 @@
 mod quarantine;
 #[path = "hosted/requests.rs"]
 mod requests;
-#[path = "hosted/sharing.rs"]
+#[path = "hosted/node_census.rs"]
 mod sharing;
-#[path = "hosted/sight.rs"]
-mod sight;
 #[path = "hosted/stewards.rs"]
 mod stewards;
+#[path = "hosted/store_era.rs"]
+mod store_era;
--- a/crates/workshold-core/tests/hosted/sight.rs
+++ b/crates/workshold-core/tests/hosted/liveness.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeSet;
 
 use smol_str::SmolStr;
-use workshold_core::hosted::currency::ConfigFreshness;
-use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::LogPosition;
-use workshold_core::hosted::history::RESTORE_SETTLE_TIME;
+use workshold_core::hosted::config_freshness::ConfigFreshness;
 use workshold_core::hosted::roster::Instance;
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
+use workshold_core::hosted::store_era::Era;
+use workshold_core::hosted::store_era::LogPosition;
+use workshold_core::hosted::store_era::RESTORE_SETTLE_TIME;
 use workshold_core::hosted::suspicion::Loss;
 use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_core::hosted::suspicion::Suspicions;
@@ -39,21 +39,24 @@
 
 #[test]
 fn a_version_never_goes_back() {
-    let mut currency = ConfigFreshness::default();
-    assert!(currency.take(7, Millis(1_000)));
-    assert!(!currency.take(5, Millis(2_000)), "an old copy read late");
-    assert_eq!(currency.version(), Some(7));
-    assert!(!currency.is_within(Millis(6_000), Millis(4_600)), "nor does it make the new fresh");
+    let mut config_freshness = ConfigFreshness::default();
+    assert!(config_freshness.take(7, Millis(1_000)));
+    assert!(!config_freshness.take(5, Millis(2_000)), "an old copy read late");
+    assert_eq!(config_freshness.version(), Some(7));
+    assert!(
+        !config_freshness.is_within(Millis(6_000), Millis(4_600)),
+        "nor does it make the new fresh"
+    );
 }
 
 #[test]
 fn freshness_comes_of_whoever_saw_the_same_version() {
-    let mut currency = ConfigFreshness::default();
-    currency.take(7, Millis(1_000));
-    assert!(!currency.confirm(7, Millis(3_000)));
-    assert!(currency.is_within(Millis(7_000), Millis(4_600)));
-    assert!(currency.confirm(9, Millis(5_000)), "a newer one is wanted");
-    assert!(!currency.is_within(Millis(8_000), Millis(4_600)), "and the old one ages");
+    let mut config_freshness = ConfigFreshness::default();
+    config_freshness.take(7, Millis(1_000));
+    assert!(!config_freshness.confirm(7, Millis(3_000)));
+    assert!(config_freshness.is_within(Millis(7_000), Millis(4_600)));
+    assert!(config_freshness.confirm(9, Millis(5_000)), "a newer one is wanted");
+    assert!(!config_freshness.is_within(Millis(8_000), Millis(4_600)), "and the old one ages");
 }
 
 #[test]
--- a/crates/workshold-core/tests/hosted/asking.rs
+++ b/crates/workshold-core/tests/hosted/long_poll.rs
@@ -6,8 +6,8 @@
 //! store's return was read 3.3 s later.
 
 use rstest::rstest;
-use workshold_core::hosted::asking::LongPollRules;
-use workshold_core::hosted::asking::PollRound;
+use workshold_core::hosted::long_poll::LongPollRules;
+use workshold_core::hosted::long_poll::PollRound;
 use workshold_protocol::Millis;
 
 /// What an answer takes.
--- a/crates/workshold-core/tests/hosted/sharing.rs
+++ b/crates/workshold-core/tests/hosted/node_census.rs
@@ -1,9 +1,9 @@
 //! What is divided among nodes: by whom, and in which window.
 
 use rstest::rstest;
-use workshold_core::hosted::sharing::NodeCensus;
-use workshold_core::hosted::tries::RetryBudget;
-use workshold_core::hosted::tries::RetryBudgetRules;
+use workshold_core::hosted::node_census::NodeCensus;
+use workshold_core::hosted::retry_policy::RetryBudget;
+use workshold_core::hosted::retry_policy::RetryBudgetRules;
 use workshold_protocol::Millis;
 
 const RULES: RetryBudgetRules =
--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -8,9 +8,9 @@
 use hyper::body::Incoming;
 use serde_json::json;
 use workshold_core::hosted::fingerprint::Fingerprint;
-use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::instance_limits::Rate;
+use workshold_core::hosted::store_era::Era;
+use workshold_core::hosted::store_era::LogPosition;
 
 use crate::callers::answers;
 use crate::callers::answers::ResponseBody;
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -27,24 +27,24 @@
 use tokio::sync::Notify;
 use tokio::sync::watch;
 use workshold_core::hosted::capacity::Workload;
-use workshold_core::hosted::currency::ConfigFreshness;
+use workshold_core::hosted::config_freshness::ConfigFreshness;
 use workshold_core::hosted::demand::Demand;
-use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::instance_limits::InstanceLimits;
 use workshold_core::hosted::partition_lease::PartitionLease;
 use workshold_core::hosted::quarantine::Quarantine;
+use workshold_core::hosted::retry_policy::RetryBudget;
 use workshold_core::hosted::roster::ListTrust;
 use workshold_core::hosted::roster::Roster;
 use workshold_core::hosted::serving_config::Engine;
 use workshold_core::hosted::serving_config::RequestKind;
 use workshold_core::hosted::serving_config::ServingConfig;
-use workshold_core::hosted::silence::EventGaps;
-use workshold_core::hosted::silence::StallRules;
+use workshold_core::hosted::stall::EventGaps;
+use workshold_core::hosted::stall::StallRules;
+use workshold_core::hosted::store_era::Era;
+use workshold_core::hosted::store_era::Fence;
+use workshold_core::hosted::store_era::LogPosition;
 use workshold_core::hosted::suspicion::Suspicions;
-use workshold_core::hosted::tries::RetryBudget;
 use workshold_core::outlier::OutlierDetector;
 use workshold_core::outlier::OutlierRules;
 use workshold_platform::store::Store;
@@ -151,7 +151,7 @@
     /// The same for the list of instances.
     pub list_store: Store,
     serving_config: RwLock<Option<(Arc<ServingConfig>, Bytes)>>,
-    currency: Mutex<ConfigFreshness>,
+    config_freshness: Mutex<ConfigFreshness>,
     /// The list of instances.
     pub list: Mutex<List>,
     table: RwLock<Arc<RoutingTable>>,
@@ -219,7 +219,7 @@
     asked: Mutex<HashMap<Identity, Millis>>,
     all_peers_asked: Mutex<HashMap<Identity, Millis>>,
     /// How silence is judged.
-    pub silence: StallRules,
+    pub stall: StallRules,
 }
 
 /// What callers ask of all nodes.
@@ -267,7 +267,7 @@
             config_store,
             list_store,
             serving_config: RwLock::new(None),
-            currency: Mutex::default(),
+            config_freshness: Mutex::default(),
             list: Mutex::default(),
             table: RwLock::default(),
             made: Mutex::default(),
@@ -306,7 +306,7 @@
             looks: Mutex::default(),
             asked: Mutex::default(),
             all_peers_asked: Mutex::default(),
-            silence: StallRules::default(),
+            stall: StallRules::default(),
         }
     }
 
@@ -346,7 +346,7 @@
         let len = bytes.len();
         {
             let mut held = self.serving_config.write();
-            if !self.currency.lock().take(version, at) {
+            if !self.config_freshness.lock().take(version, at) {
                 return;
             }
             *held = Some((Arc::new(serving_config), bytes));
@@ -358,13 +358,13 @@
 
     /// Somebody saw that `version` was the newest at `at`; whether this node lacks it.
     pub fn confirm_config(&self, version: u64, at: Millis) -> bool {
-        self.currency.lock().confirm(version, at)
+        self.config_freshness.lock().confirm(version, at)
     }
 
     /// The version in force and its age.
     pub fn config_age(&self) -> Option<(u64, Millis)> {
-        let currency = *self.currency.lock();
-        Some((currency.version()?, currency.age(self.now())?))
+        let config_freshness = *self.config_freshness.lock();
+        Some((config_freshness.version()?, config_freshness.age(self.now())?))
     }
 
     /// Whether keys can be believed now: they are current, or this deployment would
@@ -372,9 +372,10 @@
     pub fn are_keys_trusted(&self) -> bool {
         let settings = self.settings();
         let bound = settings.max_key_age();
-        let currency = *self.currency.lock();
-        let is_known = currency.version().is_some();
-        (is_known && !settings.bounds.refuse_stale_keys) || currency.is_within(self.now(), bound)
+        let config_freshness = *self.config_freshness.lock();
+        let is_known = config_freshness.version().is_some();
+        (is_known && !settings.bounds.refuse_stale_keys)
+            || config_freshness.is_within(self.now(), bound)
     }
 
     /// Where requests can be sent.
--- a/crates/workshold-gateway/src/node/reading.rs
+++ b/crates/workshold-gateway/src/node/reading.rs
@@ -1,7 +1,7 @@
 //! Who reads the store for whom, and what follows from its answers.
 
-use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::EraOrder;
+use workshold_core::hosted::store_era::Era;
+use workshold_core::hosted::store_era::EraOrder;
 use workshold_platform::store::Answer;
 use workshold_platform::store::StoreError;
 use workshold_protocol::Millis;
--- a/crates/workshold-gateway/src/node/repeats.rs
+++ b/crates/workshold-gateway/src/node/repeats.rs
@@ -1,7 +1,7 @@
 //! What this node may repeat of each upstream's requests.
 
-use workshold_core::hosted::tries::RetryBudget;
-use workshold_core::hosted::tries::RetryBudgetUsage;
+use workshold_core::hosted::retry_policy::RetryBudget;
+use workshold_core::hosted::retry_policy::RetryBudgetUsage;
 use workshold_protocol::ids::ServiceName;
 
 use crate::events::Event;
--- a/crates/workshold-gateway/src/peers.rs
+++ b/crates/workshold-gateway/src/peers.rs
@@ -23,7 +23,7 @@
 use std::net::SocketAddr;
 
 use smol_str::SmolStr;
-use workshold_core::hosted::sharing::NodeCensus;
+use workshold_core::hosted::node_census::NodeCensus;
 use workshold_protocol::Millis;
 use xxhash_rust::xxh3::xxh3_64;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/workshold-gateway/src/peers/exchange.rs
+++ b/crates/workshold-gateway/src/peers/exchange.rs
@@ -7,7 +7,7 @@
 
 use smol_str::SmolStr;
 use workshold_core::hosted::capacity::Workload;
-use workshold_core::hosted::history::Fence;
+use workshold_core::hosted::store_era::Fence;
 use workshold_protocol::Millis;
 
 use crate::loads::Load;
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -7,15 +7,15 @@
 use smol_str::SmolStr;
 use workshold_core::hosted::capacity::Workload;
 use workshold_core::hosted::fingerprint::Fingerprint;
-use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::instance_limits::LimitReport;
 use workshold_core::hosted::instance_limits::Rate;
 use workshold_core::hosted::quarantine::ProcessEnd;
 use workshold_core::hosted::quarantine::QuarantineRecord;
 use workshold_core::hosted::quarantine::RequestKey;
+use workshold_core::hosted::store_era::Era;
+use workshold_core::hosted::store_era::Fence;
+use workshold_core::hosted::store_era::LogPosition;
 use workshold_core::hosted::suspicion::ProbeResult;
 use workshold_protocol::Millis;
 
--- a/crates/workshold-gateway/src/peers/news.rs
+++ b/crates/workshold-gateway/src/peers/news.rs
@@ -10,7 +10,7 @@
 
 use std::net::SocketAddr;
 
-use workshold_core::hosted::history::LogPosition;
+use workshold_core::hosted::store_era::LogPosition;
 use workshold_protocol::Millis;
 
 use crate::peers::ListNews;
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/relay.rs
@@ -22,11 +22,11 @@
 use workshold_core::hosted::instance_limits::Withheld;
 use workshold_core::hosted::placement;
 use workshold_core::hosted::placement::Candidate;
+use workshold_core::hosted::retry_policy;
+use workshold_core::hosted::retry_policy::AttemptEnd;
+use workshold_core::hosted::retry_policy::AttemptsUsed;
+use workshold_core::hosted::retry_policy::NextStep;
 use workshold_core::hosted::serving_config::RequestKind;
-use workshold_core::hosted::tries;
-use workshold_core::hosted::tries::AttemptEnd;
-use workshold_core::hosted::tries::AttemptsUsed;
-use workshold_core::hosted::tries::NextStep;
 use workshold_protocol::Millis;
 
 use crate::callers::answers;
@@ -110,7 +110,7 @@
     /// How long to wait for the newest of `under_way` attempts, which was last heard at
     /// `since`; `after` says when it is looked into and when silence alone is doubt.
     pub fn patience(&self, since: Millis, after: (Millis, Millis), under_way: u32) -> Patience {
-        let may_begin = tries::may_hedge(&self.job.route, self.used, under_way);
+        let may_begin = retry_policy::may_hedge(&self.job.route, self.used, under_way);
         Patience {
             since,
             probe_after: self.job.route.is_repeatable().then_some(after.0),
@@ -262,8 +262,9 @@
         let is_held = node.quarantined_until(self.job.fingerprint).is_some();
         let has_attempts = self.used.sent < self.job.route.attempts.max(1);
         let may_go_on = has_time && !is_held;
-        let next =
-            |has_budget| tries::next(&self.job.route, ending, self.used, has_budget, may_go_on);
+        let next = |has_budget| {
+            retry_policy::next(&self.job.route, ending, self.used, has_budget, may_go_on)
+        };
         let is_repeat = self.used.sent > 0 && next(true) == NextStep::Again;
         let has_budget = !is_repeat || node.take_retry(&self.job.service);
         let lacks = match (has_time, has_attempts, has_budget) {
--- a/crates/workshold-gateway/src/relay/attempts.rs
+++ b/crates/workshold-gateway/src/relay/attempts.rs
@@ -13,7 +13,7 @@
 
 use futures_util::future::select_all;
 use workshold_core::hosted::quarantine::START_WINDOW;
-use workshold_core::hosted::tries::AttemptEnd;
+use workshold_core::hosted::retry_policy::AttemptEnd;
 use workshold_protocol::Millis;
 
 use crate::callers::requests::AdmittedRequest;
--- a/crates/workshold-gateway/src/relay/stream.rs
+++ b/crates/workshold-gateway/src/relay/stream.rs
@@ -9,8 +9,8 @@
 use hyper::Response;
 use hyper::body::Frame;
 use hyper::http::response::Parts;
-use workshold_core::hosted::tries::AttemptEnd;
-use workshold_core::hosted::tries::NextStep;
+use workshold_core::hosted::retry_policy::AttemptEnd;
+use workshold_core::hosted::retry_policy::NextStep;
 use workshold_protocol::Millis;
 
 use crate::callers::answers;
@@ -145,7 +145,7 @@
         let (id, since) = (&newest.target.id, newest.since);
         let mean_ms = self.node.gaps.lock().mean_ms(id).unwrap_or(newest.target.quiet_gap_ms);
         let goal = self.course.job.route.pause_goal;
-        let rules = self.node.silence;
+        let rules = self.node.stall;
         let after = if newest.is_opening() {
             relay::first_patience(&self.course, mean_ms)
         } else {
--- a/crates/workshold-gateway/src/relay/watching.rs
+++ b/crates/workshold-gateway/src/relay/watching.rs
@@ -107,10 +107,10 @@
     if node.was_probed_recently(&target.id) {
         return;
     }
-    let tries = target
+    let retry_policy = target
         .members
         .iter()
         .map(|member| probing::probe_instance(node, &member.identity, &member.address));
-    join_all(tries).await;
+    join_all(retry_policy).await;
     node.note_group_probe(&target.id);
 }
--- a/crates/workshold-gateway/src/settings.rs
+++ b/crates/workshold-gateway/src/settings.rs
@@ -5,8 +5,8 @@
 
 use displaydoc::Display;
 use serde::Deserialize;
-use workshold_core::hosted::asking::LongPollRules;
-use workshold_core::hosted::tries::RetryBudgetRules;
+use workshold_core::hosted::long_poll::LongPollRules;
+use workshold_core::hosted::retry_policy::RetryBudgetRules;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
 
@@ -211,13 +211,13 @@
     pub fn config_poll_rules(&self, is_reader: bool) -> LongPollRules {
         let kept = CONFIG_ON_THE_WAY + CONFIG_ON_THE_WAY;
         let half = Millis(self.max_key_age().since(kept).0 / 2);
-        asking(half.min(CONFIG_WAIT_MOST), self.bounds.config_in_force_ms, is_reader)
+        long_poll(half.min(CONFIG_WAIT_MOST), self.bounds.config_in_force_ms, is_reader)
     }
 
     /// How the store is asked for changes of the list. What waits brings them at once, unless
     /// it was lost in a disturbance.
     pub fn list_poll_rules(&self, is_reader: bool) -> LongPollRules {
-        asking(LIST_WAIT_MOST, self.bounds.undisturbed_after_ms, is_reader)
+        long_poll(LIST_WAIT_MOST, self.bounds.undisturbed_after_ms, is_reader)
     }
 
     /// What others have read of the configuration is current if it is not older: as old
@@ -252,7 +252,7 @@
 /// question that is lost must not make it late, whatever the moment. Whoever is no reader asks
 /// as rarely as that allows: it is readers who tell it of the store's return, and hundreds
 /// that ask into a silence would be a burden to it afterwards.
-fn asking(wait_most: Millis, bound: u64, is_reader: bool) -> LongPollRules {
+fn long_poll(wait_most: Millis, bound: u64, is_reader: bool) -> LongPollRules {
     let asked_within = Millis(bound).since(ANSWER_ROOM);
     let retry_interval = if is_reader { asked_within.min(ASK_EVERY) } else { asked_within };
     LongPollRules {
--- a/crates/workshold-gateway/src/store_monitor.rs
+++ b/crates/workshold-gateway/src/store_monitor.rs
@@ -1,15 +1,15 @@
 //! What if the store's answer is older than what this node holds? All of its answers come
 //! through here first.
 //!
-//! The store may come back from a copy (`core::hosted::history`). An answer of an earlier past
+//! The store may come back from a copy (`core::hosted::store_era`). An answer of an earlier past
 //! is dropped whole, whatever it says: it may have been on its way for long. The first answer
 //! of a later one, or a peer's word of it, is a rise: what this node keeps of the store is
 //! then of the past, and is read anew.
 
 use parking_lot::Mutex;
-use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::EraOrder;
-use workshold_core::hosted::history::EraTracker;
+use workshold_core::hosted::store_era::Era;
+use workshold_core::hosted::store_era::EraOrder;
+use workshold_core::hosted::store_era::EraTracker;
 use workshold_platform::store::Answer;
 use workshold_platform::store::StoreError;
 use workshold_protocol::Millis;
@@ -17,7 +17,7 @@
 /// The store's pasts as this process has heard of them, and when it last answered.
 #[derive(Debug, Default)]
 pub struct StoreMonitor {
-    history: Mutex<EraTracker>,
+    store_era: Mutex<EraTracker>,
     /// Nothing was there before this process and those that started with it.
     is_first_start: bool,
     /// When a question was sent that was answered, the last one.
@@ -53,34 +53,34 @@
 
     /// Somebody heard of `era` first at `since`.
     pub fn observe(&self, era: Era, since: Millis) -> EraOrder {
-        let mut history = self.history.lock();
-        let is_first = !history.is_known();
-        let heard = history.observe(era, since);
+        let mut store_era = self.store_era.lock();
+        let is_first = !store_era.is_known();
+        let heard = store_era.observe(era, since);
         if is_first && self.is_first_start {
-            history.mark_settled(era);
+            store_era.mark_settled(era);
         }
         heard
     }
 
     /// What the store keeps shows that `era` has lasted for long.
     pub fn mark_settled(&self, era: Era) {
-        self.history.lock().mark_settled(era);
+        self.store_era.lock().mark_settled(era);
     }
 
     /// The newest past heard of.
     pub fn era(&self) -> Era {
-        self.history.lock().era()
+        self.store_era.lock().era()
     }
 
     /// The newest past and how long it has been known, to be told to others.
     pub fn told(&self, now: Millis) -> Option<(Era, u64)> {
-        let history = *self.history.lock();
-        history.is_known().then(|| (history.era(), history.age(now).0))
+        let store_era = *self.store_era.lock();
+        store_era.is_known().then(|| (store_era.era(), store_era.age(now).0))
     }
 
     /// From when on what the store lists is what there is.
     pub fn trusted_from(&self) -> Millis {
-        self.history.lock().trusted_from()
+        self.store_era.lock().trusted_from()
     }
 
     /// When a question was sent that the store answered, the last one.
--- a/crates/workshold-gateway/src/tasks.rs
+++ b/crates/workshold-gateway/src/tasks.rs
@@ -1,9 +1,9 @@
 //! What runs beside the callers.
 
-pub mod asking;
 pub mod following;
 pub mod gossip;
 pub mod leasing;
+pub mod long_poll;
 pub mod probing;
 pub mod quarantining;
 pub mod stewarding;
--- a/crates/workshold-gateway/src/tasks/following.rs
+++ b/crates/workshold-gateway/src/tasks/following.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 
 use bytes::Bytes;
-use workshold_core::hosted::asking::LongPollRules;
-use workshold_core::hosted::history::LogPosition;
+use workshold_core::hosted::long_poll::LongPollRules;
+use workshold_core::hosted::store_era::LogPosition;
 use workshold_platform::config;
 use workshold_platform::entries;
 use workshold_platform::names;
@@ -22,11 +22,11 @@
 use crate::node::Node;
 use crate::peers::ListNews;
 use crate::peers::ListRecord;
-use crate::tasks::asking;
-use crate::tasks::asking::PollOutcome;
-use crate::tasks::asking::Reading;
-use crate::tasks::asking::Topic;
 use crate::tasks::gossip;
+use crate::tasks::long_poll;
+use crate::tasks::long_poll::PollOutcome;
+use crate::tasks::long_poll::Reading;
+use crate::tasks::long_poll::Topic;
 
 /// The least time between two reads of the list: each call has its price. It is drawn anew
 /// each time from between two thirds and four thirds of it, or all readers, woken by the same
@@ -112,7 +112,7 @@
     let from = || next.filter(|next| next.era == node.store_monitor.era());
     let is_needed = || !do_others_read(node, is_config_current);
     let rules = node.settings().config_poll_rules(node.is_store_reader());
-    let asked = asking::read(node, Topic::Config, rules, from, is_needed).await;
+    let asked = long_poll::read(node, Topic::Config, rules, from, is_needed).await;
     let Reading { records, from, sent } = match asked {
         PollOutcome::Read(reading) => reading,
         PollOutcome::NotNeeded => return,
@@ -176,11 +176,11 @@
     loop {
         wait_to_start(&node).await;
         wait_while_others_read(&node, is_list_current).await;
-        let asking = node.settings().list_poll_rules(node.is_store_reader());
-        let wait = if node.wants_list_anew() { Millis::ZERO } else { asking.wait };
+        let long_poll = node.settings().list_poll_rules(node.is_store_reader());
+        let wait = if node.wants_list_anew() { Millis::ZERO } else { long_poll.wait };
         let sent = node.now();
         tokio::select! {
-            has_read = read_list(&node, LongPollRules { wait, ..asking }) => {
+            has_read = read_list(&node, LongPollRules { wait, ..long_poll }) => {
                 if has_read {
                     rest(&node, sent).await;
                 }
@@ -211,7 +211,7 @@
     // Places of a past that is over mean nothing to the store.
     let from = || node.list.lock().next.filter(|next| next.era == node.store_monitor.era());
     let is_needed = || !do_others_read(node, is_list_current);
-    let asked = asking::read(node, Topic::List, rules, from, is_needed).await;
+    let asked = long_poll::read(node, Topic::List, rules, from, is_needed).await;
     let Reading { records, from, sent } = match asked {
         PollOutcome::Read(reading) => reading,
         PollOutcome::NotNeeded => return false,
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::partition_lease::PartitionLease;
+use workshold_core::hosted::store_era::Fence;
 use workshold_platform::store::Joined;
 use workshold_platform::store::StoreError;
 use workshold_protocol::Millis;
--- a/crates/workshold-gateway/src/tasks/asking.rs
+++ b/crates/workshold-gateway/src/tasks/long_poll.rs
@@ -1,11 +1,11 @@
 //! Asking the store for the configuration and the list until it answers: what
-//! [`workshold_core::hosted::asking`] decides, done with connections.
+//! [`workshold_core::hosted::long_poll`] decides, done with connections.
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use workshold_core::hosted::asking::LongPollRules;
-use workshold_core::hosted::asking::PollRound;
-use workshold_core::hosted::history::LogPosition;
+use workshold_core::hosted::long_poll::LongPollRules;
+use workshold_core::hosted::long_poll::PollRound;
+use workshold_core::hosted::store_era::LogPosition;
 use workshold_http::client::CallError;
 use workshold_platform::names;
 use workshold_platform::store::Answer;
--- a/crates/workshold-gateway/src/tasks/probing.rs
+++ b/crates/workshold-gateway/src/tasks/probing.rs
@@ -88,8 +88,8 @@
     if addresses.is_empty() {
         return OtherProbes::Nobody;
     }
-    let tries = addresses.iter().map(|address| Box::pin(is_there(address)));
-    let answer = select_ok(tries).await;
+    let retry_policy = addresses.iter().map(|address| Box::pin(is_there(address)));
+    let answer = select_ok(retry_policy).await;
     if answer.is_ok() { OtherProbes::Answer } else { OtherProbes::Silent }
 }
 
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -9,7 +9,6 @@
 
 use parking_lot::Mutex;
 use smol_str::SmolStr;
-use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::partition_lease::HandoverTimings;
 use workshold_core::hosted::roster::Entry;
@@ -17,6 +16,7 @@
 use workshold_core::hosted::steward::Order;
 use workshold_core::hosted::steward::OrderReply;
 use workshold_core::hosted::steward::Steward;
+use workshold_core::hosted::store_era::Fence;
 use workshold_platform::engines;
 use workshold_protocol::Millis;
 
--- a/crates/workshold-gateway/tests/catalogues.rs
+++ b/crates/workshold-gateway/tests/catalogues.rs
@@ -85,8 +85,11 @@
         for is_reader in [true, false] {
             let (config, list) =
                 (settings.config_poll_rules(is_reader), settings.list_poll_rules(is_reader));
-            for asking in [config, list] {
-                assert!(asking.max_delay() + Millis(300) <= Millis(bound), "{bound}: {asking:?}");
+            for long_poll in [config, list] {
+                assert!(
+                    long_poll.max_delay() + Millis(300) <= Millis(bound),
+                    "{bound}: {long_poll:?}"
+                );
             }
         }
     }
--- a/crates/workshold-gateway/tests/followers.rs
+++ b/crates/workshold-gateway/tests/followers.rs
@@ -16,18 +16,18 @@
 use rstest::rstest;
 use smol_str::SmolStr;
 use tokio::net::UdpSocket;
-use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::serving_config::Limits;
 use workshold_core::hosted::serving_config::ServingConfig;
+use workshold_core::hosted::store_era::LogPosition;
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::Datagram;
 use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::peers::LIST_TROUBLE_MAX_AGE_MS;
 use workshold_gateway::peers::Message;
 use workshold_gateway::peers::VERSION;
-use workshold_gateway::tasks::asking::Topic;
 use workshold_gateway::tasks::following;
 use workshold_gateway::tasks::gossip;
+use workshold_gateway::tasks::long_poll::Topic;
 use workshold_protocol::Millis;
 
 /// Beyond this many other nodes, most go by what a few read.
--- a/crates/workshold-gateway/tests/leases.rs
+++ b/crates/workshold-gateway/tests/leases.rs
@@ -8,9 +8,9 @@
 mod common;
 
 use rstest::rstest;
-use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::partition_lease::HandoverTimings;
+use workshold_core::hosted::store_era::Era;
+use workshold_core::hosted::store_era::Fence;
 use workshold_gateway::node::Node;
 use workshold_gateway::tasks::leasing;
 use workshold_platform::store::Answer;
--- a/crates/workshold-gateway/tests/platform/limits.rs
+++ b/crates/workshold-gateway/tests/platform/limits.rs
@@ -69,13 +69,13 @@
     is_over: Arc<AtomicBool>,
     served: Arc<AtomicUsize>,
 ) {
-    let mut asking = JoinSet::new();
+    let mut long_poll = JoinSet::new();
     for turn in 0.. {
         if is_over.load(Ordering::Relaxed) {
             break;
         }
         let served = Arc::clone(&served);
-        asking.spawn(async move {
+        long_poll.spawn(async move {
             let req = caller::request(&format!("{node}-{turn}"), path, "k1");
             let answer = caller::send(node, req).await;
             if answer.is_ok_and(|(res, _)| res.status() == 200) {
@@ -84,7 +84,7 @@
         });
         tokio::time::sleep(PAUSE).await;
     }
-    asking.join_all().await;
+    long_poll.join_all().await;
 }
 
 fn head(deployment: &Deployment) -> &StandInInstance {
--- a/crates/workshold-gateway/tests/platform/resting.rs
+++ b/crates/workshold-gateway/tests/platform/resting.rs
@@ -43,12 +43,12 @@
 /// Asks a node for so long; how many were served.
 async fn ask_for(node: &TestNode, lasts: Duration, path: &'static str) -> usize {
     let began = Instant::now();
-    let mut asking = JoinSet::new();
+    let mut long_poll = JoinSet::new();
     while began.elapsed() < lasts {
-        asking.spawn(ask_at(node.callers, path));
+        long_poll.spawn(ask_at(node.callers, path));
         tokio::time::sleep(PAUSE).await;
     }
-    asking.join_all().await.into_iter().filter(|(status, _)| *status == 200).count()
+    long_poll.join_all().await.into_iter().filter(|(status, _)| *status == 200).count()
 }
 
 /// Asks a node once: the status and in how many seconds to come back.
--- a/crates/workshold-model/src/groups.rs
+++ b/crates/workshold-model/src/groups.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use workshold_core::gate::GroupReadinessRules;
-use workshold_core::listing::InstanceList;
+use workshold_core::group_readiness::GroupReadinessRules;
+use workshold_core::instance_list::InstanceList;
 use workshold_core::repair::Expectations;
 use workshold_core::state::State;
 use workshold_core::steward::StewardRules;
@@ -151,7 +151,7 @@
             _ => RELEASE_WAIT,
         };
         StewardRules {
-            gate: self.gate(),
+            group_readiness: self.group_readiness(),
             release_wait,
             member_grace: Millis(1),
             gone_after: Millis(1_000),
@@ -166,7 +166,7 @@
         }
     }
 
-    fn gate(&self) -> GroupReadinessRules {
+    fn group_readiness(&self) -> GroupReadinessRules {
         GroupReadinessRules { report_ttl: REPORT_TTL }
     }
 
@@ -252,7 +252,7 @@
     /// The groups that a node would send work to.
     fn serving(&self, n: usize) -> Vec<(GroupId, u64, Vec<InstanceId>)> {
         let leaving = self.leaving_set();
-        self.nodes[n].serving(&leaving, self.now, self.gate(), self.mutation)
+        self.nodes[n].serving(&leaving, self.now, self.group_readiness(), self.mutation)
     }
 
     fn send(&mut self, n: usize) {
@@ -338,7 +338,8 @@
     /// answers are under way.
     fn hold(&mut self, n: usize) {
         if self.nodes[n].is_far {
-            let group_observations = self.nodes[0].group_observations(self.now, self.gate());
+            let group_observations =
+                self.nodes[0].group_observations(self.now, self.group_readiness());
             self.nodes[n].hold_vouchers(group_observations, self.now);
         } else {
             self.nodes[n].hold(&self.instances, self.now);
@@ -348,7 +349,8 @@
     /// The same, answered at once.
     fn hear(&mut self, n: usize) {
         if self.nodes[n].is_far {
-            let group_observations = self.nodes[0].group_observations(self.now, self.gate());
+            let group_observations =
+                self.nodes[0].group_observations(self.now, self.group_readiness());
             self.nodes[n].take_vouchers(group_observations);
         } else {
             self.nodes[n].probe(&self.instances, self.now, self.mutation);
--- a/crates/workshold-model/src/groups/node.rs
+++ b/crates/workshold-model/src/groups/node.rs
@@ -6,17 +6,17 @@
 use std::sync::Arc;
 
 use workshold_core::fleet::Group;
-use workshold_core::gate;
-use workshold_core::gate::GroupReadinessRules;
-use workshold_core::listing::InstanceList;
+use workshold_core::group_readiness;
+use workshold_core::group_readiness::GroupReadinessRules;
+use workshold_core::instance_list::InstanceList;
+use workshold_core::observation::GroupObservation;
+use workshold_core::observation::Observations;
 use workshold_core::state::State;
 use workshold_core::steward;
 use workshold_core::steward::Plan;
 use workshold_core::steward::StewardRules;
 use workshold_core::steward::StewardTimers;
 use workshold_core::steward::View;
-use workshold_core::witness::GroupObservation;
-use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::InstanceId;
@@ -142,12 +142,13 @@
     ) -> Vec<(GroupId, GroupObservation)> {
         let leaving = BTreeSet::new();
         let groups = self.state.get().fleet.groups();
-        let serving = groups
-            .filter(|g| gate::check_group(g, &self.observations, &leaving, now, rules).is_ok());
+        let serving = groups.filter(|g| {
+            group_readiness::check_group(g, &self.observations, &leaving, now, rules).is_ok()
+        });
         let group_observation = |group: &Group| {
             let members = group.members.iter();
             let reports = members.filter_map(|member| self.observations.get(&member.instance));
-            let true_since = reports.map(|witness| witness.true_since).min()?;
+            let true_since = reports.map(|observation| observation.true_since).min()?;
             let (fence, load_since) = (group.fence, true_since);
             let group_observation =
                 GroupObservation { fence, true_since, load_since, reported: 0, slots: 1 };
@@ -217,16 +218,20 @@
             Some(Mutation::IgnoreIncarnation) => {
                 let mut group = (*group).clone();
                 for member in &mut group.members {
-                    if let Some(witness) = self.observations.get(&member.instance) {
-                        member.incarnation = witness.report.incarnation;
+                    if let Some(observation) = self.observations.get(&member.instance) {
+                        member.incarnation = observation.report.incarnation;
                     }
                 }
-                gate::check_group(&group, &self.observations, leaving, now, rules).is_ok()
+                group_readiness::check_group(&group, &self.observations, leaving, now, rules)
+                    .is_ok()
             }
             _ if self.is_far => {
-                gate::check_remote_group(group, &self.observations, leaving, now, rules).is_ok()
+                group_readiness::check_remote_group(group, &self.observations, leaving, now, rules)
+                    .is_ok()
+            }
+            _ => {
+                group_readiness::check_group(group, &self.observations, leaving, now, rules).is_ok()
             }
-            _ => gate::check_group(group, &self.observations, leaving, now, rules).is_ok(),
         });
         groups
             .map(|group| {
--- a/crates/workshold-model/src/hosted/copies.rs
+++ b/crates/workshold-model/src/hosted/copies.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
-use workshold_core::hosted::history::Era;
-use workshold_core::hosted::history::Fence;
-use workshold_core::hosted::history::LogPosition;
 use workshold_core::hosted::roster::Instance;
+use workshold_core::hosted::store_era::Era;
+use workshold_core::hosted::store_era::Fence;
+use workshold_core::hosted::store_era::LogPosition;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::InstanceId;
 
--- a/crates/workshold-model/src/hosted/office.rs
+++ b/crates/workshold-model/src/hosted/office.rs
@@ -7,7 +7,6 @@
 
 use workshold_core::hosted::groups;
 use workshold_core::hosted::groups::Group;
-use workshold_core::hosted::history::Fence;
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::partition_lease::HandoverTimings;
 use workshold_core::hosted::partition_lease::PartitionLease;
@@ -24,6 +23,7 @@
 use workshold_core::hosted::steward::OrderReply;
 use workshold_core::hosted::steward::Steward;
 use workshold_core::hosted::steward::StewardRules;
+use workshold_core::hosted::store_era::Fence;
 use workshold_core::hosted::suspicion::Loss;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::FabricDomain;
--- a/crates/workshold-model/src/once.rs
+++ b/crates/workshold-model/src/once.rs
@@ -1,10 +1,10 @@
 //! The world of one idempotency key: two callers, two nodes, the log, one service.
 
+use workshold_core::at_most_once;
+use workshold_core::at_most_once::KeyAction;
+use workshold_core::at_most_once::KeyProgress;
 use workshold_core::keys::KeyStatus;
 use workshold_core::keys::Keys;
-use workshold_core::once;
-use workshold_core::once::KeyAction;
-use workshold_core::once::KeyProgress;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::Incarnation;
 use workshold_protocol::ids::KeyDigest;
@@ -158,7 +158,7 @@
         let keys = self.keys(i);
         let status = keys.status(&key(), KEY_TIME, &request());
         let (me, life) = (name(i), Incarnation(self.nodes[i].life));
-        let step = once::next(&status, (&me, life), self.nodes[i].local);
+        let step = at_most_once::next(&status, (&me, life), self.nodes[i].local);
         let step = self.mutated(i, &status, step);
         let node = &mut self.nodes[i];
         match step {
--- a/crates/workshold-model/src/streams.rs
+++ b/crates/workshold-model/src/streams.rs
@@ -1,10 +1,10 @@
 //! The world of one streamed answer: attempts that break, overlap and speak late.
 
-use workshold_core::course::End;
-use workshold_core::course::Event;
-use workshold_core::course::Next;
-use workshold_core::course::Repeatability;
-use workshold_core::course::RequestLifecycle;
+use workshold_core::lifecycle::End;
+use workshold_core::lifecycle::Event;
+use workshold_core::lifecycle::Next;
+use workshold_core::lifecycle::Repeatability;
+use workshold_core::lifecycle::RequestLifecycle;
 use workshold_protocol::Millis;
 
 use crate::checker::Promise;
@@ -33,7 +33,7 @@
 pub struct StreamWorld {
     mutation: Option<Mutation>,
     repeatability: Repeatability,
-    course: RequestLifecycle,
+    lifecycle: RequestLifecycle,
     attempts: Vec<Attempt>,
     /// Tokens that the caller has, by the attempt and place that they came from.
     caller: Vec<(u32, u32)>,
@@ -63,12 +63,12 @@
 impl StreamWorld {
     /// A request before its first attempt.
     pub fn new(repeatability: Repeatability, mutation: Option<Mutation>) -> Self {
-        let course = RequestLifecycle::new(repeatability, Millis(10), MAX_ATTEMPTS);
+        let lifecycle = RequestLifecycle::new(repeatability, Millis(10), MAX_ATTEMPTS);
         let first = Attempt { number: 1, from: 0, heard: 0, is_cut: false, was_sent: false };
         Self {
             mutation,
             repeatability,
-            course,
+            lifecycle,
             attempts: vec![first],
             caller: Vec::new(),
             told: None,
@@ -85,18 +85,18 @@
             (Some(Mutation::CallBrokenNotRun), Event::Broken) => Event::RefusedBeforeStart,
             (_, event) => event,
         };
-        let mut next = self.course.on(attempt, event, Millis(1), || true);
+        let mut next = self.lifecycle.on(attempt, event, Millis(1), || true);
         let is_over = matches!(next, Next::Finish(End::Unknown(_)));
         if self.mutation == Some(Mutation::RetryBroken) && event == Event::Broken && is_over {
             // The rule that is broken: it is sent again all the same.
             next = Next::TryAgain(attempt + 1);
-            self.course = RequestLifecycle::new(self.repeatability, Millis(10), MAX_ATTEMPTS);
+            self.lifecycle = RequestLifecycle::new(self.repeatability, Millis(10), MAX_ATTEMPTS);
         }
         match next {
             Next::Finish(end) => self.told = Some(end),
             Next::TryAgain(number) => self.attempts.push(Attempt {
                 number,
-                from: self.course.tokens(),
+                from: self.lifecycle.tokens(),
                 heard: 0,
                 is_cut: false,
                 was_sent: false,
@@ -126,7 +126,7 @@
         };
         if index < TOKENS {
             let merged = self.mutation == Some(Mutation::MergeAttempts) && self.told.is_none();
-            if self.course.accept_token(as_number, index) || merged {
+            if self.lifecycle.accept_token(as_number, index) || merged {
                 self.caller.push((attempt.number, index));
             }
         } else {
@@ -136,7 +136,7 @@
 
     /// The engine says that it is done, with so many tokens in all.
     fn end_of(&mut self, number: u32, said: u32) {
-        let is_whole = said == self.course.tokens();
+        let is_whole = said == self.lifecycle.tokens();
         let takes_any = self.mutation == Some(Mutation::TakeAnyEndForWhole);
         let event = if is_whole || takes_any { Event::Done } else { Event::Broken };
         self.on(number, event);
@@ -175,7 +175,7 @@
                     w.on(number, Event::Broken);
                 }),
             ));
-            if self.course.tokens() < TOKENS {
+            if self.lifecycle.tokens() < TOKENS {
                 moves.push((Move::EndEarly, self.with(|w| w.end_of(number, TOKENS))));
             }
         } else {
--- a/crates/workshold-model/src/suite.rs
+++ b/crates/workshold-model/src/suite.rs
@@ -1,6 +1,6 @@
 //! The searches that the tests and `scripts/check-model` run.
 
-use workshold_core::course::Repeatability;
+use workshold_core::lifecycle::Repeatability;
 
 use crate::bundles;
 use crate::bundles::BundleWorld;
--- a/crates/workshold-node/src/callers/at_most_once.rs
+++ b/crates/workshold-node/src/callers/at_most_once.rs
@@ -11,11 +11,11 @@
 use hyper::Response;
 use tokio::sync::oneshot;
 use tokio::sync::watch;
+use workshold_core::at_most_once;
+use workshold_core::at_most_once::KeyAction;
+use workshold_core::at_most_once::KeyProgress;
 use workshold_core::keys::Owner;
 use workshold_core::keys::key_time;
-use workshold_core::once;
-use workshold_core::once::KeyAction;
-use workshold_core::once::KeyProgress;
 use workshold_http::Body;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::KeyDigest;
@@ -160,7 +160,7 @@
     answer
 }
 
-/// A step of [`once`] that owns what it names.
+/// A step of [`at_most_once`] that owns what it names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Decided {
     Record,
@@ -174,7 +174,7 @@
 fn decide(node: &Node, keyed: &Keyed, local: KeyProgress) -> Decided {
     let decided = node.with_state(|state| {
         let status = state.keys.status(&keyed.key, keyed.time, &keyed.call.request);
-        match once::next(&status, (node.name(), node.incarnation), local) {
+        match at_most_once::next(&status, (node.name(), node.incarnation), local) {
             KeyAction::Record => Decided::Record,
             KeyAction::Run => Decided::Run,
             KeyAction::AskOwner(owner) => Decided::AskOwner(owner.clone()),
--- a/crates/workshold-node/src/callers/completions.rs
+++ b/crates/workshold-node/src/callers/completions.rs
@@ -13,7 +13,7 @@
 use serde::Deserialize;
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
-use workshold_core::course::Repeatability;
+use workshold_core::lifecycle::Repeatability;
 use workshold_core::prefix::PrefixChain;
 use workshold_http::Body;
 use workshold_http::body;
--- a/crates/workshold-node/src/callers/generation.rs
+++ b/crates/workshold-node/src/callers/generation.rs
@@ -10,11 +10,11 @@
 use uuid::Uuid;
 use workshold_core::admission::Arrival;
 use workshold_core::admission::Priority;
-use workshold_core::course::End;
-use workshold_core::course::Event;
-use workshold_core::course::Next;
-use workshold_core::course::Repeatability;
-use workshold_core::course::RequestLifecycle;
+use workshold_core::lifecycle::End;
+use workshold_core::lifecycle::Event;
+use workshold_core::lifecycle::Next;
+use workshold_core::lifecycle::Repeatability;
+use workshold_core::lifecycle::RequestLifecycle;
 use workshold_core::prefix::PrefixChain;
 use workshold_core::retry::RetryBudget;
 use workshold_core::retry::RetryRules;
@@ -112,14 +112,14 @@
         group: None,
         since: node.now(),
     });
-    let course =
+    let lifecycle =
         RequestLifecycle::new(job.repeatability, job.deadline, RetryRules::default().max_attempts);
     let mut run = Run {
         node: &node,
         job: &job,
         tx: &tx,
         guard,
-        course,
+        lifecycle,
         generated: Vec::new(),
         placed: None,
         turn: None,
@@ -135,7 +135,7 @@
     job: &'a Job,
     tx: &'a mpsc::Sender<Piece>,
     guard: InFlightGuard<'a>,
-    course: RequestLifecycle,
+    lifecycle: RequestLifecycle,
     generated: Vec<String>,
     /// The stream that the caller was last told of.
     placed: Option<Uuid>,
@@ -156,9 +156,9 @@
                 Ended::By(event) => event,
                 Ended::CallerGone => return None,
             };
-            let (attempt, now) = (self.course.attempt(), self.node.now());
+            let (attempt, now) = (self.lifecycle.attempt(), self.node.now());
             let (node, job) = (self.node, self.job);
-            match self.course.on(attempt, event, now, || may_retry(node, job)) {
+            match self.lifecycle.on(attempt, event, now, || may_retry(node, job)) {
                 Next::Finish(end) => return Some(end),
                 Next::TryAgain(next) => self.before_retry(next, event).await,
                 Next::GoOn => {}
@@ -186,7 +186,7 @@
     /// Finds a group, or waits for one.
     async fn place(&mut self) -> Result<Box<ServingGroup>, Event> {
         let now = self.node.now();
-        if now >= self.course.deadline() {
+        if now >= self.lifecycle.deadline() {
             return Err(Event::DeadlinePassed);
         }
         let draw = rand::random::<f64>();
@@ -207,12 +207,12 @@
 
     fn ask_for_place(&self, now: Millis, draw: f64) -> Option<Placed> {
         self.with_desk(|desk, view| {
-            let reserve = desk.service_time().0.min(self.course.deadline().since(now).0 / 2);
+            let reserve = desk.service_time().0.min(self.lifecycle.deadline().since(now).0 / 2);
             let arrival = Arrival {
                 team: &self.job.team,
                 share: self.job.share,
                 priority: self.job.priority,
-                start_by: self.course.deadline() - Millis(reserve),
+                start_by: self.lifecycle.deadline() - Millis(reserve),
                 draw,
             };
             desk.place(view, &self.job.chain, &arrival)
@@ -246,8 +246,8 @@
                 return ended;
             }
         };
-        let (attempt, now) = (self.course.attempt(), self.node.now());
-        if let Next::Finish(_) = self.course.on(attempt, Event::Sending, now, || false) {
+        let (attempt, now) = (self.lifecycle.attempt(), self.node.now());
+        if let Next::Finish(_) = self.lifecycle.on(attempt, Event::Sending, now, || false) {
             let ended = Ended::By(Event::DeadlinePassed);
             self.give_back(&talk.group, &ended, None, talk.started);
             return ended;
@@ -257,7 +257,7 @@
         let ended = self.relay(&mut talks, &mut first_token).await;
         self.give_turn_back();
         let is_done = matches!(ended, Ended::By(Event::Done));
-        let is_wanted = is_done || self.course.tokens() == 0 && talks.len() == 1;
+        let is_wanted = is_done || self.lifecycle.tokens() == 0 && talks.len() == 1;
         for talk in &talks {
             if !is_wanted || matches!(ended, Ended::CallerGone) {
                 cancel(talk.group.address.clone(), talk.stream);
@@ -284,7 +284,7 @@
         let req =
             client::request(&group.address, Method::POST, "/engine/generate", Some(&generate));
         // Whoever listens keeps to the deadline.
-        let left = self.course.deadline().since(now).to_duration() + CONNECT_TIME;
+        let left = self.lifecycle.deadline().since(now).to_duration() + CONNECT_TIME;
         let opening = Box::pin(connected.send(req, left));
         let silence = self.node.settings.times.upstream_silence.to_duration();
         Ok(Talk::new(group, stream, started, opening, silence))
@@ -331,7 +331,7 @@
     /// silent another one is asked; whichever speaks first has the answer.
     async fn relay(&mut self, talks: &mut Vec<Talk>, first_token: &mut Option<Millis>) -> Ended {
         loop {
-            let left = self.course.deadline().since(self.node.now());
+            let left = self.lifecycle.deadline().since(self.node.now());
             if left == Millis::ZERO {
                 return Ended::By(Event::DeadlinePassed);
             }
@@ -348,7 +348,7 @@
             let Ok((who, heard)) = heard else { return Ended::By(Event::DeadlinePassed) };
             let event = match heard {
                 Heard::Event(TokenEvent::Token { index, text }) => {
-                    if self.course.accept_token(self.course.attempt(), index) {
+                    if self.lifecycle.accept_token(self.lifecycle.attempt(), index) {
                         self.give_turn_back();
                         self.choose(talks, who, first_token);
                         first_token.get_or_insert_with(|| self.node.now());
@@ -358,7 +358,7 @@
                     }
                     continue;
                 }
-                Heard::Event(TokenEvent::Done { tokens }) if tokens == self.course.tokens() => {
+                Heard::Event(TokenEvent::Done { tokens }) if tokens == self.lifecycle.tokens() => {
                     self.choose(talks, who, first_token);
                     return Ended::By(Event::Done);
                 }
@@ -408,7 +408,7 @@
     /// Looks for another engine beside the one that is silent, or waits for its turn at one.
     async fn ask_another(&mut self, talks: &mut Vec<Talk>) {
         let now = self.node.now();
-        if self.turn.is_some() || !self.course.may_try_again(now) {
+        if self.turn.is_some() || !self.lifecycle.may_try_again(now) {
             return;
         }
         let silent = &talks[0].group.group;
@@ -431,16 +431,16 @@
                 return;
             }
         };
-        let (attempt, now) = (self.course.attempt(), self.node.now());
+        let (attempt, now) = (self.lifecycle.attempt(), self.node.now());
         let is_other = began.group.group != talks[0].group.group;
-        let may_try = is_other && self.course.may_try_again(now);
+        let may_try = is_other && self.lifecycle.may_try_again(now);
         if !may_try || !may_retry(self.node, self.job) {
             self.give_back(&began.group, &Ended::CallerGone, None, began.started);
             return;
         }
         self.note_failed("Silent");
-        if let Next::TryAgain(next) = self.course.on(attempt, Event::Broken, now, || true) {
-            self.course.on(next, Event::Sending, now, || false);
+        if let Next::TryAgain(next) = self.lifecycle.on(attempt, Event::Broken, now, || true) {
+            self.lifecycle.on(next, Event::Sending, now, || false);
         }
         talks.push(began);
     }
@@ -500,7 +500,7 @@
             }
             Some(End::Answered) => {
                 counters.answered.add(1);
-                let _ = self.tell(Piece::Done { tokens: self.course.tokens() }).await;
+                let _ = self.tell(Piece::Done { tokens: self.lifecycle.tokens() }).await;
                 return;
             }
             Some(End::NotRun(code)) => {
@@ -522,11 +522,15 @@
     }
 
     fn detail(&self) -> String {
-        format!("after {} attempt(s) and {} token(s)", self.course.attempt(), self.course.tokens())
+        format!(
+            "after {} attempt(s) and {} token(s)",
+            self.lifecycle.attempt(),
+            self.lifecycle.tokens()
+        )
     }
 
     fn charge(&self) {
-        let (now, tokens) = (self.node.now(), f64::from(self.course.tokens()));
+        let (now, tokens) = (self.node.now(), f64::from(self.lifecycle.tokens()));
         if let Some(bundle) = self.node.bundle() {
             self.node.with_team(&self.job.team, &bundle, |desk| desk.tokens.charge(tokens, now));
         }
--- a/crates/workshold-node/src/callers/plain.rs
+++ b/crates/workshold-node/src/callers/plain.rs
@@ -16,11 +16,11 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HOST;
 use tokio::time::timeout;
-use workshold_core::course::End;
-use workshold_core::course::Event;
-use workshold_core::course::Next;
-use workshold_core::course::Repeatability;
-use workshold_core::course::RequestLifecycle;
+use workshold_core::lifecycle::End;
+use workshold_core::lifecycle::Event;
+use workshold_core::lifecycle::Next;
+use workshold_core::lifecycle::Repeatability;
+use workshold_core::lifecycle::RequestLifecycle;
 use workshold_core::outlier::OutlierDetector;
 use workshold_core::outlier::OutlierRules;
 use workshold_core::retry::RetryRules;
@@ -216,28 +216,28 @@
         group: None,
         since: node.now(),
     });
-    let mut course = RequestLifecycle::new(
+    let mut lifecycle = RequestLifecycle::new(
         call.repeatability,
         call.deadline,
         RetryRules::default().max_attempts,
     );
     let mut tried = BTreeSet::new();
     loop {
-        let attempt = course.attempt();
-        let (event, answer) = attempt_one(node, &call, &mut course, &mut tried).await;
+        let attempt = lifecycle.attempt();
+        let (event, answer) = attempt_one(node, &call, &mut lifecycle, &mut tried).await;
         let budget = || may_retry(node, &call);
-        match course.on(attempt, event, node.now(), budget) {
+        match lifecycle.on(attempt, event, node.now(), budget) {
             Next::Finish(End::Answered) => {
                 node.counters.answered.add(1);
                 return answer.ok_or_else(|| Problem::unknown(Code::UpstreamFailed, "no answer"));
             }
             Next::Finish(End::NotRun(code)) => {
                 node.counters.not_run.add(1);
-                return Err(Problem::not_run(code, detail(&course)).retry_after(RETRY_AFTER));
+                return Err(Problem::not_run(code, detail(&lifecycle)).retry_after(RETRY_AFTER));
             }
             Next::Finish(End::Unknown(code)) => {
                 node.counters.unknown.add(1);
-                return Err(Problem::unknown(code, detail(&course)));
+                return Err(Problem::unknown(code, detail(&lifecycle)));
             }
             Next::TryAgain(_) => node.counters.retries.add(1),
             Next::GoOn => {}
@@ -247,8 +247,8 @@
 
 const RETRY_AFTER: Millis = Millis(2_000);
 
-fn detail(course: &RequestLifecycle) -> String {
-    format!("after {} attempt(s)", course.attempt())
+fn detail(lifecycle: &RequestLifecycle) -> String {
+    format!("after {} attempt(s)", lifecycle.attempt())
 }
 
 fn may_retry(node: &Node, call: &Call) -> bool {
@@ -260,7 +260,7 @@
 async fn attempt_one(
     node: &Arc<Node>,
     call: &Call,
-    course: &mut RequestLifecycle,
+    lifecycle: &mut RequestLifecycle,
     tried: &mut BTreeSet<InstanceId>,
 ) -> (Event, Option<StoredAnswer>) {
     let started = node.now();
@@ -269,7 +269,7 @@
     };
     tried.insert(chosen.instance.clone());
     let left = call.deadline.since(started).to_duration();
-    let talked = timeout(left, talk(node, call, course, &chosen.address)).await;
+    let talked = timeout(left, talk(node, call, lifecycle, &chosen.address)).await;
     let (event, answer) = talked.unwrap_or((Event::DeadlinePassed, None));
     let now = node.now();
     node.services.with(&call.service, ServiceDesk::default, |desk| {
@@ -301,14 +301,14 @@
 async fn talk(
     node: &Node,
     call: &Call,
-    course: &mut RequestLifecycle,
+    lifecycle: &mut RequestLifecycle,
     address: &str,
 ) -> (Event, Option<StoredAnswer>) {
     let Ok(connected) = client::connect(address, CONNECT_TIME).await else {
         return (Event::ConnectFailed, None);
     };
-    let attempt = course.attempt();
-    if let Next::Finish(_) = course.on(attempt, Event::Sending, node.now(), || false) {
+    let attempt = lifecycle.attempt();
+    if let Next::Finish(_) = lifecycle.on(attempt, Event::Sending, node.now(), || false) {
         return (Event::DeadlinePassed, None);
     }
     let left = call.deadline.since(node.now()).to_duration();
--- a/crates/workshold-node/src/dump.rs
+++ b/crates/workshold-node/src/dump.rs
@@ -244,14 +244,15 @@
         let observations = node.observations.read();
         engines
             .map(|(listed, domain)| {
-                let witness = observations.get(&listed.instance);
-                let says = witness.and_then(|witness| witness.report.membership.as_ref());
+                let observation = observations.get(&listed.instance);
+                let says =
+                    observation.and_then(|observation| observation.report.membership.as_ref());
                 InstanceRow {
                     instance: listed.instance.clone(),
                     domain: domain.to_string(),
                     claimed_by: state.fleet.claim_of(&listed.instance).cloned(),
                     says: says.map(|own| format!("{} ({:?})", own.group, own.readiness)),
-                    report_age_ms: witness.map(|witness| now.since(witness.true_since)),
+                    report_age_ms: observation.map(|observation| now.since(observation.true_since)),
                     leaving: listed.leaving,
                     stopping: state.fleet.is_stopping(&listed.instance),
                 }
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -13,17 +13,17 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 use workshold_core::authority::Authority;
+use workshold_core::instance_list::InstanceList;
 use workshold_core::limits::TeamRateLimiter;
 use workshold_core::limits::TeamRateRules;
-use workshold_core::listing::InstanceList;
 use workshold_core::membership::ClusterMembership;
 use workshold_core::membership::EntryAddress;
+use workshold_core::observation::Observations;
 use workshold_core::replay::Replay;
 use workshold_core::retry::RetryBudget;
 use workshold_core::retry::RetryRules;
 use workshold_core::state::State;
 use workshold_core::steward::Decision;
-use workshold_core::witness::Observations;
 use workshold_protocol::Clock;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
@@ -412,8 +412,10 @@
             .observations
             .read()
             .iter()
-            .filter(|(_, witness)| witness.is_fresh(now, ttl))
-            .filter_map(|(_, witness)| witness.report.membership.as_ref().map(|own| own.fence))
+            .filter(|(_, observation)| observation.is_fresh(now, ttl))
+            .filter_map(|(_, observation)| {
+                observation.report.membership.as_ref().map(|own| own.fence)
+            })
             .max();
         let mut lasting = self.lasting.write();
         let next = lasting.replay.as_ref().map_or(Offset(0), |replay| replay.state().next());
--- a/crates/workshold-node/src/serving.rs
+++ b/crates/workshold-node/src/serving.rs
@@ -8,12 +8,12 @@
 
 use serde::Serialize;
 use workshold_core::fleet::Group;
-use workshold_core::gate;
-use workshold_core::gate::GroupNotReady;
-use workshold_core::gate::GroupReadinessRules;
-use workshold_core::listing::InstanceList;
+use workshold_core::group_readiness;
+use workshold_core::group_readiness::GroupNotReady;
+use workshold_core::group_readiness::GroupReadinessRules;
+use workshold_core::instance_list::InstanceList;
+use workshold_core::observation::Observations;
 use workshold_core::state::State;
-use workshold_core::witness::Observations;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
 use workshold_protocol::ids::Fence;
@@ -131,7 +131,7 @@
         let basis = if is_remote {
             self.vouched(group, leaving)?
         } else {
-            gate::check_group(group, self.observations, leaving, self.now, self.rules)?;
+            group_readiness::check_group(group, self.observations, leaving, self.now, self.rules)?;
             self.reported(group).ok_or_else(unseen)?
         };
         Ok(ServingGroup {
@@ -154,7 +154,7 @@
     fn reported(&self, group: &Group) -> Option<Basis> {
         let members = group.members.iter();
         let reports = members.map(|member| self.observations.get(&member.instance));
-        let oldest = reports.map(|witness| witness.map(|w| w.true_since)).min()??;
+        let oldest = reports.map(|observation| observation.map(|w| w.true_since)).min()??;
         let head = self.observations.get(&group.head().instance)?;
         Some(Basis {
             proved_since: oldest,
@@ -170,8 +170,13 @@
         group: &Group,
         leaving: &BTreeSet<InstanceId>,
     ) -> Result<Basis, GroupNotReady> {
-        let group_observation =
-            gate::check_remote_group(group, self.observations, leaving, self.now, self.rules)?;
+        let group_observation = group_readiness::check_remote_group(
+            group,
+            self.observations,
+            leaving,
+            self.now,
+            self.rules,
+        )?;
         Ok(Basis {
             proved_since: group_observation.true_since,
             load_since: group_observation.load_since,
--- a/crates/workshold-node/src/settings.rs
+++ b/crates/workshold-node/src/settings.rs
@@ -8,7 +8,7 @@
 
 use serde::Deserialize;
 use workshold_core::checkpointing::LogMaintenanceRules;
-use workshold_core::gate::GroupReadinessRules;
+use workshold_core::group_readiness::GroupReadinessRules;
 use workshold_core::membership::MembershipRules;
 use workshold_core::repair::Expectations;
 use workshold_core::steward::StewardRules;
@@ -373,7 +373,7 @@
     /// What a steward keeps to.
     pub fn steward_rules(&self) -> StewardRules {
         StewardRules {
-            gate: self.group_readiness_rules(),
+            group_readiness: self.group_readiness_rules(),
             release_wait: self.times.report_ttl + self.times.clock_error,
             member_grace: self.times.member_grace,
             gone_after: self.times.gone_after,
--- a/crates/workshold-node/src/tasks/listing.rs
+++ b/crates/workshold-node/src/tasks/listing.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use workshold_core::listing::InstanceList;
+use workshold_core::instance_list::InstanceList;
 use workshold_http::client;
 use workshold_protocol::report::ListedInstance;
 
--- a/crates/workshold-node/src/tasks/peers.rs
+++ b/crates/workshold-node/src/tasks/peers.rs
@@ -5,7 +5,7 @@
 
 use displaydoc::Display;
 use tokio::task::JoinSet;
-use workshold_core::witness::GroupObservation;
+use workshold_core::observation::GroupObservation;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
 use workshold_protocol::ids::NodeId;
@@ -153,13 +153,13 @@
     probed
         .iter()
         .filter_map(|instance| {
-            let witness = observations.fresh(instance, now, ttl)?;
+            let observation = observations.fresh(instance, now, ttl)?;
             // The lag is in the report and is taken off again by who takes it.
-            let sent = witness.true_since + witness.report.lag;
+            let sent = observation.true_since + observation.report.lag;
             Some(AgedReport {
                 instance: instance.clone(),
                 age: now.since(sent),
-                report: witness.report.clone(),
+                report: observation.report.clone(),
             })
         })
         .collect()
