--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -12,13 +12,13 @@
 use workshold_core::hosted::store_era::Era;
 use workshold_core::hosted::store_era::LogPosition;
 
-use crate::callers::answers;
-use crate::callers::answers::ResponseBody;
+use crate::callers::responses;
+use crate::callers::responses::ResponseBody;
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
-use crate::tasks::following;
 use crate::tasks::gossip;
+use crate::tasks::store_sync;
 
 /// Where operators read a node's state.
 pub const STATE_PATH: &str = "/state";
@@ -33,37 +33,37 @@
 pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     match req.uri().path() {
         gossip::CONFIG_PATH => match node.config_bytes() {
-            Some(bytes) => Response::new(answers::whole(bytes)),
-            None => answers::own(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet"),
+            Some(bytes) => Response::new(responses::whole(bytes)),
+            None => responses::own(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet"),
         },
         gossip::LIST_PATH => list(node, req.uri().query().unwrap_or_default()),
         path if path.starts_with(QUARANTINE_PATH) => release(node, req.method(), path),
-        METRICS_PATH => Response::new(answers::whole(node.metrics.text(node).into())),
-        STATE_PATH => Response::new(answers::whole(state(node).into())),
-        _ => answers::own(StatusCode::NOT_FOUND, "no such question"),
+        METRICS_PATH => Response::new(responses::whole(node.metrics.text(node).into())),
+        STATE_PATH => Response::new(responses::whole(state(node).into())),
+        _ => responses::own(StatusCode::NOT_FOUND, "no such question"),
     }
 }
 
 fn release(node: &Node, method: &Method, path: &str) -> Response<ResponseBody> {
     if method != Method::DELETE {
-        return answers::own(StatusCode::METHOD_NOT_ALLOWED, "DELETE lets a request go");
+        return responses::own(StatusCode::METHOD_NOT_ALLOWED, "DELETE lets a request go");
     }
     let name = path.strip_prefix(QUARANTINE_PATH).unwrap_or_default();
     let Ok(fingerprint) = Fingerprint::parse(name) else {
-        return answers::own(StatusCode::BAD_REQUEST, "a fingerprint is a number in base 16");
+        return responses::own(StatusCode::BAD_REQUEST, "a fingerprint is a number in base 16");
     };
     if !node.release(fingerprint) {
-        return answers::own(StatusCode::NOT_FOUND, "nothing is held against this fingerprint");
+        return responses::own(StatusCode::NOT_FOUND, "nothing is held against this fingerprint");
     }
     emit(Event::RequestReleased, &[("fingerprint", name)]);
-    answers::own(StatusCode::OK, "it is let go, here and soon at all nodes")
+    responses::own(StatusCode::OK, "it is let go, here and soon at all nodes")
 }
 
 fn list(node: &Node, query: &str) -> Response<ResponseBody> {
     let from = query.strip_prefix("from=").and_then(place).unwrap_or_default();
-    let records = following::news(node, from);
+    let records = store_sync::news(node, from);
     let bytes = postcard::to_stdvec(&records).expect("records have only plain fields");
-    Response::new(answers::whole(Bytes::from(bytes)))
+    Response::new(responses::whole(Bytes::from(bytes)))
 }
 
 /// A place as another node writes it: its era, a point, its offset.
--- a/crates/workshold-gateway/src/callers/directory.rs
+++ b/crates/workshold-gateway/src/callers/directory.rs
@@ -12,8 +12,8 @@
 use workshold_platform::face::Question;
 use workshold_platform::names;
 
-use crate::callers::answers;
-use crate::callers::answers::ResponseBody;
+use crate::callers::responses;
+use crate::callers::responses::ResponseBody;
 use crate::node::Node;
 
 /// With fewer nodes than this in a caller's data centre, others are named as well:
@@ -23,15 +23,15 @@
 /// Answers callers who ask which addresses to use.
 pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::RESOLVE_PATH {
-        return answers::own(StatusCode::NOT_FOUND, "no such question");
+        return responses::own(StatusCode::NOT_FOUND, "no such question");
     }
     let question = Question::parse(req.uri().query().unwrap_or_default());
     let addresses = addresses(node, question.data_centre);
     if addresses.is_empty() {
-        return answers::own(StatusCode::SERVICE_UNAVAILABLE, "no node serves now");
+        return responses::own(StatusCode::SERVICE_UNAVAILABLE, "no node serves now");
     }
     let body: Bytes = face::addresses(&addresses, node.settings().addresses_good_s());
-    let mut res = Response::new(answers::whole(body));
+    let mut res = Response::new(responses::whole(body));
     res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     res
 }
@@ -68,10 +68,10 @@
 /// Answers the platform's question whether this node serves.
 pub fn readiness(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::READY_PATH {
-        return answers::own(StatusCode::NOT_FOUND, "no such question");
+        return responses::own(StatusCode::NOT_FOUND, "no such question");
     }
     match node.readiness() {
-        Ok(()) => answers::own(StatusCode::OK, "it serves"),
-        Err(_) => answers::own(StatusCode::SERVICE_UNAVAILABLE, "it does not serve"),
+        Ok(()) => responses::own(StatusCode::OK, "it serves"),
+        Err(_) => responses::own(StatusCode::SERVICE_UNAVAILABLE, "it does not serve"),
     }
 }
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -27,12 +27,12 @@
 use workshold_protocol::ids::ServiceName;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::callers::answers;
-use crate::callers::answers::ResponseBody;
+use crate::callers::responses;
+use crate::callers::responses::ResponseBody;
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
-use crate::relay;
+use crate::proxy;
 
 /// A request that is allowed, and all that is needed to carry it to an upstream.
 #[derive(Debug)]
@@ -94,7 +94,7 @@
     let guard = node.begin_request();
     node.note_traffic();
     let mut res = match prepare(&node, req).await {
-        Ok(job) => relay::run(&node, job, guard).await,
+        Ok(job) => proxy::run(&node, job, guard).await,
         Err(res) => *res,
     };
     if node.is_closing() {
@@ -156,20 +156,20 @@
 }
 
 fn refuse(text: &'static str) -> Box<Response<ResponseBody>> {
-    Box::new(answers::not_run(text, COME_BACK))
+    Box::new(responses::not_run(text, COME_BACK))
 }
 
 /// Others serve: the caller need not wait to go there.
 fn refuse_stopping(id: &str) -> Box<Response<ResponseBody>> {
     let why = "this node is stopping";
     emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
-    Box::new(answers::not_run(why, COME_BACK_ELSEWHERE))
+    Box::new(responses::not_run(why, COME_BACK_ELSEWHERE))
 }
 
 fn deny(id: &str, status: StatusCode, text: &'static str) -> Box<Response<ResponseBody>> {
     let fields = [("request", id), ("why", text), ("status", status.as_str())];
     emit(Event::RequestNotRun, &fields);
-    Box::new(answers::own(status, text))
+    Box::new(responses::own(status, text))
 }
 
 type TeamAndRank = (SmolStr, u8);
@@ -224,20 +224,22 @@
     let within = time.min(serving_config.limits.idle_time).to_duration();
     // A length that is too long by its own word need not be waited for.
     if incoming.size_hint().lower() > serving_config.limits.body_len as u64 {
-        return Err(answers::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
+        return Err(responses::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
     body::read(incoming, serving_config.limits.body_len, within).await.map_err(|err| match err {
         BodyError::TooLarge(_) => {
-            answers::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
+            responses::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
         }
-        BodyError::TooSlow(_) => answers::own(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
-        BodyError::Broken => answers::own(StatusCode::BAD_REQUEST, "the body broke off"),
+        BodyError::TooSlow(_) => {
+            responses::own(StatusCode::REQUEST_TIMEOUT, "the body did not come")
+        }
+        BodyError::Broken => responses::own(StatusCode::BAD_REQUEST, "the body broke off"),
     })
 }
 
 /// Sets what upstreams are told beyond the caller's own headers.
 fn set_headers(headers: &mut HeaderMap, team: Option<SmolStr>, urgency: u8) {
-    answers::strip(headers);
+    responses::strip(headers);
     headers.remove(header::EXPECT);
     headers.remove(names::KEY);
     headers.remove(names::TEAM);
--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -26,10 +26,10 @@
 use workshold_protocol::Millis;
 use workshold_protocol::clock::SystemClock;
 
-use crate::callers::answers::ResponseBody;
 use crate::callers::control;
 use crate::callers::directory;
 use crate::callers::requests;
+use crate::callers::responses::ResponseBody;
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
@@ -95,8 +95,8 @@
     let socket = tasks::gossip::open(&node).await.map_err(DaemonError::Peers)?;
     let socket = Arc::new(socket);
     let mut parts = JoinSet::new();
-    parts.spawn(tasks::following::config(Arc::clone(&node)));
-    parts.spawn(tasks::following::list(Arc::clone(&node)));
+    parts.spawn(tasks::store_sync::config(Arc::clone(&node)));
+    parts.spawn(tasks::store_sync::list(Arc::clone(&node)));
     parts.spawn(tasks::gossip::send_heartbeats(Arc::clone(&node), Arc::clone(&socket)));
     parts.spawn(tasks::gossip::send_news(Arc::clone(&node), Arc::clone(&socket)));
     parts.spawn(tasks::gossip::receive(Arc::clone(&node), Arc::clone(&socket)));
@@ -105,7 +105,7 @@
     parts.spawn(tasks::probing::retry_probes(Arc::clone(&node)));
     parts.spawn(tasks::leasing::discover_peers(Arc::clone(&node)));
     parts.spawn(tasks::stewarding::run(Arc::clone(&node)));
-    parts.spawn(tasks::quarantining::run(Arc::clone(&node)));
+    parts.spawn(tasks::quarantine_store::run(Arc::clone(&node)));
     parts.spawn(tasks::upkeep::run(Arc::clone(&node)));
     parts.spawn(watch_settings(Arc::clone(&node), path.clone()));
     let lease = tokio::spawn(tasks::leasing::hold_lease(Arc::clone(&node)));
--- a/crates/workshold-gateway/src/lib.rs
+++ b/crates/workshold-gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`store_monitor`]: what if the store's answer is older than what this node holds?
 //! - [`tasks`] run beside the callers: following the store, holding the lease,
 //!   stewarding, talking to peers, looking after instances in doubt.
-//! - [`callers`] answers requests; [`relay`] carries them to upstreams.
+//! - [`callers`] answers requests; [`proxy`] carries them to upstreams.
 //! - [`daemon`] starts and ends it all.
 
 pub mod callers;
@@ -16,8 +16,8 @@
 pub mod metrics;
 pub mod node;
 pub mod peers;
-pub mod relay;
+pub mod proxy;
+pub mod routing_table;
 pub mod settings;
 pub mod store_monitor;
-pub mod table;
 pub mod tasks;
--- a/crates/workshold-gateway/src/metrics.rs
+++ b/crates/workshold-gateway/src/metrics.rs
@@ -119,7 +119,7 @@
         self.gauge(Metric::ConfigAge, node.config_age().map_or(u64::MAX, |(_, age)| age.0));
         self.gauge(Metric::ListAge, now.since(node.list.lock().read_at).0);
         self.gauge(Metric::StoreAge, node.store_silent_for().0);
-        self.gauge(Metric::Targets, node.table().len() as u64);
+        self.gauge(Metric::Targets, node.routing_table().len() as u64);
         self.gauge(Metric::InDoubt, node.suspicions.lock().iter().count() as u64);
         self.gauge(Metric::Peers, node.peers.lock().heard(now).count() as u64);
         self.gauge(Metric::Limited, node.instance_limits.lock().limits().count() as u64);
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -5,11 +5,11 @@
 //! - [`held`]: which requests are kept from instances.
 //! - [`repeats`]: what may be repeated.
 
-mod doubts;
-mod held;
 mod instance_limits;
+mod quarantine;
 mod reading;
-mod repeats;
+mod retry_budget;
+mod suspicions;
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -60,13 +60,13 @@
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::peers::news::ListGap;
+use crate::routing_table::RoutingTable;
+use crate::routing_table::Target;
 use crate::settings::Settings;
 use crate::store_monitor::StoreMonitor;
-use crate::table::RoutingTable;
-use crate::table::Target;
 
-pub use self::doubts::Probe;
-pub use self::doubts::ProbeTask;
+pub use self::suspicions::Probe;
+pub use self::suspicions::ProbeTask;
 
 /// The list of instances as this node has it.
 #[derive(Debug, Default)]
@@ -154,7 +154,7 @@
     config_freshness: Mutex<ConfigFreshness>,
     /// The list of instances.
     pub list: Mutex<List>,
-    table: RwLock<Arc<RoutingTable>>,
+    routing_table: RwLock<Arc<RoutingTable>>,
     made: Mutex<MadeTable>,
     /// Who cannot be reached.
     pub suspicions: Mutex<Suspicions<Identity>>,
@@ -269,7 +269,7 @@
             serving_config: RwLock::new(None),
             config_freshness: Mutex::default(),
             list: Mutex::default(),
-            table: RwLock::default(),
+            routing_table: RwLock::default(),
             made: Mutex::default(),
             suspicions: Mutex::default(),
             suspicion_changed: watch::Sender::new(0),
@@ -379,8 +379,8 @@
     }
 
     /// Where requests can be sent.
-    pub fn table(&self) -> Arc<RoutingTable> {
-        Arc::clone(&self.table.read())
+    pub fn routing_table(&self) -> Arc<RoutingTable> {
+        Arc::clone(&self.routing_table.read())
     }
 
     /// Takes over what trouble with the list those had who read it for this node.
@@ -402,10 +402,10 @@
         let Some(serving_config) = self.serving_config() else { return };
         let now = self.now();
         let list = self.list.lock();
-        let table = RoutingTable::make(&serving_config, &list.roster, &list.trust, now);
+        let routing_table = RoutingTable::make(&serving_config, &list.roster, &list.trust, now);
         let made = MadeTable { version: list.roster.version(), at: now };
         drop(list);
-        *self.table.write() = Arc::new(table);
+        *self.routing_table.write() = Arc::new(routing_table);
         *self.made.lock() = made;
     }
 
@@ -437,8 +437,8 @@
 
     /// Whether another target of the same kind has room for one more.
     pub fn has_alternative_to(&self, target: &Target) -> bool {
-        let table = self.table();
-        let others = table.like(target);
+        let routing_table = self.routing_table();
+        let others = routing_table.like(target);
         let mut others = others.filter(|other| other.id != target.id);
         others.any(|other| {
             let has_place = self.loads.of(&other.id).requests < other.slots;
@@ -564,7 +564,7 @@
         if self.list.lock().next.is_none() {
             return Err(NotReady::NoList);
         }
-        if self.table().is_empty() {
+        if self.routing_table().is_empty() {
             return Err(NotReady::NoTargets);
         }
         if !self.is_quarantine_read() {
--- a/crates/workshold-gateway/src/node/held.rs
+++ b/crates/workshold-gateway/src/node/quarantine.rs
@@ -16,7 +16,7 @@
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
-use crate::table::Target;
+use crate::routing_table::Target;
 
 impl Node {
     /// Until when a request is kept from all instances, if it is.
--- a/crates/workshold-gateway/src/node/doubts.rs
+++ b/crates/workshold-gateway/src/node/suspicions.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::peers::Ask;
 use crate::peers::Peers;
-use crate::table::Target;
+use crate::routing_table::Target;
 
 /// A look at a group's members serves all its streams for this long.
 const LOOK_GOOD_FOR: Millis = Millis(250);
--- a/crates/workshold-gateway/src/relay.rs
+++ b/crates/workshold-gateway/src/proxy.rs
@@ -4,13 +4,13 @@
 //! - [`attempts`]: those that may still speak; the first that does goes on.
 //! - [`events`]: a stream cut into whole events.
 //! - [`stream`]: passing events on, and going on elsewhere when they stop.
-//! - [`watching`]: an eye on who is waited for.
+//! - [`wait`]: an eye on who is waited for.
 
 pub mod attempt;
 pub mod attempts;
-pub mod events;
+pub mod framing;
 pub mod stream;
-pub mod watching;
+pub mod wait;
 
 use std::sync::Arc;
 
@@ -29,25 +29,25 @@
 use workshold_core::hosted::serving_config::RequestKind;
 use workshold_protocol::Millis;
 
-use crate::callers::answers;
-use crate::callers::answers::ResponseBody;
 use crate::callers::requests::AdmittedRequest;
+use crate::callers::responses;
+use crate::callers::responses::ResponseBody;
 use crate::events::Event;
 use crate::events::emit;
 use crate::metrics::Metric;
 use crate::node::Node;
 use crate::node::ProbeTask;
 use crate::node::RequestGuard;
-use crate::relay::attempt::Failure;
-use crate::relay::attempt::HELD;
-use crate::relay::attempt::Opened;
-use crate::relay::attempts::Attempt;
-use crate::relay::attempts::AttemptEvent;
-use crate::relay::attempts::Attempts;
-use crate::relay::stream::StreamRelay;
-use crate::relay::watching::LOOK_AGAIN;
-use crate::relay::watching::Patience;
-use crate::table::Target;
+use crate::proxy::attempt::Failure;
+use crate::proxy::attempt::HELD;
+use crate::proxy::attempt::Opened;
+use crate::proxy::attempts::Attempt;
+use crate::proxy::attempts::AttemptEvent;
+use crate::proxy::attempts::Attempts;
+use crate::proxy::stream::StreamRelay;
+use crate::proxy::wait::LOOK_AGAIN;
+use crate::proxy::wait::Patience;
+use crate::routing_table::Target;
 use crate::tasks::probing;
 
 /// With less time than this left nothing is sent any more.
@@ -426,7 +426,7 @@
     emit(Event::RequestNotRun, &fields);
     node.metrics.count(Metric::NotRun);
     node.metrics.count(Metric::RequestsHeld);
-    answers::not_run("it has not run; it ends whoever begins to run it", spread(after))
+    responses::not_run("it has not run; it ends whoever begins to run it", spread(after))
 }
 
 /// The final answer of a request that is given up, at once.
@@ -451,12 +451,12 @@
         let none = if course.tried.is_empty() { COME_BACK_NONE } else { COME_BACK_FULL };
         let free_in = |at: Millis| at.since(node.now()).min(COME_BACK_LONGEST);
         let after = course.free_at.map_or(Millis::ZERO, free_in);
-        return answers::not_run("it has not run; come back later", after + spread(none));
+        return responses::not_run("it has not run; come back later", after + spread(none));
     }
     emit(Event::RequestUnknown, &fields);
     node.metrics.count(Metric::Unknown);
     let status = if is_time_up { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-    answers::own(status, "nobody knows whether it has run")
+    responses::own(status, "nobody knows whether it has run")
 }
 
 /// One to two times `after`, so that callers do not come back together.
@@ -496,9 +496,9 @@
 ///
 /// [`NoTarget`] if there is none, or none with a place.
 pub fn pick(node: &Node, course: &Course) -> Result<Arc<Target>, NoTarget> {
-    let table = node.table();
+    let routing_table = node.routing_table();
     let job = &course.job;
-    let fits = table
+    let fits = routing_table
         .of(&job.service)
         .iter()
         .filter(|target| target.model.is_none() || target.model == job.model)
--- a/crates/workshold-gateway/src/relay/attempt.rs
+++ b/crates/workshold-gateway/src/proxy/attempt.rs
@@ -26,15 +26,15 @@
 use workshold_platform::words;
 use workshold_protocol::Millis;
 
-use crate::callers::answers;
-use crate::callers::answers::ResponseBody;
 use crate::callers::requests::AdmittedRequest;
+use crate::callers::responses;
+use crate::callers::responses::ResponseBody;
 use crate::loads::InFlight;
 use crate::node::Node;
 use crate::node::ProbeTask;
-use crate::relay::LEAST_TIME;
-use crate::relay::events::Framer;
-use crate::table::Target;
+use crate::proxy::LEAST_TIME;
+use crate::proxy::framing::Framer;
+use crate::routing_table::Target;
 
 /// Time for a connection to come up.
 const CONNECT_TIME: Millis = Millis(40);
@@ -219,8 +219,8 @@
     let (mut parts, body) = res.into_parts();
     let collected = Limited::new(body, MOST_HELD).collect().await;
     let bytes = collected.map_err(|_| (AttemptEnd::Broken, "the answer broke off"))?.to_bytes();
-    answers::strip(&mut parts.headers);
-    Ok(Response::from_parts(parts, answers::whole(bytes)))
+    responses::strip(&mut parts.headers);
+    Ok(Response::from_parts(parts, responses::whole(bytes)))
 }
 
 impl Current {
--- a/crates/workshold-gateway/src/relay/attempts.rs
+++ b/crates/workshold-gateway/src/proxy/attempts.rs
@@ -21,17 +21,17 @@
 use crate::events::emit;
 use crate::metrics::Metric;
 use crate::node::Node;
-use crate::relay::attempt;
-use crate::relay::attempt::Current;
-use crate::relay::attempt::Dispatch;
-use crate::relay::attempt::Failure;
-use crate::relay::attempt::HELD;
-use crate::relay::attempt::Opened;
-use crate::relay::attempt::TIME_UP;
-use crate::relay::watching;
-use crate::relay::watching::Patience;
-use crate::relay::watching::WaitOver;
-use crate::table::Target;
+use crate::proxy::attempt;
+use crate::proxy::attempt::Current;
+use crate::proxy::attempt::Dispatch;
+use crate::proxy::attempt::Failure;
+use crate::proxy::attempt::HELD;
+use crate::proxy::attempt::Opened;
+use crate::proxy::attempt::TIME_UP;
+use crate::proxy::wait;
+use crate::proxy::wait::Patience;
+use crate::proxy::wait::WaitOver;
+use crate::routing_table::Target;
 
 type Opening = Pin<Box<dyn Future<Output = Result<Opened, Failure>> + Send>>;
 
@@ -173,7 +173,7 @@
         let first = tokio::select! {
             biased;
             (word, place, _) = select_all(words) => Ok((word, place)),
-            doubt = watching::doubt(node, &newest, patience) => Err(doubt),
+            doubt = wait::doubt(node, &newest, patience) => Err(doubt),
         };
         let (word, place) = match first {
             Ok(first) => first,
--- a/crates/workshold-gateway/src/relay/stream.rs
+++ b/crates/workshold-gateway/src/proxy/stream.rs
@@ -13,25 +13,25 @@
 use workshold_core::hosted::retry_policy::NextStep;
 use workshold_protocol::Millis;
 
-use crate::callers::answers;
-use crate::callers::answers::Cut;
-use crate::callers::answers::ResponseBody;
+use crate::callers::responses;
+use crate::callers::responses::Cut;
+use crate::callers::responses::ResponseBody;
 use crate::events::Event;
 use crate::events::emit;
 use crate::metrics::Metric;
 use crate::node::Node;
 use crate::node::RequestGuard;
-use crate::relay;
-use crate::relay::Course;
-use crate::relay::LEAST_TIME;
-use crate::relay::attempt::Current;
-use crate::relay::attempt::Failure;
-use crate::relay::attempt::Opened;
-use crate::relay::attempts::Attempt;
-use crate::relay::attempts::AttemptEvent;
-use crate::relay::attempts::Attempts;
-use crate::relay::watching::Patience;
-use crate::table::Target;
+use crate::proxy;
+use crate::proxy::Course;
+use crate::proxy::LEAST_TIME;
+use crate::proxy::attempt::Current;
+use crate::proxy::attempt::Failure;
+use crate::proxy::attempt::Opened;
+use crate::proxy::attempts::Attempt;
+use crate::proxy::attempts::AttemptEvent;
+use crate::proxy::attempts::Attempts;
+use crate::proxy::wait::Patience;
+use crate::routing_table::Target;
 
 /// A stream under way to its caller.
 pub struct StreamRelay {
@@ -65,13 +65,13 @@
         mut head: Parts,
         current: Current,
     ) -> Response<ResponseBody> {
-        answers::strip(&mut head.headers);
+        responses::strip(&mut head.headers);
         let now = node.now();
         let speaker = Arc::clone(&current.target);
         node.outliers.lock().on_answer(&speaker.id, now.since(current.since), now);
         node.metrics.time(Metric::FirstEvent, now.since(course.job.received_at));
         let last = course.job.last_event_id;
-        let mut relay = Self {
+        let mut proxy = Self {
             node,
             course,
             attempts: Attempts::default(),
@@ -87,11 +87,11 @@
             has_ended: false,
             _guard: guard,
         };
-        relay.attempts.push(Attempt::streaming(current, now));
-        relay.take_events(true);
-        let events = stream::unfold(relay, |mut relay| async move {
-            let next = relay.next().await?;
-            Some((next.map(Frame::data), relay))
+        proxy.attempts.push(Attempt::streaming(current, now));
+        proxy.take_events(true);
+        let events = stream::unfold(proxy, |mut proxy| async move {
+            let next = proxy.next().await?;
+            Some((next.map(Frame::data), proxy))
         });
         Response::from_parts(head, BodyExt::boxed_unsync(StreamBody::new(events)))
     }
@@ -147,7 +147,7 @@
         let goal = self.course.job.route.pause_goal;
         let rules = self.node.stall;
         let after = if newest.is_opening() {
-            relay::first_patience(&self.course, mean_ms)
+            proxy::first_patience(&self.course, mean_ms)
         } else {
             (rules.probe_after(mean_ms, goal), rules.failover_after(mean_ms, goal))
         };
@@ -201,7 +201,7 @@
 
     /// Others may still speak; if there are none, it goes on elsewhere, or is cut.
     async fn on_failure(&mut self, target: &Target, (ending, why): Failure) -> Result<(), Cut> {
-        relay::note_failure(&self.node, target, ending);
+        proxy::note_failure(&self.node, target, ending);
         self.course.look_into(&self.node, target, ending).await;
         if !self.attempts.is_empty() {
             let others = self.attempts.len();
@@ -211,7 +211,7 @@
         if self.course.after(&self.node, target, ending, why) != NextStep::Again {
             return Err(self.cut());
         }
-        let Ok(next) = relay::pick(&self.node, &self.course) else {
+        let Ok(next) = proxy::pick(&self.node, &self.course) else {
             self.course.give_up_repeat(&self.node);
             return Err(self.cut());
         };
--- a/crates/workshold-gateway/src/relay/watching.rs
+++ b/crates/workshold-gateway/src/proxy/wait.rs
@@ -5,7 +5,7 @@
 use workshold_protocol::Millis;
 
 use crate::node::Node;
-use crate::table::Target;
+use crate::routing_table::Target;
 use crate::tasks::probing;
 
 /// Why waiting for one instance alone may be in vain.
--- a/crates/workshold-gateway/src/tasks.rs
+++ b/crates/workshold-gateway/src/tasks.rs
@@ -1,10 +1,10 @@
 //! What runs beside the callers.
 
-pub mod following;
 pub mod gossip;
 pub mod leasing;
 pub mod long_poll;
 pub mod probing;
-pub mod quarantining;
+pub mod quarantine_store;
 pub mod stewarding;
+pub mod store_sync;
 pub mod upkeep;
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -35,7 +35,7 @@
 use crate::peers::WireLoad;
 use crate::peers::WireQuarantineEntry;
 use crate::peers::WireWorkload;
-use crate::tasks::following;
+use crate::tasks::store_sync;
 
 /// How often a node says how it is: the fresher the loads of others, the better is the
 /// choice of a group.
@@ -122,7 +122,7 @@
         };
         if let Some(from) = from.filter(|_| node.has_followers()) {
             let to = whom_to_tell(&node, is_first);
-            for (i, piece) in following::news(&node, from).into_datagrams().into_iter().enumerate()
+            for (i, piece) in store_sync::news(&node, from).into_datagrams().into_iter().enumerate()
             {
                 if i % PIECES_AT_ONCE == 0 && i > 0 {
                     tokio::time::sleep(NEWS_EVERY).await;
@@ -244,7 +244,7 @@
         }
         Message::Digest(digest) => take_digest(node, from, datagram.from, *digest, since),
         Message::News(news) => {
-            if !following::apply_list_news(node, &news, since) {
+            if !store_sync::apply_list_news(node, &news, since) {
                 node.list_gap_seen.notify_one();
             }
         }
@@ -511,7 +511,7 @@
     let sent = node.now();
     let Some(bytes) = fetch(peer, &path).await else { return };
     let Ok(news) = postcard::from_bytes::<ListNews>(&bytes) else { return };
-    following::apply_list_news(node, &news, sent);
+    store_sync::apply_list_news(node, &news, sent);
 }
 
 async fn fetch(peer: SocketAddr, path: &str) -> Option<Bytes> {
--- a/crates/workshold-gateway/tests/catching_up.rs
+++ b/crates/workshold-gateway/tests/catching_up.rs
@@ -22,8 +22,8 @@
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::settings;
-use workshold_gateway::tasks::following;
 use workshold_gateway::tasks::gossip;
+use workshold_gateway::tasks::store_sync;
 use workshold_protocol::clock::SystemClock;
 
 /// A store whose answers come in pieces, so many of them.
@@ -84,10 +84,10 @@
     let (address, count) = common::peer().await;
     let said = Heartbeat { next_ms: 20_000, config: Some((7, 0)), ..common::heartbeat(address) };
     node.peers.lock().on_heartbeat(own, address, SmolStr::new("n-2"), said, node.now());
-    let following = tokio::spawn(following::config(Arc::clone(&node)));
+    let store_sync = tokio::spawn(store_sync::config(Arc::clone(&node)));
     let catching_up = tokio::spawn(gossip::catch_up(Arc::clone(&node)));
     tokio::time::sleep(within).await;
-    following.abort();
+    store_sync.abort();
     catching_up.abort();
     count.load(Ordering::Relaxed) > 0
 }
--- a/crates/workshold-gateway/tests/deaf.rs
+++ b/crates/workshold-gateway/tests/deaf.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::json;
 use workshold_core::hosted::fingerprint::Fingerprint;
-use workshold_gateway::tasks::quarantining;
+use workshold_gateway::tasks::quarantine_store;
 use workshold_platform_standin::store::StandInStore;
 use workshold_protocol::Millis;
 
@@ -22,7 +22,7 @@
     // Its time to wait for the store is over.
     clock.go_on(Millis(3_000));
     let node = Arc::new(node);
-    tokio::spawn(quarantining::run(Arc::clone(&node)));
+    tokio::spawn(quarantine_store::run(Arc::clone(&node)));
     let fingerprint = keep(&store, node.wall());
     tokio::time::sleep(READS).await;
     assert!(node.quarantined_until(fingerprint).is_some());
@@ -67,7 +67,7 @@
         node.peers.lock().on_heartbeat(own, address(i), name, heartbeat, now);
     }
     let node = Arc::new(node);
-    tokio::spawn(quarantining::run(Arc::clone(&node)));
+    tokio::spawn(quarantine_store::run(Arc::clone(&node)));
     tokio::task::yield_now().await;
     let fingerprint = keep(&store, node.wall());
     store.put("keyed.quarantine", "no fingerprint", "{}");
--- a/crates/workshold-gateway/tests/followers.rs
+++ b/crates/workshold-gateway/tests/followers.rs
@@ -25,9 +25,9 @@
 use workshold_gateway::peers::LIST_TROUBLE_MAX_AGE_MS;
 use workshold_gateway::peers::Message;
 use workshold_gateway::peers::VERSION;
-use workshold_gateway::tasks::following;
 use workshold_gateway::tasks::gossip;
 use workshold_gateway::tasks::long_poll::Topic;
+use workshold_gateway::tasks::store_sync;
 use workshold_protocol::Millis;
 
 /// Beyond this many other nodes, most go by what a few read.
@@ -165,12 +165,12 @@
             list.next = Some(LogPosition::default());
             list.read_at = now;
         }
-        let following = match topic {
-            Topic::Config => tokio::spawn(following::config(Arc::clone(&node))),
-            Topic::List => tokio::spawn(following::list(Arc::clone(&node))),
+        let store_sync = match topic {
+            Topic::Config => tokio::spawn(store_sync::config(Arc::clone(&node))),
+            Topic::List => tokio::spawn(store_sync::list(Arc::clone(&node))),
         };
         tokio::time::sleep(ASKED_WITHIN).await;
-        following.abort();
+        store_sync.abort();
         assert_eq!(asked.load(Ordering::Relaxed) > 0, expected, "{topic:?}");
     }
 }
--- a/crates/workshold-gateway/tests/framing.rs
+++ b/crates/workshold-gateway/tests/framing.rs
@@ -1,7 +1,7 @@
 //! Streams cut into events, however they come.
 
 use proptest::prelude::*;
-use workshold_gateway::relay::events::Framer;
+use workshold_gateway::proxy::framing::Framer;
 
 fn event(id: u64) -> String {
     format!("id: {id}\ndata: token {id}\n\n")
--- a/crates/workshold-gateway/tests/list_news.rs
+++ b/crates/workshold-gateway/tests/list_news.rs
@@ -32,8 +32,8 @@
 use workshold_gateway::peers::Message;
 use workshold_gateway::peers::rank;
 use workshold_gateway::settings;
-use workshold_gateway::tasks::following;
 use workshold_gateway::tasks::gossip;
+use workshold_gateway::tasks::store_sync;
 use workshold_protocol::clock::SystemClock;
 
 /// Known within a fraction of the two seconds in which all have to go by it.
@@ -64,7 +64,7 @@
     let records = (from..next).map(|i| record(i, &format!("i-{i}"))).collect();
     let news =
         ListNews { from: from.into(), next: next.into(), copy_end: 0.into(), age_ms: 0, records };
-    assert!(following::apply_list_news(node, &news, node.now()));
+    assert!(store_sync::apply_list_news(node, &news, node.now()));
 }
 
 fn hear(node: &Node, address: SocketAddr, name: &str, list: Option<(u64, u64)>) {
--- a/crates/workshold-gateway/tests/lives.rs
+++ b/crates/workshold-gateway/tests/lives.rs
@@ -17,8 +17,8 @@
 use workshold_gateway::node::Node;
 use workshold_gateway::peers::ListNews;
 use workshold_gateway::peers::ListRecord;
-use workshold_gateway::table::Target;
-use workshold_gateway::tasks::following;
+use workshold_gateway::routing_table::Target;
+use workshold_gateway::tasks::store_sync;
 use workshold_platform::config;
 use workshold_platform_standin::deployment;
 use workshold_protocol::Millis;
@@ -57,7 +57,7 @@
             records,
         };
         self.next += 1;
-        assert!(following::apply_list_news(&self.node, &news, self.node.now()));
+        assert!(store_sync::apply_list_news(&self.node, &news, self.node.now()));
     }
 
     fn state(&mut self, key: &str, entry: &Value) {
@@ -67,7 +67,7 @@
     /// Where requests for the gates can go.
     fn gates(&self) -> Vec<Arc<Target>> {
         self.node.rebuild_table();
-        self.node.table().of(&ServiceName::new("gate").unwrap()).to_vec()
+        self.node.routing_table().of(&ServiceName::new("gate").unwrap()).to_vec()
     }
 
     fn gate_names(&self) -> Vec<String> {
@@ -186,7 +186,7 @@
     scene.state("i-2", &gate(FIRST, "10.0.0.2:80"));
     scene.write("i-1", entry);
     assert_eq!(scene.gate_names(), ["i-2"]);
-    let news = following::news(&scene.node, 2);
+    let news = store_sync::news(&scene.node, 2);
     assert_eq!(news.records.len(), 1, "peers are told of it");
     let len = news.records[0].value.len();
     assert!(len <= 64 * 1024, "and not of megabytes: {len}");
@@ -201,7 +201,7 @@
     scene.write("i-1", b"?".to_vec());
     let mut other = Scene::new();
     other.state("i-1", &gate(FIRST, "10.0.0.1:80"));
-    following::apply_list_news(&other.node, &following::news(&scene.node, 0), other.node.now());
+    store_sync::apply_list_news(&other.node, &store_sync::news(&scene.node, 0), other.node.now());
     assert!(other.gates().is_empty());
 }
 
@@ -216,6 +216,6 @@
     let now = scene.node.now();
     scene.node.list.lock().roster.on_full_list(&left, 2, now);
     let other = Scene::new();
-    following::apply_list_news(&other.node, &following::news(&scene.node, 0), other.node.now());
+    store_sync::apply_list_news(&other.node, &store_sync::news(&scene.node, 0), other.node.now());
     assert_eq!(other.gate_names(), ["i-2"]);
 }
--- a/crates/workshold-gateway/tests/relay.rs
+++ b/crates/workshold-gateway/tests/relay.rs
@@ -37,10 +37,10 @@
 use workshold_core::hosted::roster::MemberState;
 use workshold_core::hosted::roster::Membership;
 use workshold_core::hosted::suspicion::ProbeResult;
-use workshold_gateway::callers::answers::ResponseBody;
 use workshold_gateway::callers::requests::AdmittedRequest;
+use workshold_gateway::callers::responses::ResponseBody;
 use workshold_gateway::node::Node;
-use workshold_gateway::relay;
+use workshold_gateway::proxy;
 use workshold_gateway::settings;
 use workshold_platform::config;
 use workshold_platform_standin::caller;
@@ -221,7 +221,7 @@
             deadline: received_at + Millis(6_000),
             route,
         };
-        relay::run(&self.node, job, self.node.begin_request()).await
+        proxy::run(&self.node, job, self.node.begin_request()).await
     }
 
     /// From here on no member of any group can be reached, as far as this node sees.
--- a/crates/workshold-gateway/tests/sleep.rs
+++ b/crates/workshold-gateway/tests/sleep.rs
@@ -45,7 +45,7 @@
         age_ms: 0,
         records: Vec::new(),
     };
-    workshold_gateway::tasks::following::apply_list_news(&node, &news, node.now());
+    workshold_gateway::tasks::store_sync::apply_list_news(&node, &news, node.now());
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
     let address = socket.local_addr().unwrap();
     tokio::spawn(gossip::receive(Arc::clone(&node), socket));
