--- a/crates/workshold-core/src/admission.rs
+++ b/crates/workshold-core/src/admission.rs
@@ -1,9 +1,11 @@
-//! Who waits, in which order, and who is refused at once.
+//! Admission control: which requests wait, in which order, and which are refused
+//! on arrival.
 //!
-//! Requests that no group has room for wait in a fair queue: each pair of team
-//! and priority is a flow with a weight, served by start tags. A request whose
-//! expected wait passes its deadline is refused on arrival, with the time after
-//! which coming back makes sense, spread so that callers do not return together.
+//! Requests that no group has room for wait in a queue with start-time fair
+//! queueing: each pair of team and priority is a flow with a weight, and the
+//! request with the lowest start tag goes next. A request whose expected wait
+//! exceeds its deadline is refused on arrival, with a retry-after time that is
+//! randomised so that callers do not return together.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,16 +13,16 @@
 use workshold_protocol::Millis;
 use workshold_protocol::ids::TeamName;
 
-/// How the queue is kept.
+/// Limits and rate estimation of the queue.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueueRules {
-    /// The most that wait at once.
+    /// The most requests that wait at once.
     pub max_waiting: usize,
-    /// The most that one flow may have waiting, as a share of that.
+    /// The fraction of `max_waiting` that one flow may use.
     pub max_flow_share: f64,
-    /// Requests a second that are assumed before any were measured.
+    /// Rate in requests per second that is assumed before the first measurement.
     pub initial_rate: f64,
-    /// Weight of the newest measurement of the rate.
+    /// Weight of the newest sample in the moving average of the rate.
     pub smoothing: f64,
 }
 
@@ -30,19 +32,19 @@
     }
 }
 
-/// A caller's priority.
+/// The priority that a caller gives a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Somebody waits at a barrier.
+    /// Other work waits at a barrier until the answer arrives.
     High,
-    /// The usual.
+    /// The default.
     Normal,
-    /// Nobody waits.
+    /// Background work that nobody waits for.
     Low,
 }
 
 impl Priority {
-    /// Weight against other priorities of the same team.
+    /// Weight in the fair queue, relative to other priorities of the same team.
     const fn weight(self) -> f64 {
         match self {
             Self::High => 16.0,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Reads the header's value.
+    /// Parses the value of the priority header; `None` if it is no known priority.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "high" => Some(Self::High),
@@ -61,7 +63,7 @@
         }
     }
 
-    /// What engines are told; higher goes first.
+    /// The priority as a number for the engine, which serves higher ones first.
     pub const fn engine_priority(self) -> u8 {
         match self {
             Self::High => 2,
@@ -71,27 +73,27 @@
     }
 }
 
-/// A request that is refused before it waits.
+/// The answer to a request that is refused on arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refused {
-    /// The wait that it would have had.
+    /// How long it would have waited.
     pub expected_wait: Millis,
-    /// When to come back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Millis,
 }
 
-/// A request that asks to wait.
+/// A request that arrives at the queue.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival<'a> {
-    /// Its team.
+    /// The team of its caller.
     pub team: &'a TeamName,
-    /// The team's share against the others.
+    /// The team's weight, relative to other teams.
     pub share: f64,
-    /// Its priority.
+    /// Its priority within the team.
     pub priority: Priority,
-    /// When it must have been started.
+    /// Deadline for its start.
     pub start_by: Millis,
-    /// Uniform in 0 to 1; spreads the callers' return.
+    /// Random number, uniform in 0 to 1, for the jitter of the retry-after time.
     pub draw: f64,
 }
 
@@ -109,7 +111,7 @@
     waiting: VecDeque<Waiting<T>>,
 }
 
-/// The fair queue of one model or service at one node.
+/// The fair queue for one model or service at one node.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     rules: QueueRules,
@@ -120,17 +122,17 @@
     last_start: Option<Millis>,
 }
 
-/// What leaves the queue.
+/// A request that leaves the queue.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Popped<T> {
-    /// It is this one's turn.
+    /// It is next and may start.
     Start(T),
-    /// It has waited past its time and gets its final answer now.
+    /// Its deadline for the start has passed; it is to be refused.
     Expired(T),
 }
 
 impl<T> FairQueue<T> {
-    /// An empty queue.
+    /// An empty queue, at the initial rate.
     pub fn new(rules: QueueRules) -> Self {
         Self {
             rules,
@@ -142,26 +144,27 @@
         }
     }
 
-    /// How many wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 
-    /// Requests a second that leave the queue while somebody waits.
+    /// Measured rate, in requests per second, at which requests start while others wait.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Lets a request wait.
+    /// Adds a request to the queue.
     ///
     /// # Errors
     ///
-    /// [`Refused`] if it could not start in time, or if too many wait.
+    /// [`Refused`] if it is not expected to start in time, or if the queue or its
+    /// flow is full.
     pub fn push(&mut self, arrival: &Arrival<'_>, item: T, now: Millis) -> Result<(), Refused> {
         let expected = self.expected_wait(arrival);
         let flow_limit = (self.rules.max_waiting as f64 * self.rules.max_flow_share) as usize;
@@ -175,7 +178,7 @@
         Ok(())
     }
 
-    /// Takes out whoever is next; those past their time come out first.
+    /// Removes the next request; those whose deadline has passed come first.
     pub fn pop(&mut self, now: Millis) -> Option<Popped<T>> {
         if let Some(expired) = self.pop_expired(now) {
             return Some(Popped::Expired(expired));
@@ -195,7 +198,7 @@
         Some(Popped::Start(waiting.item))
     }
 
-    /// Takes out one that has waited past its time.
+    /// Removes one request whose deadline for the start has passed.
     pub fn pop_expired(&mut self, now: Millis) -> Option<T> {
         for flow in self.flows.values_mut() {
             let late = flow.waiting.iter().position(|waiting| waiting.start_by < now);
@@ -207,7 +210,7 @@
         None
     }
 
-    /// Takes out those that `is_gone` says nobody waits for any more.
+    /// Removes the requests for which `is_gone` is true: their callers have left.
     pub fn remove_gone(&mut self, is_gone: impl Fn(&T) -> bool) {
         for flow in self.flows.values_mut() {
             let before = flow.waiting.len();
@@ -217,8 +220,8 @@
         self.drop_idle_flows();
     }
 
-    /// How long a request would wait: as many starts as the fair order puts
-    /// before it, at the measured rate.
+    /// How long a request would wait: the number of starts that the fair order puts
+    /// before it, divided by the measured rate.
     pub fn expected_wait(&self, arrival: &Arrival<'_>) -> Millis {
         let own_weight = arrival.share * arrival.priority.weight();
         let own = self.flows.get(&(arrival.team.clone(), arrival.priority));
@@ -226,7 +229,7 @@
         let others = self.flows.iter().filter(|((team, priority), flow)| {
             (team, *priority) != (arrival.team, arrival.priority) && !flow.waiting.is_empty()
         });
-        // A flow goes before this request at most in proportion to its weight.
+        // The requests that another flow starts first are bounded by its relative weight.
         let before: f64 = others
             .map(|(_, flow)| {
                 (flow.waiting.len() as f64).min(own_waiting * flow.weight / own_weight)
@@ -237,7 +240,7 @@
     }
 
     fn refusal(&self, expected: Millis, arrival: &Arrival<'_>, now: Millis) -> Refused {
-        // Come back when the queue has shrunk to what the deadline allows.
+        // By then the queue has shrunk to what the deadline allows.
         let budget = arrival.start_by.since(now);
         let excess = expected.since(budget).0.max(MIN_RETRY_AFTER_MS) as f64;
         let spread = 1.0 + arrival.draw;
@@ -262,7 +265,8 @@
     fn measure(&mut self, now: Millis) {
         if let Some(last) = self.last_start.filter(|_| self.waiting > 0) {
             let gap = now.since(last).as_secs_f64().max(MIN_GAP_SECS);
-            // Averages the gap, not the rate, so that a burst does not dominate.
+            // Averages the gaps between starts rather than their rates, so that a
+            // burst does not dominate.
             let mean_gap = 1.0 / self.rate;
             self.rate = 1.0 / (mean_gap + self.rules.smoothing * (gap - mean_gap));
         }
@@ -275,7 +279,10 @@
     }
 }
 
+/// Requests per second; keeps the expected wait finite when almost nothing starts.
 const MIN_RATE: f64 = 0.01;
+/// Keeps the rate finite for requests that start in the same millisecond.
 const MIN_GAP_SECS: f64 = 0.000_1;
+/// Bounds of the retry-after time.
 const MIN_RETRY_AFTER_MS: u64 = 200;
 const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
--- a/crates/workshold-core/src/at_most_once.rs
+++ b/crates/workshold-core/src/at_most_once.rs
@@ -1,9 +1,9 @@
 //! What a node does with a request that must run at most once.
 //!
-//! The log gives a key to one node, in one of its lives. That node runs the
-//! request only if it began it itself and has not given it up; everybody else
-//! asks the owner. There is no lease in this: a node that wakes from a pause
-//! still owns the key, and nobody else ever will.
+//! The log gives an idempotency key to one incarnation of one node. That node runs
+//! the request only if it has claimed the key for this very call and has not given
+//! up waiting; all other nodes ask the owner for the result. No lease is involved: a
+//! node that resumes after a pause still owns the key, and no other node ever will.
 
 use workshold_protocol::ids::Incarnation;
 use workshold_protocol::ids::NodeId;
@@ -12,37 +12,37 @@
 use crate::keys::KeyStatus;
 use crate::keys::Owner;
 
-/// What this node, in this life, has done with a key so far.
+/// What this incarnation of the node has done with a key so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum KeyProgress {
     /// Nothing.
     Untouched,
-    /// It asked the log for the key and waits.
+    /// It has appended an intent to the log and waits to read it back.
     Recording,
-    /// It gave up waiting, and told its caller that the request was not run.
+    /// It stopped waiting and told its caller that the request was not run.
     GivenUp,
-    /// It has begun to run the request, or is done with it.
+    /// It has started to run the request, and may have finished it.
     Begun,
 }
 
-/// What to do next with a request.
+/// What to do next with the request of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyAction<'a> {
-    /// Ask the log for the key.
+    /// Append an intent to the log.
     Record,
-    /// Wait for the log.
+    /// Wait until the intent is read back from the log.
     Wait,
-    /// Run it: the key is this request's.
+    /// Run the request: this node owns the key.
     Run,
-    /// Answer what this node keeps under the key.
+    /// Answer with the result that this node has stored for the key.
     AnswerFromStore,
-    /// Ask the owner what came of it; never run it.
+    /// Ask the owner for the result; never run the request.
     AskOwner(&'a Owner),
-    /// Refuse it, with this code.
+    /// Refuse the request with this code.
     Refuse(Code),
 }
 
-/// Decides on the next step by what the log says of the key, and what this node
+/// The next action, given what the log says of the key and what this node (`me`)
 /// has done with it.
 pub fn next<'a>(
     status: &KeyStatus<'a>,
@@ -56,7 +56,7 @@
         (KeyStatus::Free, KeyProgress::Untouched) => KeyAction::Record,
         (KeyStatus::Free, KeyProgress::Recording) => KeyAction::Wait,
         (KeyStatus::Owned(owner), KeyProgress::Recording) if is_me(owner, me) => KeyAction::Run,
-        // Also where this node has the key but does not know what it did with it.
+        // Includes a key that this node owns without knowing whether it ran the request.
         (KeyStatus::Owned(owner), _) => KeyAction::AskOwner(owner),
     }
 }
--- a/crates/workshold-core/src/lifecycle.rs
+++ b/crates/workshold-core/src/lifecycle.rs
@@ -1,9 +1,10 @@
-//! The course of one request: numbered attempts, and exactly three ends.
+//! The life cycle of one request: numbered attempts, and one of three results.
 //!
-//! A request ends as answered, as not run, or as unknown. It is not run only
-//! where that is proved: no byte reached an upstream, or the upstream said that
-//! it refused before it started. Only such a request, or one that may run more
-//! than once, is tried again. What a superseded attempt says late is dropped.
+//! A request ends as answered, as not run, or as unknown. "Not run" is reported
+//! only where it is proved: no byte reached an upstream, or the upstream stated
+//! that it refused the request before it started. Only a request that provably
+//! did not run, or that may run more than once, is retried. Late events of a
+//! superseded attempt are dropped.
 
 use workshold_protocol::Millis;
 use workshold_protocol::problem::Code;
@@ -11,70 +12,70 @@
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Repeatability {
-    /// It may.
+    /// It may run any number of times.
     Repeatable,
-    /// It must not.
+    /// It must not run twice.
     AtMostOnce,
 }
 
-/// How a request ended.
+/// The result of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum End {
-    /// The whole answer went to the caller, once.
+    /// The caller got the whole answer, once.
     Answered,
-    /// Proved: it did not run and never will.
+    /// It provably did not run and never will.
     NotRun(Code),
-    /// It may have run.
+    /// It may have run, in whole or in part.
     Unknown(Code),
 }
 
 /// What happened to an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// No connection came about, so no byte left.
+    /// The connection could not be made, so no byte was sent.
     ConnectFailed,
-    /// The first byte is about to leave.
+    /// The first byte is about to be sent.
     Sending,
-    /// The upstream refused, and says that it had not started.
+    /// The upstream refused the request and stated that it had not started it.
     RefusedBeforeStart,
-    /// The connection broke, or the upstream failed, after bytes had left.
+    /// The connection broke, or the upstream failed, after bytes had been sent.
     Broken,
-    /// The answer is whole.
+    /// The answer is complete.
     Done,
     /// The caller's deadline passed.
     DeadlinePassed,
-    /// Nothing could be found that would take it, for this reason.
+    /// No upstream would take the request, for this reason.
     NotPlaced(Code),
 }
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Next {
-    /// Go on with the attempt.
+    /// Continue the current attempt.
     GoOn,
-    /// Make another attempt of this number.
+    /// Start another attempt with this number.
     TryAgain(u32),
-    /// The request is over.
+    /// The request is over with this result.
     Finish(End),
 }
 
-/// Where a request stands.
+/// The state of one request over all its attempts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RequestLifecycle {
     repeatability: Repeatability,
     deadline: Millis,
     max_attempts: u32,
     attempt: u32,
-    /// This attempt's bytes left, and nothing proved since that it did not run.
+    /// Bytes of this attempt were sent, and nothing has proved since that it did not run.
     sent: bool,
-    /// The same of an earlier attempt.
+    /// The same for any earlier attempt.
     sent_earlier: bool,
     tokens: u32,
     end: Option<End>,
 }
 
 impl RequestLifecycle {
-    /// A request that stands before its first attempt.
+    /// A request before its first attempt; `max_attempts` of 0 counts as 1.
     pub fn new(repeatability: Repeatability, deadline: Millis, max_attempts: u32) -> Self {
         Self {
             repeatability,
@@ -88,29 +89,30 @@
         }
     }
 
-    /// The number of the attempt under way, from 1.
+    /// The number of the current attempt, from 1.
     pub fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    /// Tokens that went to the caller.
+    /// Tokens passed on to the caller so far.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// The end, once there is one. It never changes.
+    /// The result; `None` while the request runs. It never changes once set.
     pub fn end(&self) -> Option<End> {
         self.end
     }
 
-    /// When the caller gives up.
+    /// When the caller stops waiting.
     pub fn deadline(&self) -> Millis {
         self.deadline
     }
 
-    /// Whether the token `index` of `attempt` is the next one for the caller.
+    /// Counts the token `index` of `attempt` if it is the next one for the caller.
     ///
-    /// Tokens of a superseded attempt, and those the caller has, are dropped.
+    /// Returns false for one that must be dropped: a token of a superseded
+    /// attempt, one that the caller has, or any after the end.
     pub fn accept_token(&mut self, attempt: u32, index: u32) -> bool {
         let is_next = self.end.is_none() && attempt == self.attempt && index == self.tokens;
         if is_next {
@@ -119,10 +121,10 @@
         is_next
     }
 
-    /// Takes what happened to `attempt` and says what to do.
+    /// Handles an event of `attempt` and returns what to do.
     ///
-    /// `may_retry` is what the retry budget says; it is asked only where the
-    /// rules allow another attempt.
+    /// `may_retry` takes a retry out of the retry budget; it is called only where
+    /// the rules allow another attempt.
     pub fn on(
         &mut self,
         attempt: u32,
@@ -167,7 +169,7 @@
         self.try_again(Code::UpstreamFailed, now, may_retry)
     }
 
-    /// Whether the rules allow another attempt, if the retry budget does.
+    /// Whether another attempt is allowed, the retry budget aside.
     pub fn may_try_again(&self, now: Millis) -> bool {
         let is_safe = !self.may_have_run() || self.repeatability == Repeatability::Repeatable;
         let in_time = now < self.deadline && self.attempt < self.max_attempts;
--- a/crates/workshold-core/src/limits.rs
+++ b/crates/workshold-core/src/limits.rs
@@ -1,25 +1,26 @@
-//! A team's allowance, split over the nodes by where its demand is.
+//! Rate limits of teams, split over the nodes in proportion to their demand.
 //!
-//! Each node takes the share of the allowance that its own demand has in the
-//! demand of all nodes, as their digests tell it; a part is split evenly, so
-//! that a node where demand starts is not at nothing. A node that hears nobody
-//! goes back to the even share, which sums to the allowance over all nodes.
+//! Each node takes the fraction of a team's limit that its own demand has in the
+//! demand of all nodes, as their digests report it. A fixed fraction is split
+//! evenly, so that a node with no demand yet is not limited to zero. A node that
+//! does not hear from every other node falls back to the even share; over all
+//! nodes these shares sum to the limit.
 
 use std::collections::BTreeMap;
 
 use workshold_protocol::Millis;
 use workshold_protocol::ids::NodeId;
 
-/// How shares are made.
+/// How a team's limit is split over the nodes, and how bursts are allowed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TeamRateRules {
-    /// Part of the allowance that is split evenly.
+    /// Fraction of the limit that is split evenly.
     pub even_fraction: f64,
-    /// A peer's demand is believed for this long.
+    /// Age up to which a peer's reported demand counts.
     pub demand_ttl: Millis,
-    /// Time constant of the demand's average.
+    /// Time constant of the exponential average of the demand.
     pub smoothing: Millis,
-    /// Seconds of the share that can be saved up.
+    /// Capacity of the token bucket, in seconds of the node's rate.
     pub burst_secs: f64,
 }
 
@@ -34,59 +35,72 @@
     }
 }
 
-/// One team's allowance at one node.
+/// The token bucket of one team at one node.
 #[derive(Debug, Clone)]
 pub struct TeamRateLimiter {
     rules: TeamRateRules,
     limit: f64,
     nodes: usize,
-    peers: BTreeMap<NodeId, (f64, Millis)>,
+    peer_demands: BTreeMap<NodeId, (f64, Millis)>,
     own_demand: f64,
-    last: Millis,
-    saved: f64,
+    last_refill: Millis,
+    tokens: f64,
 }
 
-/// A request is over the allowance; come back after this.
+/// The rate limit refuses a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OverLimit {
-    /// When there is an allowance for it again, if nothing else comes.
+    /// Time until the bucket has enough tokens, if no other request takes any.
     pub retry_after: Millis,
 }
 
 impl TeamRateLimiter {
-    /// A share of `limit` units a second, over `nodes` nodes.
+    /// A full bucket at the even share of `limit` units per second over `nodes` nodes.
     pub fn new(rules: TeamRateRules, limit: f64, nodes: usize, now: Millis) -> Self {
         let nodes = nodes.max(1);
-        let saved = limit / nodes as f64 * rules.burst_secs;
-        Self { rules, limit, nodes, peers: BTreeMap::new(), own_demand: 0.0, last: now, saved }
+        let tokens = limit / nodes as f64 * rules.burst_secs;
+        Self {
+            rules,
+            limit,
+            nodes,
+            peer_demands: BTreeMap::new(),
+            own_demand: 0.0,
+            last_refill: now,
+            tokens,
+        }
     }
 
-    /// Takes over a new limit or number of nodes; what is saved up stays.
+    /// Sets a new limit or number of nodes; the tokens in the bucket stay.
     pub fn adjust(&mut self, limit: f64, nodes: usize) {
         self.limit = limit;
         self.nodes = nodes.max(1);
     }
 
-    /// A peer says what the team wanted there; `heard` is when it was asked.
+    /// Records the team's demand at a peer; `heard` is when the peer was asked.
     pub fn on_peer(&mut self, peer: &NodeId, demand: f64, heard: Millis) {
-        self.peers.insert(peer.clone(), (demand.max(0.0), heard));
+        self.peer_demands.insert(peer.clone(), (demand.max(0.0), heard));
     }
 
-    /// What the team wants here, in units a second, smoothed.
+    /// The team's smoothed demand at this node, in units per second.
     pub fn demand(&self, now: Millis) -> f64 {
-        self.own_demand * self.decay(now.since(self.last))
+        self.own_demand * self.decay(now.since(self.last_refill))
     }
 
-    /// This node's rate, in units a second.
+    /// This node's part of the team's limit, in units per second.
     ///
-    /// It is `even_fraction` of the even share plus the rest by demand while *every*
-    /// other node is heard, and the even share otherwise: so a node that is cut
-    /// off never keeps more than the others, who hear too few, leave for it.
+    /// While the demand of *every* other node is known, this is `even_fraction` of the
+    /// even share plus the rest in proportion to demand; otherwise it is the even
+    /// share. So a node that is cut off never uses more than the others, which then
+    /// know too few nodes as well, leave for it.
     pub fn rate(&self, now: Millis) -> f64 {
         let even = self.limit / self.nodes as f64;
         let fresh = |heard: Millis| now.since(heard) < self.rules.demand_ttl;
-        let heard: Vec<_> =
-            self.peers.values().filter(|(_, at)| fresh(*at)).map(|(demand, _)| *demand).collect();
+        let heard: Vec<_> = self
+            .peer_demands
+            .values()
+            .filter(|(_, at)| fresh(*at))
+            .map(|(demand, _)| *demand)
+            .collect();
         if heard.len() + 1 < self.nodes {
             return even;
         }
@@ -99,36 +113,37 @@
             + (1.0 - self.rules.even_fraction) * self.limit * own / total
     }
 
-    /// Takes `cost` units out of the allowance.
+    /// Takes `cost` tokens out of the bucket. A cost above the bucket's capacity passes
+    /// once the bucket is full, and leaves it in debt.
     ///
     /// # Errors
     ///
-    /// [`OverLimit`] if it is not there; nothing is taken then.
+    /// [`OverLimit`] if the bucket has too few tokens; none are taken then.
     pub fn take(&mut self, cost: f64, now: Millis) -> Result<(), OverLimit> {
         self.refill(now);
         self.own_demand += cost / self.rules.smoothing.as_secs_f64();
-        if self.saved >= cost.min(self.capacity(now)) {
-            self.saved -= cost;
+        if self.tokens >= cost.min(self.capacity(now)) {
+            self.tokens -= cost;
             return Ok(());
         }
-        let missing = cost.min(self.capacity(now)) - self.saved;
+        let missing = cost.min(self.capacity(now)) - self.tokens;
         let wait = missing / self.rate(now).max(f64::MIN_POSITIVE);
         Err(OverLimit { retry_after: Millis((wait * 1000.0).ceil().min(MAX_WAIT_MS) as u64) })
     }
 
-    /// Takes what a request turned out to cost beyond what was taken before;
-    /// later requests pay for it.
+    /// Takes the cost of a request beyond what was taken at its admission. The bucket
+    /// may go into debt, which delays later requests.
     pub fn charge(&mut self, cost: f64, now: Millis) {
         self.refill(now);
         self.own_demand += cost / self.rules.smoothing.as_secs_f64();
-        self.saved -= cost;
+        self.tokens -= cost;
     }
 
     fn refill(&mut self, now: Millis) {
-        let gained = self.rate(now) * now.since(self.last).as_secs_f64();
+        let refilled = self.rate(now) * now.since(self.last_refill).as_secs_f64();
         self.own_demand = self.demand(now);
-        self.saved = (self.saved + gained).min(self.capacity(now));
-        self.last = self.last.max(now);
+        self.tokens = (self.tokens + refilled).min(self.capacity(now));
+        self.last_refill = self.last_refill.max(now);
     }
 
     fn capacity(&self, now: Millis) -> f64 {
@@ -140,5 +155,5 @@
     }
 }
 
-/// Nobody is told to come back later than after this, in milliseconds.
+/// Upper bound of the retry-after time, in milliseconds.
 const MAX_WAIT_MS: f64 = 60_000.0;
--- a/crates/workshold-core/src/outlier.rs
+++ b/crates/workshold-core/src/outlier.rs
@@ -1,21 +1,22 @@
-//! Upstreams that answer, but worse than their like, get less for a while.
+//! Outlier ejection: upstreams that fail, or answer more slowly than comparable ones,
+//! get fewer requests for a while.
 
 use std::collections::BTreeMap;
 
 use workshold_protocol::Millis;
 
-/// When an upstream is set aside.
+/// When an upstream is ejected, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OutlierRules {
-    /// Set aside above this multiple of the median first-token time.
+    /// An upstream is ejected above this multiple of the median time to first token.
     pub slow_factor: f64,
-    /// Set aside after this many failures in a row.
+    /// An upstream is ejected after this many consecutive failures.
     pub failures: u32,
-    /// For how long the first time; doubles with each time in a row.
+    /// Duration of the first ejection; doubles with each consecutive one.
     pub base_ejection_time: Millis,
-    /// Never set aside more than this share of all.
+    /// The largest fraction of the upstreams that may be ejected at once.
     pub max_share: f64,
-    /// Weight of the newest sample in the average.
+    /// Weight of the newest sample in the moving average.
     pub smoothing: f64,
 }
 
@@ -31,21 +32,21 @@
     }
 }
 
-/// The longest that an upstream is set aside, as a multiple of the first time.
-const MAX_BACKOFF: u32 = 16;
-/// Samples before an average is believed.
+/// Upper bound of an ejection's duration, as a multiple of the first one's.
+const MAX_EJECTION_FACTOR: u32 = 16;
+/// Samples that an average needs before it is compared.
 const MIN_SAMPLES: u32 = 5;
 
 #[derive(Debug, Clone, Default)]
 struct Health {
     first_token_ms: f64,
     samples: u32,
-    failures_in_a_row: u32,
-    times_in_a_row: u32,
-    until: Millis,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
+    ejected_until: Millis,
 }
 
-/// How each upstream of one kind has done of late.
+/// Recent latency and failures of comparable upstreams.
 #[derive(Debug, Clone)]
 pub struct OutlierDetector<K> {
     rules: OutlierRules,
@@ -53,12 +54,12 @@
 }
 
 impl<K: Ord + Clone> OutlierDetector<K> {
-    /// Nothing known yet.
+    /// A detector without samples.
     pub fn new(rules: OutlierRules) -> Self {
         Self { rules, health: BTreeMap::new() }
     }
 
-    /// An upstream answered; `first_token` is what its first token took.
+    /// Records an answer; `first_token` is the time to its first token.
     pub fn on_answer(&mut self, upstream: &K, first_token: Millis, now: Millis) {
         let smoothing = self.rules.smoothing;
         let health = self.health.entry(upstream.clone()).or_default();
@@ -69,29 +70,31 @@
             health.first_token_ms + smoothing * (sample - health.first_token_ms)
         };
         health.samples += 1;
-        health.failures_in_a_row = 0;
+        health.consecutive_failures = 0;
         if self.is_slow(upstream) {
-            self.set_aside(upstream, now);
-        } else if let Some(health) = self.health.get_mut(upstream).filter(|h| h.until <= now) {
-            health.times_in_a_row = 0;
+            self.eject(upstream, now);
+        } else if let Some(health) =
+            self.health.get_mut(upstream).filter(|h| h.ejected_until <= now)
+        {
+            health.consecutive_ejections = 0;
         }
     }
 
-    /// An upstream failed.
+    /// Records a failed request.
     pub fn on_failure(&mut self, upstream: &K, now: Millis) {
         let health = self.health.entry(upstream.clone()).or_default();
-        health.failures_in_a_row += 1;
-        if health.failures_in_a_row >= self.rules.failures {
-            self.set_aside(upstream, now);
+        health.consecutive_failures += 1;
+        if health.consecutive_failures >= self.rules.failures {
+            self.eject(upstream, now);
         }
     }
 
-    /// Whether an upstream is set aside.
+    /// Whether an upstream is ejected at `now`.
     pub fn is_ejected(&self, upstream: &K, now: Millis) -> bool {
-        self.health.get(upstream).is_some_and(|health| health.until > now)
+        self.health.get(upstream).is_some_and(|health| health.ejected_until > now)
     }
 
-    /// Forgets upstreams that are gone.
+    /// Drops upstreams for which `is_there` is false.
     pub fn retain(&mut self, is_there: impl Fn(&K) -> bool) {
         self.health.retain(|upstream, _| is_there(upstream));
     }
@@ -109,19 +112,19 @@
         own.first_token_ms > self.rules.slow_factor * median.max(1.0)
     }
 
-    fn set_aside(&mut self, upstream: &K, now: Millis) {
-        let aside = self.health.values().filter(|health| health.until > now).count();
+    fn eject(&mut self, upstream: &K, now: Millis) {
+        let ejected = self.health.values().filter(|health| health.ejected_until > now).count();
         let limit = (self.health.len() as f64 * self.rules.max_share).floor() as usize;
         let rules = self.rules;
         let Some(health) = self.health.get_mut(upstream) else { return };
-        if health.until > now || aside >= limit {
+        if health.ejected_until > now || ejected >= limit {
             return;
         }
-        let factor = 1_u32 << health.times_in_a_row.min(MAX_BACKOFF.ilog2());
-        health.until = now + Millis(rules.base_ejection_time.0 * u64::from(factor));
-        health.times_in_a_row += 1;
-        health.failures_in_a_row = 0;
-        // It starts afresh when it is back, or it would never be tried again.
+        let factor = 1_u32 << health.consecutive_ejections.min(MAX_EJECTION_FACTOR.ilog2());
+        health.ejected_until = now + Millis(rules.base_ejection_time.0 * u64::from(factor));
+        health.consecutive_ejections += 1;
+        health.consecutive_failures = 0;
+        // Its average starts anew afterwards, or the old one would eject it again at once.
         health.samples = 0;
     }
 }
--- a/crates/workshold-core/src/rendezvous.rs
+++ b/crates/workshold-core/src/rendezvous.rs
@@ -1,14 +1,15 @@
-//! Highest-random-weight hashing: who does what, without anybody deciding.
+//! Rendezvous (highest-random-weight) hashing: nodes agree on who does what without
+//! coordination.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The weight of `candidate` for `key`; stable over processes and versions.
+/// The weight of `candidate` for `key`; the same in all processes and versions.
 pub fn weight(key: &[u8], candidate: &[u8]) -> u64 {
     let seed = xxh3_64_with_seed(key, 0);
     xxh3_64_with_seed(candidate, seed)
 }
 
-/// The candidate with the highest weight.
+/// The candidate with the highest weight; `None` if there are none.
 pub fn first<T>(
     key: &[u8],
     candidates: impl Iterator<Item = T>,
--- a/crates/workshold-core/src/retry.rs
+++ b/crates/workshold-core/src/retry.rs
@@ -1,17 +1,18 @@
-//! Retry budgets: a share of the ordinary requests, so that trouble stays small.
+//! Retry budgets: retries are limited to a fraction of the ordinary requests, so that
+//! they can't multiply the load during an outage.
 
 use workshold_protocol::Millis;
 
-/// How many retries there may be.
+/// Limits and backoff of retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryRules {
-    /// Retries for each ordinary request.
+    /// Retries that each ordinary request adds to the budget.
     pub share: f64,
-    /// Retries that can be saved up.
+    /// Upper bound of the budget, in retries; the budget starts with it.
     pub burst: f64,
-    /// Attempts of one request, the first included.
+    /// Attempts per request, the first one included.
     pub max_attempts: u32,
-    /// Wait before the first retry; doubles with each.
+    /// Backoff before the first retry; doubles with each further one.
     pub backoff: Millis,
 }
 
@@ -21,35 +22,35 @@
     }
 }
 
-/// The retries that one team has left for one model or service.
+/// The retry budget of one team for one model or service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryBudget {
     rules: RetryRules,
-    left: f64,
+    retries_left: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// A full budget, of `burst` retries.
     pub fn new(rules: RetryRules) -> Self {
-        Self { rules, left: rules.burst }
+        Self { rules, retries_left: rules.burst }
     }
 
-    /// An ordinary request earns a share of a retry.
+    /// Adds the fraction of a retry that an ordinary request earns.
     pub fn on_request(&mut self) {
-        self.left = (self.left + self.rules.share).min(self.rules.burst);
+        self.retries_left = (self.retries_left + self.rules.share).min(self.rules.burst);
     }
 
-    /// Takes one retry if there is one.
+    /// Takes one retry out of the budget; returns false if there is none.
     pub fn take(&mut self) -> bool {
-        let has_one = self.left >= 1.0;
-        if has_one {
-            self.left -= 1.0;
+        let is_available = self.retries_left >= 1.0;
+        if is_available {
+            self.retries_left -= 1.0;
         }
-        has_one
+        is_available
     }
 
-    /// How long to wait before attempt `attempt`, between half and the whole of
-    /// the step; `draw` is uniform in 0 to 1.
+    /// The backoff before attempt number `attempt`: exponential with jitter between half
+    /// and the whole of the step. `draw` is a random number, uniform in 0 to 1.
     pub fn backoff(&self, attempt: u32, draw: f64) -> Millis {
         let doublings = attempt.saturating_sub(2).min(10);
         let step = self.rules.backoff.0 << doublings;
--- a/crates/workshold-core/src/routing.rs
+++ b/crates/workshold-core/src/routing.rs
@@ -1,11 +1,12 @@
-//! Which group gets a request.
+//! Chooses the group for a request, by load and by prefix affinity.
 //!
-//! Each candidate's expected time to the first token is estimated from its load
-//! (its last report, corrected for what this node sent since), from how much of
-//! the prompt it probably has cached, and from how far away it is. The prompt's
-//! beginning ranks the candidates by rendezvous, alike on every node, so that
-//! equal beginnings meet in one cache without any node telling another. The
-//! best-ranked candidate within a bound of the mean load wins.
+//! A candidate's load is its last report, corrected for what this node has sent to
+//! it since. Groups in this data centre are preferred while they have room, and the
+//! group that got the longest known prefix of the prompt is preferred while its load
+//! is within a bound of the mean. Otherwise the prompt's first block ranks the
+//! candidates by rendezvous hashing: alike on every node, so that equal prefixes meet
+//! in one cache without any messages between nodes. Of the best-ranked candidates
+//! within the bound, the least utilised one is chosen.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -16,71 +17,76 @@
 use crate::prefix::PrefixChain;
 use crate::rendezvous;
 
-/// What routing weighs.
+/// Parameters of the choice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RoutingRules {
-    /// No group goes above this multiple of the mean utilisation...
+    /// Prefix affinity applies to groups whose utilisation is at most this multiple of
+    /// the mean,
     pub load_bound: f64,
-    /// ...unless it still has this many slots' worth of room above it.
+    /// or at most what this many occupied slots make, so that nearly idle groups are
+    /// not excluded by a low mean.
     pub slack_slots: f64,
-    /// How many of the best-ranked candidates a cold prefix may go to.
+    /// Number of best-ranked candidates that a prefix without a known group may go to.
     pub spread: usize,
-    /// How many prefixes are remembered.
-    pub max_hints: usize,
+    /// Number of prefixes whose group is remembered.
+    pub max_prefixes: usize,
 }
 
 impl Default for RoutingRules {
     fn default() -> Self {
-        Self { load_bound: 2.0, slack_slots: 1.0, spread: 2, max_hints: 65_536 }
+        Self { load_bound: 2.0, slack_slots: 1.0, spread: 2, max_prefixes: 65_536 }
     }
 }
 
-/// A group that could serve a request.
+/// A ready group that could serve a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate<'a> {
     /// The group.
     pub group: &'a GroupId,
-    /// Requests in it when it last reported.
+    /// Requests in it, running and queued, by its last report.
     pub reported: u32,
-    /// Since when that is true, by this node's clock.
+    /// Earliest time, by this node's clock, at which that report was true.
     pub true_since: Millis,
-    /// Requests that it works on at once.
+    /// Requests that it can run at once.
     pub slots: u32,
-    /// Share of its full speed that it has; smaller roles have less.
+    /// Its speed relative to the model's best role; smaller roles are slower.
     pub worth: f64,
     /// Whether it is in another data centre.
     pub is_remote: bool,
-    /// Whether it does worse than its like.
+    /// Whether outlier detection has ejected it.
     pub is_ejected: bool,
 }
 
-/// Which prefix was sent where, and what this node has under way.
+/// The router of one model at one node: the groups that prefixes were sent to, and this
+/// node's own requests per group.
 #[derive(Debug, Clone)]
 pub struct Router {
     rules: RoutingRules,
-    hints: HashMap<u64, GroupId>,
-    hint_order: VecDeque<u64>,
-    own: HashMap<GroupId, OwnLoad>,
+    prefix_groups: HashMap<u64, GroupId>,
+    prefix_order: VecDeque<u64>,
+    own: HashMap<GroupId, OwnRequests>,
 }
 
-/// What this node sent to one group and got back of late.
+/// This node's requests at one group: the number in flight, and the times at which
+/// recent ones were sent and finished.
 #[derive(Debug, Clone, Default)]
-struct OwnLoad {
+struct OwnRequests {
     in_flight: u32,
     sent: VecDeque<Millis>,
     done: VecDeque<Millis>,
 }
 
-/// Events older than any report that is still believed are dropped.
-const OWN_EVENTS_KEPT: usize = 4096;
+/// Bound of these times per group and kind; the oldest are dropped, since only those
+/// later than the group's last report count.
+const MAX_OWN_EVENTS: usize = 4096;
 
-fn after(events: &VecDeque<Millis>, since: Millis) -> u32 {
+fn count_since(events: &VecDeque<Millis>, since: Millis) -> u32 {
     events.iter().rev().take_while(|at| **at >= since).count() as u32
 }
 
-impl OwnLoad {
-    fn note(events: &mut VecDeque<Millis>, now: Millis) {
-        if events.len() == OWN_EVENTS_KEPT {
+impl OwnRequests {
+    fn push_bounded(events: &mut VecDeque<Millis>, now: Millis) {
+        if events.len() == MAX_OWN_EVENTS {
             events.pop_front();
         }
         events.push_back(now);
@@ -88,23 +94,29 @@
 }
 
 impl Router {
-    /// Nothing known yet.
+    /// A router that has sent nothing.
     pub fn new(rules: RoutingRules) -> Self {
-        Self { rules, hints: HashMap::new(), hint_order: VecDeque::new(), own: HashMap::new() }
+        Self {
+            rules,
+            prefix_groups: HashMap::new(),
+            prefix_order: VecDeque::new(),
+            own: HashMap::new(),
+        }
     }
 
-    /// Requests at a candidate: what it reported, plus what this node sent since
-    /// and less what came back. Never below what this node has there.
+    /// Estimated requests at a candidate: its reported ones plus those that this node
+    /// has sent since, minus those that have finished; at least this node's own requests
+    /// in flight there.
     pub fn load(&self, candidate: &Candidate<'_>) -> f64 {
         let Some(own) = self.own.get(candidate.group) else {
             return f64::from(candidate.reported);
         };
-        let sent = f64::from(after(&own.sent, candidate.true_since));
-        let done = f64::from(after(&own.done, candidate.true_since));
+        let sent = f64::from(count_since(&own.sent, candidate.true_since));
+        let done = f64::from(count_since(&own.done, candidate.true_since));
         (f64::from(candidate.reported) + sent - done).max(f64::from(own.in_flight))
     }
 
-    /// Chooses a group for a prompt; `None` without candidates.
+    /// Chooses a group for a prompt; `None` if there are no candidates.
     pub fn choose<'a>(
         &self,
         chain: &PrefixChain,
@@ -116,8 +128,8 @@
         let fits = |(c, util): &(&Candidate<'a>, f64)| {
             *util <= bound.max(self.rules.slack_slots / f64::from(c.slots.max(1)))
         };
-        if let Some(hinted) = self.hinted(chain)
-            && let Some(found) = scored.iter().find(|(c, _)| c.group == hinted)
+        if let Some(group_of_longest_prefix) = self.group_of_longest_prefix(chain)
+            && let Some(found) = scored.iter().find(|(c, _)| c.group == group_of_longest_prefix)
             && fits(found)
         {
             return Some(found.0.group);
@@ -128,7 +140,7 @@
         let best = ranked.iter().take(self.rules.spread);
         let least = |a: &&(&Candidate<'a>, f64), b: &&(&Candidate<'a>, f64)| a.1.total_cmp(&b.1);
         let chosen = if chain.hashes().is_empty() {
-            // Nothing to share: the least loaded of all.
+            // Without a prefix to share, the least utilised of all.
             scored.iter().min_by(least)
         } else {
             best.min_by(least).or_else(|| scored.iter().min_by(least))
@@ -136,34 +148,38 @@
         chosen.map(|(candidate, _)| candidate.group)
     }
 
-    /// Takes note that a prompt went to `group`.
+    /// Records that a prompt was sent to `group`.
     pub fn on_sent(&mut self, chain: &PrefixChain, group: &GroupId, now: Millis) {
         let own = self.own.entry(group.clone()).or_default();
         own.in_flight += 1;
-        OwnLoad::note(&mut own.sent, now);
-        chain.hashes().iter().for_each(|hash| self.learn(*hash, group));
+        OwnRequests::push_bounded(&mut own.sent, now);
+        chain.hashes().iter().for_each(|hash| self.remember_prefix(*hash, group));
     }
 
-    /// Takes note that a request at `group` is over.
+    /// Records that a request at `group` has finished.
     pub fn on_done(&mut self, group: &GroupId, now: Millis) {
         let Some(own) = self.own.get_mut(group) else { return };
         own.in_flight = own.in_flight.saturating_sub(1);
-        OwnLoad::note(&mut own.done, now);
+        OwnRequests::push_bounded(&mut own.done, now);
     }
 
-    /// Forgets groups that are gone.
+    /// Drops groups for which `is_there` is false; counts of requests in flight stay.
     pub fn retain(&mut self, is_there: impl Fn(&GroupId) -> bool) {
         self.own.retain(|group, own| own.in_flight > 0 || is_there(group));
-        self.hints.retain(|_, group| is_there(group));
+        self.prefix_groups.retain(|_, group| is_there(group));
     }
 
-    /// The nearest that are not set aside; all, if there are no such.
+    /// The candidates that are not ejected (all, if every one is), and of these the ones
+    /// in this data centre that have room, if there are any.
     fn usable<'b, 'a>(&self, candidates: &'b [Candidate<'a>]) -> Vec<&'b Candidate<'a>> {
-        let has_room = |c: &&Candidate<'a>| self.load(c) < f64::from(c.slots) * OVERFLOW;
-        let good: Vec<_> = candidates.iter().filter(|c| !c.is_ejected).collect();
-        let good = if good.is_empty() { candidates.iter().collect() } else { good };
-        let near: Vec<_> = good.iter().filter(|c| !c.is_remote && has_room(c)).copied().collect();
-        if near.is_empty() { good } else { near }
+        let has_room =
+            |c: &&Candidate<'a>| self.load(c) < f64::from(c.slots) * OVERFLOW_LOAD_PER_SLOT;
+        let not_ejected: Vec<_> = candidates.iter().filter(|c| !c.is_ejected).collect();
+        let eligible =
+            if not_ejected.is_empty() { candidates.iter().collect() } else { not_ejected };
+        let local: Vec<_> =
+            eligible.iter().filter(|c| !c.is_remote && has_room(c)).copied().collect();
+        if local.is_empty() { eligible } else { local }
     }
 
     fn utilisation(&self, candidate: &Candidate<'_>) -> f64 {
@@ -175,22 +191,22 @@
         mean * self.rules.load_bound
     }
 
-    /// Where the longest known beginning of the prompt went.
-    fn hinted(&self, chain: &PrefixChain) -> Option<&GroupId> {
-        chain.hashes().iter().rev().find_map(|hash| self.hints.get(hash))
+    /// The group that the longest known prefix of the prompt was sent to.
+    fn group_of_longest_prefix(&self, chain: &PrefixChain) -> Option<&GroupId> {
+        chain.hashes().iter().rev().find_map(|hash| self.prefix_groups.get(hash))
     }
 
-    fn learn(&mut self, hash: u64, group: &GroupId) {
-        if self.hints.insert(hash, group.clone()).is_none() {
-            self.hint_order.push_back(hash);
+    fn remember_prefix(&mut self, hash: u64, group: &GroupId) {
+        if self.prefix_groups.insert(hash, group.clone()).is_none() {
+            self.prefix_order.push_back(hash);
         }
-        while self.hint_order.len() > self.rules.max_hints {
-            if let Some(oldest) = self.hint_order.pop_front() {
-                self.hints.remove(&oldest);
+        while self.prefix_order.len() > self.rules.max_prefixes {
+            if let Some(oldest) = self.prefix_order.pop_front() {
+                self.prefix_groups.remove(&oldest);
             }
         }
     }
 }
 
-/// A near group is passed over for a far one only when it is this full.
-const OVERFLOW: f64 = 1.0;
+/// A group of this data centre is skipped in favour of a remote one at this load per slot.
+const OVERFLOW_LOAD_PER_SLOT: f64 = 1.0;
