--- a/crates/workshold-core/src/checkpointing.rs
+++ b/crates/workshold-core/src/checkpointing.rs
@@ -1,4 +1,5 @@
-//! When to restate what lasts, and when to forget keys.
+//! When to append a checkpoint of the state to the log, and when to expire
+//! idempotency keys.
 
 use workshold_protocol::Millis;
 use workshold_protocol::ids::NodeId;
@@ -9,40 +10,41 @@
 use crate::rendezvous;
 use crate::state::State;
 
-/// How often the log's upkeep is due.
+/// Intervals of the log maintenance.
 #[derive(Debug, Clone, Copy)]
 pub struct LogMaintenanceRules {
-    /// Time between checkpoints; well below half of the log's retention.
+    /// Time between checkpoints; must stay well below half of the log's retention.
     pub checkpoint_every: Millis,
-    /// Records between checkpoints, so that a new node replays no more.
+    /// Records between checkpoints; bounds what a new node has to replay.
     pub checkpoint_records: u64,
-    /// How long idempotency keys are remembered.
+    /// How long idempotency keys are kept.
     pub key_window: Millis,
-    /// Time between records that forget keys.
+    /// Least time by which one expiry record raises the floor of the keys.
     pub forget_every: Millis,
 }
 
-/// What the writer of checkpoints knows.
+/// What a node knows when it decides on log maintenance.
 #[derive(Debug, Clone, Copy)]
 pub struct LogMaintenanceView<'a> {
-    /// What lasts.
+    /// The replayed state.
     pub state: &'a State,
-    /// The offset of the last checkpoint.
+    /// Offset of the last checkpoint record; `None` if none was read.
     pub last_checkpoint: Option<Offset>,
-    /// When this node saw it, by its own clock.
+    /// When this node read it, by its monotonic clock.
     pub checkpoint_seen: Millis,
-    /// This node's clock.
+    /// This node's monotonic clock.
     pub now: Millis,
-    /// The time of day as this node believes it.
+    /// This node's wall clock, which the keys' creation times are compared with.
     pub wall: Millis,
 }
 
-/// The node that keeps the log in order; several at once do no harm.
+/// The node that maintains the log. Nodes that see different members may choose
+/// different ones; duplicate maintenance records are harmless.
 pub fn log_maintainer<'a>(nodes: impl Iterator<Item = &'a NodeId>) -> Option<&'a NodeId> {
     rendezvous::first(b"log keeper", nodes, |node| node.as_str().as_bytes())
 }
 
-/// The facts that are due.
+/// The facts that are due to be appended: a checkpoint, a new floor for keys.
 pub fn due(view: &LogMaintenanceView<'_>, rules: &LogMaintenanceRules) -> Vec<Fact> {
     let mut facts = Vec::new();
     if checkpoint_is_due(view, rules) {
--- a/crates/workshold-core/src/fleet.rs
+++ b/crates/workshold-core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The aggregate of groups, the instances they claim, and planned stops.
+//! The groups in the log, the instances that they claim, and planned stops.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,61 +24,63 @@
 use crate::bundles::InForce;
 use crate::state::Rejection;
 
-/// How many releases are remembered one by one; see [`Fleet::form`].
+/// Releases whose offset is kept per instance; older ones only raise
+/// `free_since_floor`, which bounds the size of the state.
 const MAX_RELEASES: usize = 4096;
 
-/// Which instance is in which group.
+/// Groups, and which group claims which instance.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fleet {
     groups: BTreeMap<GroupId, Group>,
     claims: BTreeMap<InstanceId, GroupId>,
-    /// For an instance that was free again, the first offset after its release.
+    /// For an instance that was released, the first offset after its last release.
     free_since: BTreeMap<InstanceId, Offset>,
-    /// The same for all whose entry was dropped.
+    /// Upper bound of that offset for instances that have no entry.
     free_since_floor: Offset,
     stopping: BTreeSet<InstanceId>,
 }
 
-/// A replica group.
+/// Instances that serve one replica of a model together.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Group {
-    /// Its name.
+    /// Its name, new for each formation.
     pub id: GroupId,
-    /// The offset of its formation, which every order and report names.
+    /// Its fencing token: the log offset of its formation. Orders to its members
+    /// and their reports carry it.
     pub fence: Fence,
-    /// What it serves.
+    /// The model that it serves.
     pub model: ModelName,
-    /// Which version of it.
+    /// The version of that model.
     pub version: Version,
-    /// Which of the model's sizes it has.
+    /// Which of the model's roles (group sizes) it has.
     pub role: RoleName,
-    /// Where its members are.
+    /// The fabric domain that all its members are in.
     pub domain: FabricDomain,
-    /// Its members, the one that serves callers first.
+    /// Its members; the first one, its head, serves callers.
     pub members: Vec<Member>,
-    /// The group it stands in for, if any.
+    /// The group that it was formed to replace, if any.
     pub replaces: Option<Replaced>,
-    /// How far its life has come.
+    /// Its phase, from formation to dissolution.
     pub phase: Phase,
 }
 
-/// How far a group's life has come.
+/// The phases of a group, in order; draining can be skipped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
     /// It may serve.
     Active,
-    /// It takes nothing new.
+    /// It finishes its requests and takes no new ones.
     Draining {
-        /// The offset that says so; orders to drain carry it.
+        /// Offset of the record that drains it; orders to drain carry it.
         since: Offset,
-        /// Why.
+        /// Why it is drained.
         cause: EndCause,
     },
-    /// It is over; its members are being ordered out.
+    /// It has ended; its members are ordered to leave and stay claimed until released.
     Dissolved {
-        /// The offset that says so; orders to leave carry it.
+        /// Offset of the record that dissolved it; orders to leave carry it.
         since: Offset,
-        /// Why.
+        /// Why it was dissolved.
         cause: EndCause,
     },
 }
@@ -89,54 +91,54 @@
         &self.members[0]
     }
 
-    /// Whether `instance` is one of its members.
+    /// Whether `instance` is a member.
     pub fn has(&self, instance: &InstanceId) -> bool {
         self.members.iter().any(|member| &member.instance == instance)
     }
 
-    /// Orders groups from the oldest; those of one record by name.
+    /// Sort key: oldest group first, groups formed by one record by name.
     pub fn age_key(&self) -> (Fence, &GroupId) {
         (self.fence, &self.id)
     }
 
-    /// Whether it may serve, as far as the log says.
+    /// Whether the log allows it to serve: neither draining nor dissolved.
     pub fn is_active(&self) -> bool {
         self.phase == Phase::Active
     }
 
-    /// Whether it has ended.
+    /// Whether it has ended, with members that may still be claimed.
     pub fn is_dissolved(&self) -> bool {
         matches!(self.phase, Phase::Dissolved { .. })
     }
 }
 
 impl Fleet {
-    /// All groups that still claim an instance.
+    /// All groups that claim at least one instance, dissolved ones included.
     pub fn groups(&self) -> impl Iterator<Item = &Group> {
         self.groups.values()
     }
 
-    /// One group.
+    /// The group `id`; `None` if it never existed or all its members are released.
     pub fn group(&self, id: &GroupId) -> Option<&Group> {
         self.groups.get(id)
     }
 
-    /// The group that claims `instance`.
+    /// The group that claims `instance`; `None` if the instance is free.
     pub fn claim_of(&self, instance: &InstanceId) -> Option<&GroupId> {
         self.claims.get(instance)
     }
 
-    /// Whether an operator wants `instance` out of service.
+    /// Whether an operator has requested that `instance` be taken out of service.
     pub fn is_stopping(&self, instance: &InstanceId) -> bool {
         self.stopping.contains(instance)
     }
 
-    /// Instances that operators want out of service.
+    /// Instances that operators have requested to be taken out of service.
     pub fn stopping(&self) -> impl Iterator<Item = &InstanceId> {
         self.stopping.iter()
     }
 
-    /// The groups of `model` and `version` that may serve.
+    /// The active groups of `model` in `version`.
     pub fn active_of<'a>(
         &'a self,
         model: &'a ModelName,
@@ -149,13 +151,14 @@
 
     /// Claims free instances for a new group.
     ///
-    /// The writer says how far it had read. An instance that was claimed and
-    /// released after that makes the formation stale, so a late copy of an old
-    /// formation never claims it again.
+    /// A formation states up to which offset its writer had read the log. An
+    /// instance that was claimed and released after that offset makes the
+    /// formation stale, so a late duplicate of an old formation never claims the
+    /// instance again.
     ///
     /// # Errors
     ///
-    /// The [`Rejection`] names the first thing that has moved.
+    /// The [`Rejection`] names the first precondition that no longer holds.
     pub fn form(
         &mut self,
         formation: &Formation,
@@ -164,7 +167,7 @@
     ) -> Result<(), Rejection> {
         self.check_wanted(formation, in_force)?;
         if self.groups.contains_key(&formation.group) {
-            return Err(Rejection::Known);
+            return Err(Rejection::NoChange);
         }
         self.check_members(formation)?;
         for member in &formation.members {
@@ -180,9 +183,9 @@
         formation: &Formation,
         in_force: Option<&InForce>,
     ) -> Result<(), Rejection> {
-        let in_force = in_force.ok_or(Rejection::BundleMoved { in_force: None })?;
+        let in_force = in_force.ok_or(Rejection::BundleChanged { in_force: None })?;
         if in_force.hash != formation.bundle {
-            return Err(Rejection::BundleMoved { in_force: Some(in_force.hash) });
+            return Err(Rejection::BundleChanged { in_force: Some(in_force.hash) });
         }
         let model = in_force.bundle.models.get(&formation.model).ok_or(Rejection::NotWanted)?;
         let role = model.role(&formation.role).ok_or(Rejection::NotWanted)?;
@@ -196,7 +199,8 @@
         Ok(())
     }
 
-    /// Whether the group to be replaced is still active and nobody else replaces it.
+    /// Whether the formation replaces a group that is still active and that no other
+    /// group replaces.
     fn may_replace(&self, formation: &Formation) -> bool {
         let Some(replaced) = &formation.replaces else { return false };
         let old = self.groups.get(&replaced.group);
@@ -206,7 +210,7 @@
         is_there && self.replacement_of(&replaced.group).is_none()
     }
 
-    /// The active group that stands in for `group`.
+    /// The active group that was formed to replace `group`.
     pub fn replacement_of(&self, group: &GroupId) -> Option<&Group> {
         self.groups().find(|other| {
             let replaced = other.replaces.as_ref();
@@ -222,52 +226,53 @@
             }
             let free_since = self.free_since.get(instance).unwrap_or(&self.free_since_floor);
             if *free_since > formation.relied_on || self.stopping.contains(instance) {
-                return Err(Rejection::InstanceMoved { instance: instance.clone() });
+                return Err(Rejection::InstanceChanged { instance: instance.clone() });
             }
         }
         Ok(())
     }
 
-    /// Lets a group take nothing new.
+    /// Starts to drain a group.
     ///
     /// # Errors
     ///
-    /// [`Rejection::GroupMoved`] unless the group is active under that fence.
+    /// [`Rejection::GroupChanged`] unless the group is active and has that fencing token.
     pub fn drain(&mut self, end: &GroupEnd, at: Offset) -> Result<(), Rejection> {
         let group = self.fenced_group(&end.group, end.fence)?;
         if !group.is_active() {
-            return Err(Rejection::GroupMoved);
+            return Err(Rejection::GroupChanged);
         }
         group.phase = Phase::Draining { since: at, cause: end.cause };
         Ok(())
     }
 
-    /// Ends a group.
+    /// Dissolves a group; its members stay claimed until they are released.
     ///
     /// # Errors
     ///
-    /// [`Rejection::GroupMoved`] if it has ended or the fence is another.
+    /// [`Rejection::GroupChanged`] if it is dissolved already, unknown, or has another
+    /// fencing token.
     pub fn dissolve(&mut self, end: &GroupEnd, at: Offset) -> Result<(), Rejection> {
         let group = self.fenced_group(&end.group, end.fence)?;
         if group.is_dissolved() {
-            return Err(Rejection::GroupMoved);
+            return Err(Rejection::GroupChanged);
         }
         group.phase = Phase::Dissolved { since: at, cause: end.cause };
         Ok(())
     }
 
-    /// Frees a member of an ended group.
+    /// Releases a member of a dissolved group; the last release removes the group.
     ///
     /// # Errors
     ///
-    /// [`Rejection::GroupMoved`] if the group is not over or another by now,
-    /// [`Rejection::InstanceMoved`] if it does not claim the instance.
+    /// [`Rejection::GroupChanged`] if the group is unknown, not dissolved, or has another
+    /// fencing token, [`Rejection::InstanceChanged`] if it does not claim the instance.
     pub fn release(&mut self, release: &Release, at: Offset) -> Result<(), Rejection> {
         if !self.fenced_group(&release.group, release.fence)?.is_dissolved() {
-            return Err(Rejection::GroupMoved);
+            return Err(Rejection::GroupChanged);
         }
         if self.claims.get(&release.instance) != Some(&release.group) {
-            return Err(Rejection::InstanceMoved { instance: release.instance.clone() });
+            return Err(Rejection::InstanceChanged { instance: release.instance.clone() });
         }
         self.claims.remove(&release.instance);
         self.free_since.insert(release.instance.clone(), at.next());
@@ -278,23 +283,23 @@
         Ok(())
     }
 
-    /// Asks for an instance to be taken out of service, or takes that back.
+    /// Records or withdraws an operator's request to take an instance out of service.
     ///
     /// # Errors
     ///
-    /// [`Rejection::Known`] if it is so already.
+    /// [`Rejection::NoChange`] if that changes nothing.
     pub fn request_stop(&mut self, request: &StopRequest) -> Result<(), Rejection> {
         let changed = if request.stop {
             self.stopping.insert(request.instance.clone())
         } else {
             self.stopping.remove(&request.instance)
         };
-        if changed { Ok(()) } else { Err(Rejection::Known) }
+        if changed { Ok(()) } else { Err(Rejection::NoChange) }
     }
 
     fn fenced_group(&mut self, id: &GroupId, fence: Fence) -> Result<&mut Group, Rejection> {
-        let group = self.groups.get_mut(id).ok_or(Rejection::GroupMoved)?;
-        if group.fence == fence { Ok(group) } else { Err(Rejection::GroupMoved) }
+        let group = self.groups.get_mut(id).ok_or(Rejection::GroupChanged)?;
+        if group.fence == fence { Ok(group) } else { Err(Rejection::GroupChanged) }
     }
 
     fn drop_oldest_release(&mut self) {
--- a/crates/workshold-core/src/keys.rs
+++ b/crates/workshold-core/src/keys.rs
@@ -1,8 +1,8 @@
-//! The aggregate of idempotency keys: which node may run which request.
+//! The idempotency keys in the log: which node may run the request of which key.
 //!
-//! A key carries the time it was made (UUID version 7). Keys made before the
-//! floor are forgotten *and refused*, so what is forgotten never runs again. The
-//! floor is itself a record, so every node refuses the same keys.
+//! A key contains its creation time (UUID version 7). Keys created before the floor
+//! are forgotten *and refused*, so the request of a forgotten key never runs again.
+//! The floor is set by log records, so every node refuses the same keys.
 
 use std::collections::BTreeMap;
 
@@ -21,43 +21,43 @@
 
 use crate::state::Rejection;
 
-/// The keys that are remembered.
+/// The keys that are known, and the time before which keys are refused.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Keys {
     owners: BTreeMap<KeyDigest, Owner>,
     floor: Millis,
 }
 
-/// The one node that may run a key's request.
+/// The one node that may run the request of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Owner {
     /// The node.
     pub node: NodeId,
-    /// The one of its lives in which it may.
+    /// The only incarnation of the node that may run the request.
     pub incarnation: Incarnation,
-    /// What was asked.
+    /// Digest of the request.
     pub request: RequestDigest,
-    /// When the key was made.
+    /// Creation time of the key.
     pub key_time: Millis,
-    /// The offset of the intent.
+    /// Log offset of the intent that claimed the key.
     pub at: Offset,
 }
 
-/// What a node that is asked to run a request finds under its key.
+/// What the log says of the key of a request that arrives at a node.
 #[derive(Debug, PartialEq, Eq)]
 pub enum KeyStatus<'a> {
-    /// Nobody has it: an intent may be written.
+    /// No node owns the key: a node may append an intent to claim it.
     Free,
-    /// Somebody has it, for the same request.
+    /// A node owns the key, for the same request.
     Owned(&'a Owner),
-    /// Somebody has it, for another request.
+    /// A node owns the key, for another request.
     Reused,
-    /// It is older than what is remembered.
+    /// The key was created before the floor.
     Forgotten,
 }
 
 impl Keys {
-    /// What is known of a key.
+    /// Looks up `key`, which was created at `time` and came with `request`.
     pub fn status(&self, key: &KeyDigest, time: Millis, request: &RequestDigest) -> KeyStatus<'_> {
         match self.owners.get(key) {
             Some(owner) if &owner.request == request => KeyStatus::Owned(owner),
@@ -67,27 +67,27 @@
         }
     }
 
-    /// Keys made before this are refused.
+    /// Keys created before this time are refused.
     pub fn floor(&self) -> Millis {
         self.floor
     }
 
-    /// How many keys are remembered.
+    /// Number of known keys.
     pub fn len(&self) -> usize {
         self.owners.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is known.
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
     }
 
-    /// Gives a key to the first node that asks for it in log order.
+    /// Gives a key to the node whose intent comes first in the log.
     ///
     /// # Errors
     ///
-    /// [`Rejection::KeyTaken`] if a node has it, [`Rejection::KeyForgotten`] if
-    /// the key is older than the floor.
+    /// [`Rejection::KeyTaken`] if a node owns the key already,
+    /// [`Rejection::KeyForgotten`] if the key was created before the floor.
     pub fn claim(&mut self, intent: &Intent, at: Offset) -> Result<(), Rejection> {
         if intent.key_time < self.floor {
             return Err(Rejection::KeyForgotten);
@@ -110,10 +110,10 @@
     ///
     /// # Errors
     ///
-    /// [`Rejection::Known`] if the floor is there or higher already.
+    /// [`Rejection::NoChange`] if the floor is as high already.
     pub fn forget(&mut self, floor: KeyFloor) -> Result<(), Rejection> {
         if floor.before <= self.floor {
-            return Err(Rejection::Known);
+            return Err(Rejection::NoChange);
         }
         self.floor = floor.before;
         self.owners.retain(|_, owner| owner.key_time >= floor.before);
@@ -121,11 +121,11 @@
     }
 }
 
-/// Reads the time out of a caller's idempotency key.
+/// Extracts the creation time from a caller's idempotency key.
 ///
 /// # Errors
 ///
-/// [`Error::BadIdempotencyKey`] unless it is a UUID of version 7.
+/// [`Error::BadIdempotencyKey`] unless the key is a UUID of version 7.
 pub fn key_time(key: &str) -> Result<Millis, Error> {
     let uuid = Uuid::parse_str(key).map_err(|_| Error::BadIdempotencyKey)?;
     if uuid.get_version_num() != 7 {
--- a/crates/workshold-core/src/replay.rs
+++ b/crates/workshold-core/src/replay.rs
@@ -1,4 +1,5 @@
-//! Feeding the log to the state: catching up, checkpoints, divergence.
+//! Replays the log into the state: start from a checkpoint, application of records,
+//! detection of diverged histories.
 
 use std::collections::VecDeque;
 
@@ -12,10 +13,10 @@
 use crate::state::Outcome;
 use crate::state::State;
 
-/// How many past digests are kept to compare with checkpoints of others.
+/// Past digests that are kept for comparison with checkpoints of other nodes.
 const DIGESTS_KEPT: usize = 4096;
 
-/// A state that is fed from the log.
+/// The state, with what is needed to apply further records of the log.
 #[derive(Debug, Clone, Default)]
 pub struct Replay {
     state: State,
@@ -23,44 +24,46 @@
     last_checkpoint: Option<Offset>,
 }
 
-/// What one record did.
+/// The effect of one record.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReplayOutcome {
-    /// It was applied; one outcome for each fact.
+    /// It was applied; one outcome for each of its facts.
     Applied(Vec<Outcome>),
-    /// It lies before what is known already.
+    /// Its offset is in the state already; nothing was done.
     Old,
-    /// A checkpoint names another history than this one: a broken invariant.
+    /// It contains a checkpoint of another history than this node's, which must never
+    /// happen. The record was not applied.
     Diverged {
-        /// The offset up to which the histories were compared.
+        /// The checkpoint's offset, at which the digests differ.
         next: Offset,
     },
 }
 
-/// What a node that starts can do with the part of the log it was given.
+/// How a node can start from the retained part of the log.
 #[derive(Debug)]
 pub enum ReplayStart {
-    /// It can go on from this state.
+    /// It can replay from this state on.
     From(Box<Replay>),
-    /// The log's beginning is gone and nothing retained restates it.
+    /// The beginning of the log is no longer retained, and no checkpoint replaces it.
     NoCheckpoint,
 }
 
 impl Replay {
-    /// The state so far.
+    /// The state after the records replayed so far.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The offset of the last checkpoint that was read, if any.
+    /// The offset of the last replayed record with a checkpoint, if any.
     pub fn last_checkpoint(&self) -> Option<Offset> {
         self.last_checkpoint
     }
 
-    /// Starts from what the log still has: `first` is its first offset, and
-    /// `checkpoints` are those found, oldest first.
+    /// Starts from the retained part of the log: `first` is its first offset, and
+    /// `checkpoints` are those found in it, oldest first.
     ///
-    /// A checkpoint serves only if all records from its `next` on are there.
+    /// The newest readable checkpoint is used of those whose records from `next` on
+    /// are all retained.
     pub fn start(first: Offset, checkpoints: &[Checkpoint]) -> ReplayStart {
         let usable = checkpoints.iter().rev().filter(|checkpoint| checkpoint.next >= first);
         for checkpoint in usable {
@@ -75,11 +78,12 @@
         }
     }
 
-    /// Takes the record at `offset`; `None` stands for one that is not ours.
+    /// Applies the record at `offset`; `None` stands for a record that is not part of
+    /// this deployment and is skipped.
     ///
     /// # Errors
     ///
-    /// [`ApplyError::Gap`] if records before it are missing.
+    /// [`ApplyError::Gap`] if a record before it has not been replayed.
     pub fn take(
         &mut self,
         offset: Offset,
@@ -107,8 +111,8 @@
 
     fn divergence(&self, envelope: &Envelope) -> Option<Offset> {
         checkpoints_of(envelope).find_map(|checkpoint| {
-            let mine = self.digest_at(checkpoint.next)?;
-            (mine != checkpoint.digest).then_some(checkpoint.next)
+            let own = self.digest_at(checkpoint.next)?;
+            (own != checkpoint.digest).then_some(checkpoint.next)
         })
     }
 
@@ -125,7 +129,7 @@
     }
 }
 
-/// The checkpoints in a record.
+/// The checkpoints among the facts of a record.
 pub fn checkpoints_of(envelope: &Envelope) -> impl Iterator<Item = &Checkpoint> {
     envelope.facts.iter().filter_map(|fact| match fact {
         Fact::Checkpoint(checkpoint) => Some(checkpoint),
--- a/crates/workshold-core/src/state.rs
+++ b/crates/workshold-core/src/state.rs
@@ -1,4 +1,4 @@
-//! The fold of the log: one state, one way to apply a record.
+//! The state that results from the log, and the only way to apply a record to it.
 
 use base64_state::decode;
 use base64_state::encode;
@@ -17,16 +17,16 @@
 use crate::fleet::Fleet;
 use crate::keys::Keys;
 
-/// All that lasts, as of some offset of the log.
+/// The durable state as of an offset of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct State {
     next: Offset,
     digest: StateDigest,
-    /// Published and signed-off bundles.
+    /// Published bundles and the one in force.
     pub bundles: Bundles,
-    /// Groups and their instances.
+    /// Groups, the instances that they claim, and planned stops.
     pub fleet: Fleet,
-    /// Idempotency keys.
+    /// Idempotency keys and their owners.
     pub keys: Keys,
 }
 
@@ -42,49 +42,54 @@
     }
 }
 
-/// What became of a fact.
+/// Whether a fact was accepted, or why it was rejected.
 pub type Outcome = Result<(), Rejection>;
 
-/// Why a fact did not count. None of these is an error: somebody was faster.
+/// Why a fact was rejected: a precondition no longer held, as another record came first
+/// in the log. That is part of normal operation.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum Rejection {
-    /// it is so already
-    Known,
+    /// the fact changes nothing
+    #[serde(rename = "Known")]
+    NoChange,
     /// another bundle is in force
-    BundleMoved {
-        /// Which one.
+    #[serde(rename = "BundleMoved")]
+    BundleChanged {
+        /// The bundle in force; `None` if there is none yet.
         in_force: Option<BundleHash>,
     },
-    /// the bundle was not published
+    /// the bundle is not among the published ones
     UnknownBundle,
-    /// the bundle in force does not ask for it
+    /// the bundle in force does not ask for the group
     NotWanted,
     /// {instance} is claimed by a group
     Claimed {
         /// The instance.
         instance: InstanceId,
     },
-    /// {instance} has changed hands since
-    InstanceMoved {
+    /// {instance} was claimed, released or stopped since the writer read the log
+    #[serde(rename = "InstanceMoved")]
+    InstanceChanged {
         /// The instance.
         instance: InstanceId,
     },
-    /// the group has changed since
-    GroupMoved,
-    /// another node has the key
+    /// the group has changed or ended since the writer read the log
+    #[serde(rename = "GroupMoved")]
+    GroupChanged,
+    /// a node owns the idempotency key already
     KeyTaken,
-    /// the key is older than what is remembered
+    /// the idempotency key was created before the floor
     KeyForgotten,
 }
 
-/// Why a record cannot be applied at all.
+/// Why a record cannot be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum ApplyError {
-    /// the record at {got} does not follow; {want} is next
+    /// the record at offset {got} is not the next one, {want}
     Gap {
-        /// What was expected.
+        /// The next offset.
         want: Offset,
-        /// What came.
+        /// The record's offset.
         got: Offset,
     },
 }
@@ -92,17 +97,17 @@
 impl std::error::Error for ApplyError {}
 
 impl State {
-    /// The first offset that is not in this state.
+    /// The first offset that is not applied yet.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Names all that was replayed: equal digests mean equal histories.
+    /// The digest of all records so far: equal digests mean equal histories.
     pub fn digest(&self) -> StateDigest {
         self.digest
     }
 
-    /// Applies the record at `offset` and gives each fact's outcome.
+    /// Applies the record at `offset` and returns the outcome of each of its facts.
     ///
     /// # Errors
     ///
@@ -116,28 +121,30 @@
         let outcomes: Vec<_> =
             envelope.facts.iter().map(|fact| self.apply_fact(offset, fact)).collect();
         let accepted: Vec<u8> = outcomes.iter().map(|outcome| outcome.is_ok().into()).collect();
-        self.step(offset, &[&envelope.id.0, &accepted]);
+        self.advance(offset, &[&envelope.id.0, &accepted]);
         Ok(outcomes)
     }
 
-    /// Passes over a record that is not ours or whose seal does not fit.
+    /// Skips a record of another deployment, or one whose seal is invalid.
     ///
     /// # Errors
     ///
     /// [`ApplyError::Gap`] unless `offset` is the next one.
     pub fn skip(&mut self, offset: Offset) -> Result<(), ApplyError> {
         self.check_next(offset)?;
-        self.step(offset, &[]);
+        self.advance(offset, &[]);
         Ok(())
     }
 
-    /// Restates this state for the log.
+    /// Encodes this state for a checkpoint record.
     pub fn to_checkpoint(&self) -> Checkpoint {
-        let bytes = postcard::to_stdvec(self).expect("the state has only sized parts");
+        let bytes =
+            postcard::to_stdvec(self).expect("every sequence in the state has a known length");
         Checkpoint { next: self.next, digest: self.digest, state: encode(&bytes) }
     }
 
-    /// Reads a state back; none if the text is none or does not fit its digest.
+    /// Decodes a state; `None` if the text is invalid or its offset and digest differ
+    /// from the checkpoint's.
     pub fn from_checkpoint(checkpoint: &Checkpoint) -> Option<Self> {
         let state: Self = postcard::from_bytes(&decode(&checkpoint.state)?).ok()?;
         (state.next == checkpoint.next && state.digest == checkpoint.digest).then_some(state)
@@ -166,7 +173,7 @@
         }
     }
 
-    fn step(&mut self, offset: Offset, parts: &[&[u8]]) {
+    fn advance(&mut self, offset: Offset, parts: &[&[u8]]) {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.digest.0);
         hasher.update(&offset.0.to_le_bytes());
@@ -179,7 +186,7 @@
     }
 }
 
-/// Binary text for the checkpoint inside a JSON record.
+/// Base64 text for the binary state inside a JSON record.
 mod base64_state {
     use base64::Engine as _;
     use base64::engine::general_purpose::STANDARD;
--- a/crates/workshold-core/tests/keys.rs
+++ b/crates/workshold-core/tests/keys.rs
@@ -1,4 +1,4 @@
-//! What is known of idempotency keys.
+//! Tests of the ownership and expiry of idempotency keys.
 
 use rstest::rstest;
 use uuid::Uuid;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_first_intent_in_log_order_owns_the_key() {
+fn the_first_intent_in_the_log_owns_the_key() {
     let mut keys = Keys::default();
     assert_eq!(keys.claim(&intent("a", 10, "n1"), Offset(0)), Ok(()));
     assert_eq!(keys.claim(&intent("a", 10, "n2"), Offset(1)), Err(Rejection::KeyTaken));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_key_for_another_request_is_told() {
+fn a_key_used_for_another_request_is_reported_as_reused() {
     let mut keys = Keys::default();
     keys.claim(&intent("a", 10, "n1"), Offset(0)).unwrap();
     let other = RequestDigest::of(b"another request");
@@ -58,12 +58,12 @@
 #[case("not a uuid")]
 #[case("0b8c5f2e-6c0a-4d0e-9a55-0d8d4d5f6f10")]
 #[case("")]
-fn only_keys_that_tell_their_time_are_taken(#[case] key: &str) {
+fn rejects_keys_that_are_not_uuid_version_7(#[case] key: &str) {
     assert!(key_time(key).is_err());
 }
 
 #[test]
-fn the_time_of_a_key_is_read_from_it() {
+fn extracts_the_creation_time_of_a_key() {
     let stamp = uuid::Timestamp::from_unix(uuid::NoContext, 1_700_000_000, 123_000_000);
     let key = Uuid::new_v7(stamp).to_string();
     assert_eq!(key_time(&key), Ok(Millis(1_700_000_000_123)));
