--- a/crates/workshold-core/src/group_readiness.rs
+++ b/crates/workshold-core/src/group_readiness.rs
@@ -1,4 +1,5 @@
-//! Whether a group serves: the log says it may, and every member says it does.
+//! Whether a group is ready for new requests: it is active in the log, and a recent
+//! report of every member states that the member is ready in it.
 
 use std::collections::BTreeSet;
 
@@ -13,14 +14,14 @@
 use crate::observation::GroupObservation;
 use crate::observation::Observations;
 
-/// How long a report is believed.
+/// How old a report may be to count in a readiness check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct GroupReadinessRules {
-    /// A report older than this proves nothing.
+    /// A report of this age or older is ignored.
     pub report_ttl: Millis,
 }
 
-/// Why a group gets no new work.
+/// Why a group gets no new requests.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupNotReady {
@@ -29,9 +30,11 @@
     /// nothing recent is known of {0}
     Unseen(InstanceId),
     /// {0} died and came back since the group was formed
-    Reborn(InstanceId),
+    #[serde(rename = "reborn")]
+    Restarted(InstanceId),
     /// {0} is not in the group by its own account
-    Elsewhere(InstanceId),
+    #[serde(rename = "elsewhere")]
+    NotInGroup(InstanceId),
     /// {0} is not ready yet
     Loading(InstanceId),
     /// {0} takes no new work
@@ -40,11 +43,13 @@
     Leaving(InstanceId),
 }
 
-/// Judges whether `group` may be sent new work at `now`.
+/// Checks whether `group` may be sent new requests at `now`, by its members' reports.
+///
+/// `leaving` are the instances that the platform is about to take away.
 ///
 /// # Errors
 ///
-/// The first reason why not, in the order of the members.
+/// The first reason why it may not, in the order of the members.
 pub fn check_group(
     group: &Group,
     observations: &Observations,
@@ -59,15 +64,16 @@
         if leaving.contains(&member.instance) {
             return Err(GroupNotReady::Leaving(member.instance.clone()));
         }
-        judge_member(group, member, observations, now, rules)
+        check_member(group, member, observations, now, rules)
     })
 }
 
-/// Judges a group of another data centre by what a node there vouches for.
+/// Checks a group of another data centre by what a node there last reported of it.
 ///
 /// # Errors
 ///
-/// The reason why not; [`GroupNotReady::Unseen`] names the head if nobody vouches.
+/// The reason why it may not be sent requests; [`GroupNotReady::Unseen`] names the head if
+/// no node has lately reported the group as ready.
 pub fn check_remote_group<'a>(
     group: &Group,
     observations: &'a Observations,
@@ -78,8 +84,8 @@
     if !group.is_active() {
         return Err(GroupNotReady::NotActive);
     }
-    let gone = group.members.iter().find(|member| leaving.contains(&member.instance));
-    if let Some(member) = gone {
+    let leaving_member = group.members.iter().find(|member| leaving.contains(&member.instance));
+    if let Some(member) = leaving_member {
         return Err(GroupNotReady::Leaving(member.instance.clone()));
     }
     let group_observation =
@@ -87,12 +93,12 @@
     group_observation.ok_or_else(|| GroupNotReady::Unseen(group.head().instance.clone()))
 }
 
-/// Judges one member by its own last report.
+/// Checks one member by its own last report.
 ///
 /// # Errors
 ///
-/// Why the member does not vouch for the group.
-pub fn judge_member(
+/// Why that report doesn't show the member ready in the group.
+pub fn check_member(
     group: &Group,
     member: &Member,
     observations: &Observations,
@@ -104,12 +110,12 @@
         .fresh(&member.instance, now, rules.report_ttl)
         .ok_or_else(|| GroupNotReady::Unseen(name()))?;
     if observation.report.incarnation != member.incarnation {
-        return Err(GroupNotReady::Reborn(name()));
+        return Err(GroupNotReady::Restarted(name()));
     }
     let membership = observation.report.membership.as_ref();
-    let membership = membership.ok_or_else(|| GroupNotReady::Elsewhere(name()))?;
+    let membership = membership.ok_or_else(|| GroupNotReady::NotInGroup(name()))?;
     if membership.group != group.id || membership.fence != group.fence {
-        return Err(GroupNotReady::Elsewhere(name()));
+        return Err(GroupNotReady::NotInGroup(name()));
     }
     match membership.readiness {
         Readiness::Ready => Ok(()),
--- a/crates/workshold-core/src/membership.rs
+++ b/crates/workshold-core/src/membership.rs
@@ -1,4 +1,5 @@
-//! Who the other nodes are, and what follows: addresses, probers, stewards.
+//! The nodes of the cluster, and what follows from them: the addresses for callers,
+//! and which node probes an instance or is the steward of a fabric domain.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,29 +14,31 @@
 
 use crate::rendezvous;
 
-/// How other nodes are judged.
+/// When nodes count as live or isolated, and how many probe and are polled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipRules {
-    /// A node that has not answered for this long does no work for others.
+    /// A node that has not answered for this long is not live: it is assigned no work
+    /// and its address is not given out.
     pub peer_ttl: Millis,
-    /// Nodes of a data centre that probe each instance.
+    /// Number of nodes in a data centre that probe each instance.
     pub probers: usize,
-    /// Nodes that are asked in each other data centre.
+    /// Number of nodes that are polled in each other data centre.
     pub remote_polls: usize,
-    /// Cut off from the log and from all peers for this long, a node steps out.
+    /// A node cut off from the log and from all peers for longer than this is isolated
+    /// and stops serving.
     pub isolation_after: Millis,
 }
 
-/// What a node said of itself when it last answered.
+/// The status that another node last reported of itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Peer {
-    /// What it said.
+    /// The status.
     pub status: NodeStatus,
-    /// When the question was sent that it answered, by this node's clock.
+    /// When the poll that it answered was sent, by this node's clock.
     pub asked: Millis,
 }
 
-/// This node and those it has heard of.
+/// This node, the nodes that are expected to exist, and the peers that have answered.
 #[derive(Debug, Clone)]
 pub struct ClusterMembership {
     me: NodeId,
@@ -44,50 +47,54 @@
     expected: BTreeSet<NodeId>,
 }
 
-/// An address for callers and its weight against the others.
+/// An address that callers can connect to, and its weight among all of them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct EntryAddress {
     /// Where to connect, as `ip:port`.
     pub address: String,
-    /// Share of the calls it should get, against the others' weights.
+    /// Relative weight: the part of the calls that it should get.
     pub weight: u32,
-    /// Its data centre.
+    /// The data centre of that node.
     pub data_centre: DataCentre,
 }
 
 impl ClusterMembership {
-    /// A node that knows nobody yet.
+    /// The view of a node that knows no other node yet.
     pub fn new(me: NodeId, data_centre: DataCentre) -> Self {
         Self { me, data_centre, peers: BTreeMap::new(), expected: BTreeSet::new() }
     }
 
-    /// The nodes that the platform lists or the settings name, this one left out.
+    /// Sets the expected nodes: those that the platform lists or the settings name.
+    /// This node is left out.
     pub fn expect(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
         self.expected = nodes.into_iter().filter(|node| node != &self.me).collect();
     }
 
-    /// Takes a node's answer, its own or one passed on; the newest counts.
+    /// Records a node's status, received from it or through another node; an older one
+    /// than the known is ignored.
     pub fn on_answer(&mut self, node: &NodeId, status: NodeStatus, asked: Millis) {
-        let is_news = self.peers.get(node).is_none_or(|peer| peer.asked < asked);
-        if node != &self.me && is_news {
+        let is_newer = self.peers.get(node).is_none_or(|peer| peer.asked < asked);
+        if node != &self.me && is_newer {
             self.peers.insert(node.clone(), Peer { status, asked });
         }
     }
 
-    /// The nodes to ask next out of `known` ones: all of this data centre, and
-    /// of every other as many as are asked there, different ones for each asker.
+    /// The nodes out of `known` to poll next: all of this data centre, and
+    /// `remote_polls` of each other one. Rendezvous hashing gives different nodes
+    /// different targets there.
     pub fn poll_targets<'a>(
         &self,
         known: impl Iterator<Item = (&'a NodeId, &'a DataCentre)>,
         rules: &MembershipRules,
     ) -> Vec<&'a NodeId> {
-        let mut by_place: BTreeMap<&DataCentre, Vec<&NodeId>> = BTreeMap::new();
-        for (node, place) in known.filter(|(node, _)| **node != self.me) {
-            by_place.entry(place).or_default().push(node);
+        let mut by_data_centre: BTreeMap<&DataCentre, Vec<&NodeId>> = BTreeMap::new();
+        for (node, data_centre) in known.filter(|(node, _)| **node != self.me) {
+            by_data_centre.entry(data_centre).or_default().push(node);
         }
         let mut chosen = Vec::new();
-        for (place, nodes) in by_place {
-            let count = if place == &self.data_centre { nodes.len() } else { rules.remote_polls };
+        for (data_centre, nodes) in by_data_centre {
+            let count =
+                if data_centre == &self.data_centre { nodes.len() } else { rules.remote_polls };
             let key = self.me.as_str().as_bytes();
             let ranked =
                 rendezvous::ranked(key, nodes.into_iter(), |node| node.as_str().as_bytes());
@@ -96,19 +103,19 @@
         chosen
     }
 
-    /// Forgets nodes that are neither expected nor heard for ten times the limit.
+    /// Drops nodes that are not expected and have not answered for ten times `peer_ttl`.
     pub fn forget_gone(&mut self, now: Millis, rules: &MembershipRules) {
         let limit = Millis(rules.peer_ttl.0 * 10);
         let expected = &self.expected;
         self.peers.retain(|node, peer| expected.contains(node) || now.since(peer.asked) < limit);
     }
 
-    /// All nodes that ever answered, with what they said.
+    /// All known peers, live or not.
     pub fn peers(&self) -> impl Iterator<Item = (&NodeId, &Peer)> {
         self.peers.iter()
     }
 
-    /// The nodes that answered of late.
+    /// The peers that answered a poll sent less than `peer_ttl` ago.
     pub fn live(
         &self,
         now: Millis,
@@ -118,19 +125,20 @@
         self.peers.iter().filter(move |(_, peer)| now.since(peer.asked) < ttl)
     }
 
-    /// How many nodes share a team's allowance: all that are listed or live.
+    /// Number of nodes over which a team's rate limit is split: this one and all that
+    /// are expected or live.
     pub fn count(&self, now: Millis, rules: &MembershipRules) -> usize {
         let mut nodes = self.expected.clone();
         nodes.extend(self.live(now, rules).map(|(node, _)| node.clone()));
         nodes.len() + 1
     }
 
-    /// Whether this node does the work that `key` names for its data centre.
-    pub fn is_mine(&self, key: &[u8], now: Millis, rules: &MembershipRules) -> bool {
+    /// Whether the work that `key` identifies falls to this node in its data centre.
+    pub fn is_responsible_for(&self, key: &[u8], now: Millis, rules: &MembershipRules) -> bool {
         self.rank(key, now, rules) == Some(0)
     }
 
-    /// Whether this node is a prober of `instance`.
+    /// Whether this node is one of the nodes that probe `instance`.
     pub fn is_prober_of(
         &self,
         instance: &InstanceId,
@@ -141,20 +149,21 @@
         rank.is_some_and(|rank| rank < rules.probers)
     }
 
-    /// Whether this node plans for `domain`.
+    /// Whether this node is the steward of `domain`.
     pub fn is_steward_for(
         &self,
         domain: &FabricDomain,
         now: Millis,
         rules: &MembershipRules,
     ) -> bool {
-        self.is_mine(domain.as_str().as_bytes(), now, rules)
+        self.is_responsible_for(domain.as_str().as_bytes(), now, rules)
     }
 
-    /// Whether nobody can have told this node what is in force.
+    /// Whether this node has heard from neither the log nor a peer for too long to know
+    /// which bundle is in force.
     ///
-    /// `log_heard` is when the log last answered. A node that never had a peer
-    /// to expect is alone by design and goes by the log only.
+    /// `log_heard` is when the log last answered. A node with no expected peers is a
+    /// cluster of one by design and is never isolated.
     pub fn is_isolated(&self, log_heard: Millis, now: Millis, rules: &MembershipRules) -> bool {
         if self.expected.is_empty() {
             return false;
@@ -163,8 +172,9 @@
         now.since(log_heard.max(last)) > rules.isolation_after
     }
 
-    /// The addresses for callers: live nodes that are ready and staying, those
-    /// with less under way first in weight. `own` is this node's, if it serves.
+    /// The addresses for callers: live nodes that are ready and not leaving. Nodes with
+    /// fewer requests in flight get higher weights. `own` is this node's address with
+    /// its requests in flight, if it serves.
     pub fn entries(
         &self,
         own: Option<(EntryAddress, u32)>,
@@ -182,20 +192,20 @@
         all.sort_by(|a, b| a.0.address.cmp(&b.0.address));
         let mean =
             all.iter().map(|(_, load)| f64::from(*load)).sum::<f64>() / all.len().max(1) as f64;
-        let weigh = |(entry, load): (EntryAddress, u32)| EntryAddress {
+        let with_weight = |(entry, load): (EntryAddress, u32)| EntryAddress {
             weight: entry_weight(load, mean),
             ..entry
         };
-        all.into_iter().map(weigh).collect()
+        all.into_iter().map(with_weight).collect()
     }
 
-    /// This node's place among the live nodes of its data centre for `key`.
+    /// This node's rank for `key` among the live nodes of its data centre that stay.
     fn rank(&self, key: &[u8], now: Millis, rules: &MembershipRules) -> Option<usize> {
         let peers = self.live(now, rules);
-        let near = peers.filter(|(_, peer)| {
+        let local_peers = peers.filter(|(_, peer)| {
             peer.status.data_centre == self.data_centre && !peer.status.leaving
         });
-        let nodes = near.map(|(node, _)| node).chain([&self.me]);
+        let nodes = local_peers.map(|(node, _)| node).chain([&self.me]);
         let ranked = rendezvous::ranked(key, nodes, |node| node.as_str().as_bytes());
         ranked.iter().position(|node| *node == &self.me)
     }
@@ -204,8 +214,9 @@
 /// The weight of a node with the mean load.
 const MEAN_WEIGHT: f64 = 100.0;
 
-/// Weights move gently: half a weight at several times the mean, never to zero.
+/// The weight is inversely proportional to the load, clamped to half and twice the mean
+/// weight: it changes gently and never reaches zero.
 fn entry_weight(load: u32, mean: f64) -> u32 {
-    let excess = (f64::from(load) + 1.0) / (mean + 1.0);
-    (MEAN_WEIGHT / excess.clamp(0.5, 2.0)).round() as u32
+    let relative_load = (f64::from(load) + 1.0) / (mean + 1.0);
+    (MEAN_WEIGHT / relative_load.clamp(0.5, 2.0)).round() as u32
 }
--- a/crates/workshold-core/src/observation.rs
+++ b/crates/workshold-core/src/observation.rs
@@ -1,4 +1,4 @@
-//! What instances said of themselves, and how long that can be believed.
+//! The last report of each instance, with the time for which it is known to be valid.
 
 use std::collections::BTreeMap;
 
@@ -8,57 +8,58 @@
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::report::Report;
 
-/// A report and since when it is known to have been true.
+/// A report received from an instance, directly or through another node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Observation {
-    /// By this node's clock: the probe was sent no earlier, less the lag that
-    /// the instance admits. What the report says was true at some time since.
+    /// Lower bound, by this node's clock, of the time at which the report was true: the
+    /// time at which the probe was sent, less the lag that the instance itself states.
     pub true_since: Millis,
-    /// When this node first had it.
+    /// When this node received it.
     pub seen: Millis,
-    /// The report.
+    /// The report itself.
     pub report: Report,
 }
 
 impl Observation {
-    /// Whether it is younger than `ttl`.
+    /// Whether it is certainly younger than `ttl`.
     pub fn is_fresh(&self, now: Millis, ttl: Millis) -> bool {
         now.since(self.true_since) < ttl
     }
 }
 
-/// What a node of another data centre judged of a group there.
+/// A group of another data centre that a node there found ready.
 ///
-/// It was judged by the reports of every member; `true_since` is that of the
-/// oldest, counted as for any report that is passed on. So it is believed no
-/// longer than the reports themselves.
+/// That node has checked the reports of all members. `true_since` is that of the
+/// oldest report, adjusted as for any report that is passed on, so the result counts
+/// no longer than the reports themselves.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GroupObservation {
-    /// The fencing number of the group that was judged.
+    /// The fencing token of the group that was checked.
     pub fence: Fence,
-    /// Since when all members' reports are known to have been true.
+    /// Lower bound of the time at which the oldest member's report was true.
     pub true_since: Millis,
-    /// Since when the load is known to have been so.
+    /// The same for the head's report, which states the load.
     pub load_since: Millis,
-    /// Requests in the group.
+    /// Requests in the group, running and queued.
     pub reported: u32,
-    /// Requests that it works on at once.
+    /// Requests that it can run at once.
     pub slots: u32,
 }
 
-/// The last report of each instance, and the vouchers for groups elsewhere.
+/// The last report of each instance, and of each remote group the last check that
+/// found it ready.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Observations {
     by_instance: BTreeMap<InstanceId, Observation>,
-    group_observations: BTreeMap<GroupId, GroupObservation>,
+    by_group: BTreeMap<GroupId, GroupObservation>,
 }
 
 impl Observations {
-    /// Takes a report whose probe was sent at `sent`, by this node's clock.
+    /// Stores a report whose probe was sent at `sent`, by this node's clock.
     ///
-    /// For a report passed on by a peer, `sent` is when the peer was *asked*
-    /// less the age that it gave. Of two with the same time, the later to come
-    /// counts. Returns whether the report was news.
+    /// For a report passed on by a peer, `sent` is the time at which the peer was
+    /// *asked*, less the age that it stated. Of two reports with the same time, the one
+    /// received later is kept. Returns whether the report was stored.
     pub fn take(
         &mut self,
         instance: &InstanceId,
@@ -67,11 +68,11 @@
         report: Report,
     ) -> bool {
         let true_since = sent - report.lag;
-        let newer = self.get(instance).is_none_or(|known| known.true_since <= true_since);
-        if newer {
+        let is_newer = self.get(instance).is_none_or(|known| known.true_since <= true_since);
+        if is_newer {
             self.by_instance.insert(instance.clone(), Observation { true_since, seen, report });
         }
-        newer
+        is_newer
     }
 
     /// The last report of `instance`, however old.
@@ -84,15 +85,15 @@
         self.get(instance).filter(|observation| observation.is_fresh(now, ttl))
     }
 
-    /// Takes a voucher for a group; the newest counts.
+    /// Stores the check of a remote group unless a newer one is known.
     pub fn record_group(&mut self, group: &GroupId, group_observation: GroupObservation) {
-        let known = self.group_observations.get(group);
+        let known = self.by_group.get(group);
         if known.is_none_or(|known| known.true_since <= group_observation.true_since) {
-            self.group_observations.insert(group.clone(), group_observation);
+            self.by_group.insert(group.clone(), group_observation);
         }
     }
 
-    /// The voucher for a group under `fence`, if it is younger than `ttl`.
+    /// The check of a remote group with this fencing token, if it is younger than `ttl`.
     pub fn group_observation(
         &self,
         group: &GroupId,
@@ -100,21 +101,20 @@
         now: Millis,
         ttl: Millis,
     ) -> Option<&GroupObservation> {
-        let group_observation = self.group_observations.get(group)?;
-        let is_good =
+        let group_observation = self.by_group.get(group)?;
+        let is_valid =
             group_observation.fence == fence && now.since(group_observation.true_since) < ttl;
-        is_good.then_some(group_observation)
+        is_valid.then_some(group_observation)
     }
 
-    /// All reports.
+    /// All reports, however old.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &Observation)> {
         self.by_instance.iter()
     }
 
-    /// Drops those that are older than `age`.
+    /// Drops reports and group checks that are not younger than `age`.
     pub fn drop_older(&mut self, now: Millis, age: Millis) {
         self.by_instance.retain(|_, observation| observation.is_fresh(now, age));
-        self.group_observations
-            .retain(|_, group_observation| now.since(group_observation.true_since) < age);
+        self.by_group.retain(|_, group_observation| now.since(group_observation.true_since) < age);
     }
 }
