--- a/crates/workshold-core/src/repair.rs
+++ b/crates/workshold-core/src/repair.rs
@@ -1,9 +1,9 @@
-//! What to do about a group that misses a member: the decision of least cost.
+//! Chooses the repair with the least expected cost for a group that lacks a member.
 //!
-//! The deployment says what an hour of either loss costs it: a group down, or
-//! an accelerator stranded. Each option's cost is the expected sum of both until
-//! the group is whole again. All inputs and rejected options stay in the
-//! [`Choice`], so that an operator can read why.
+//! The bundle sets the cost of an hour of a group's downtime and of an hour of a
+//! stranded (unused) accelerator. The cost of an option is the expected sum of both
+//! until the group is whole again. All inputs and rejected options are kept in the
+//! [`RepairChoice`], so that operators can see the reasons.
 
 use std::fmt;
 
@@ -13,20 +13,20 @@
 use workshold_protocol::bundle::Weights;
 use workshold_protocol::ids::RoleName;
 
-/// What the deployment's past says of instances that go missing.
+/// Statistics of the deployment about instances that go missing.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expectations {
-    /// Share of missing instances that only restart.
+    /// Fraction of missing instances that only restart.
     pub restart_share: f64,
-    /// Mean time that a restart takes.
+    /// Mean duration of a restart.
     pub restart_time: Millis,
-    /// Mean time until a broken instance is replaced.
+    /// Mean time until the replacement of a failed instance.
     pub replacement_time: Millis,
 }
 
 impl Default for Expectations {
-    /// The rates of an ordinary day: 76 restarts, 15 failures.
+    /// The rates of an ordinary day: 76 restarts and 15 failures.
     fn default() -> Self {
         Self {
             restart_share: 76.0 / 91.0,
@@ -36,53 +36,55 @@
     }
 }
 
-/// A group that misses members, and what is at hand.
+/// A group that lacks members, and the resources for its repair.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Situation {
-    /// Instances that the group's role takes.
+    /// Number of instances in the whole group.
     pub size: u16,
-    /// Worth of the group's role.
+    /// Worth of the group's role, relative to the model's best role.
     pub worth: f64,
-    /// Accelerators of one instance.
+    /// Accelerators per instance.
     pub accelerators: u16,
-    /// Members that are gone.
+    /// Members that are missing.
     pub missing: u16,
-    /// For how long.
+    /// How long they have been missing.
     pub missing_for: Millis,
-    /// Free instances of the domain, members that came back included.
+    /// Free instances of the domain, including missing members that came back.
     pub spares: u16,
-    /// Members left of other broken groups of the domain, whose role is as large.
-    pub other_rests: u16,
-    /// Time from the decision until the members are free again.
+    /// Remaining members of other broken groups of the same size in the domain.
+    #[serde(rename = "other_rests")]
+    pub other_remaining: u16,
+    /// Time from the decision until the group's members are free again.
     pub release_time: Millis,
-    /// Time to load the weights into an instance that has none.
+    /// Time to load the weights into the replacements; 0 if enough spares have them.
     pub load_time: Millis,
-    /// Smaller roles of the model.
+    /// Roles of the model that need fewer instances.
     pub smaller: Vec<SmallerRole>,
 }
 
-/// A role that takes fewer instances.
+/// A role of the model that needs fewer instances than the group has.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct SmallerRole {
-    /// Its name.
+    /// The role's name.
     pub role: RoleName,
-    /// Instances that it takes.
+    /// Number of instances in a group of this role.
     pub instances: u16,
-    /// Its worth.
+    /// Its worth, relative to the model's best role.
     pub worth: f64,
 }
 
-/// What can be done.
+/// The ways to repair a group. The texts of `Display` are shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repair {
-    /// Keep the group and wait until the member is back.
+    /// Keep the group and wait for the member to come back.
     Wait,
-    /// End the group and form it anew with a spare.
+    /// Dissolve the group and form a new one that includes spares.
     UseSpare,
-    /// End it together with another broken one, and make one whole of the rests.
+    /// Dissolve it and another broken group, and form one whole group from the
+    /// remaining members of both.
     Merge,
-    /// End it and form a smaller one of the rest.
+    /// Dissolve it and form a group with this smaller role from the remaining members.
     Shrink(RoleName),
 }
 
@@ -97,57 +99,63 @@
     }
 }
 
-/// An option and its expected cost.
+/// A possible repair with its expected cost.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Weighed {
-    /// The option.
+pub struct RepairOption {
+    /// The repair.
     pub repair: Repair,
-    /// Expected cost, in the unit of the deployment's weights.
+    /// Expected cost, in the unit of the bundle's cost weights.
     pub cost: f64,
-    /// The part of it that is downtime, in group-hours.
+    /// Expected downtime, in group-hours weighted by worth.
     pub down_hours: f64,
-    /// The part of it that is stranded accelerators, in accelerator-hours.
+    /// Expected time of stranded accelerators, in accelerator-hours.
     pub stranded_hours: f64,
 }
 
-/// The decision with all that was weighed, cheapest first.
+/// The decision about one broken group, with its inputs and alternatives.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Choice {
-    /// What was known.
+pub struct RepairChoice {
+    /// The inputs.
     pub situation: Situation,
-    /// Every option that was possible; the first one is taken.
-    pub options: Vec<Weighed>,
+    /// Every possible repair, cheapest first; the first one is taken.
+    pub options: Vec<RepairOption>,
 }
 
-impl Choice {
-    /// The option taken.
+impl RepairChoice {
+    /// The repair that is carried out: the cheapest.
     pub fn taken(&self) -> &Repair {
         &self.options[0].repair
     }
 }
 
-/// Weighs all options that `situation` allows.
-pub fn choose(situation: Situation, expect: &Expectations, weights: Weights) -> Choice {
-    let scale = Scale { situation: &situation, expect, weights };
-    let mut options = vec![scale.wait()];
-    options.extend(scale.use_spare());
-    options.extend(scale.merge());
-    options.extend(situation.smaller.iter().filter_map(|role| scale.shrink(role)));
+/// Computes the expected cost of every repair that `situation` allows.
+///
+/// `weights` are the costs of an hour of downtime and of a stranded accelerator.
+pub fn choose_repair(
+    situation: Situation,
+    expect: &Expectations,
+    weights: Weights,
+) -> RepairChoice {
+    let costs = CostModel { situation: &situation, expect, weights };
+    let mut options = vec![costs.wait()];
+    options.extend(costs.use_spare());
+    options.extend(costs.merge());
+    options.extend(situation.smaller.iter().filter_map(|role| costs.shrink(role)));
     options.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-    Choice { situation, options }
+    RepairChoice { situation, options }
 }
 
-struct Scale<'a> {
+struct CostModel<'a> {
     situation: &'a Situation,
     expect: &'a Expectations,
     weights: Weights,
 }
 
-impl Scale<'_> {
-    /// Expected hours until the missing member is back, given how long it has been gone.
+impl CostModel<'_> {
+    /// Expected hours until the missing member is back, given how long it has been missing.
     ///
-    /// A restart and a failure are told apart only by time: the longer it lasts,
-    /// the less likely it is a restart.
+    /// A restart can be told from a failure only by its duration: the longer the member
+    /// has been missing, the less likely it is restarting.
     fn hours_until_return(&self) -> f64 {
         let gone = self.situation.missing_for.as_secs_f64();
         let restart = self.expect.restart_time.as_secs_f64().max(1.0);
@@ -162,7 +170,8 @@
         time.as_secs_f64() / 3600.0
     }
 
-    /// Ending a group and forming another: members are released, one loads.
+    /// Hours to dissolve a group and form another: its members are released, then the
+    /// replacements load the weights.
     fn rebuild_hours(&self) -> f64 {
         Self::hours(self.situation.release_time + self.situation.load_time)
     }
@@ -171,62 +180,62 @@
         f64::from(instances) * f64::from(self.situation.accelerators) * hours
     }
 
-    fn rest(&self) -> u16 {
+    fn remaining(&self) -> u16 {
         self.situation.size.saturating_sub(self.situation.missing)
     }
 
-    fn weighed(&self, repair: Repair, down_hours: f64, stranded_hours: f64) -> Weighed {
+    fn option(&self, repair: Repair, down_hours: f64, stranded_hours: f64) -> RepairOption {
         let cost = self.weights.group_downtime * down_hours
             + self.weights.stranded_accelerator * stranded_hours;
-        Weighed { repair, cost, down_hours, stranded_hours }
+        RepairOption { repair, cost, down_hours, stranded_hours }
     }
 
-    /// The member may come back as another life: then the group is formed anew.
-    /// Spares that could stand in for it idle meanwhile, like the rest.
-    fn wait(&self) -> Weighed {
+    /// A member comes back as a new incarnation, so the wait ends with a rebuild. Spares
+    /// that could replace it are idle meanwhile, as are the remaining members.
+    fn wait(&self) -> RepairOption {
         let hours = self.hours_until_return() + self.rebuild_hours();
-        let idle = self.rest() + self.situation.spares.min(self.situation.missing);
-        self.weighed(Repair::Wait, self.situation.worth * hours, self.stranded(idle, hours))
+        let idle = self.remaining() + self.situation.spares.min(self.situation.missing);
+        self.option(Repair::Wait, self.situation.worth * hours, self.stranded(idle, hours))
     }
 
-    fn use_spare(&self) -> Option<Weighed> {
+    fn use_spare(&self) -> Option<RepairOption> {
         if self.situation.spares < self.situation.missing {
             return None;
         }
         let hours = self.rebuild_hours();
-        let stranded = self.stranded(self.rest() + self.situation.missing, hours);
-        Some(self.weighed(Repair::UseSpare, self.situation.worth * hours, stranded))
+        let stranded = self.stranded(self.remaining() + self.situation.missing, hours);
+        Some(self.option(Repair::UseSpare, self.situation.worth * hours, stranded))
     }
 
-    /// One of two broken groups is whole after a rebuild; the other waits with
-    /// what is left over, and then for two returns instead of one.
-    fn merge(&self) -> Option<Weighed> {
-        let at_hand = self.rest() + self.situation.spares + self.situation.other_rests;
-        if self.situation.other_rests == 0 || at_hand < self.situation.size {
+    /// One of the two broken groups is whole after a rebuild. The other one waits with
+    /// the members that are left over, and for two members to return instead of one.
+    fn merge(&self) -> Option<RepairOption> {
+        let available = self.remaining() + self.situation.spares + self.situation.other_remaining;
+        if self.situation.other_remaining == 0 || available < self.situation.size {
             return None;
         }
         let wait = self.hours_until_return() + self.rebuild_hours();
-        let left_over = at_hand - self.situation.size;
-        // Both groups would have been down for `wait`; this charges the whole
-        // of the second group's longer wait, and credits what it spares the first.
+        let left_over = available - self.situation.size;
+        // Without the merge, both groups would be down for `wait`. This charges the
+        // second group's longer wait in full and credits the first group's shorter one.
         let second_wait = wait + self.hours_until_return() / 2.0;
         let down = self.situation.worth * (self.rebuild_hours() + second_wait - wait);
         let stranded = self.stranded(self.situation.size, self.rebuild_hours())
             + self.stranded(left_over, second_wait)
-            - self.stranded(self.situation.other_rests, wait);
-        Some(self.weighed(Repair::Merge, down, stranded.max(0.0)))
+            - self.stranded(self.situation.other_remaining, wait);
+        Some(self.option(Repair::Merge, down, stranded.max(0.0)))
     }
 
-    /// A smaller group serves while waiting; growing again costs a second rebuild.
-    fn shrink(&self, role: &SmallerRole) -> Option<Weighed> {
-        if role.instances > self.rest() {
+    /// A smaller group serves during the wait; growing back costs a second rebuild.
+    fn shrink(&self, role: &SmallerRole) -> Option<RepairOption> {
+        if role.instances > self.remaining() {
             return None;
         }
         let serving = self.hours_until_return();
-        let lost = self.situation.worth * 2.0 * self.rebuild_hours()
+        let lost_worth_hours = self.situation.worth * 2.0 * self.rebuild_hours()
             + (self.situation.worth - role.worth).max(0.0) * serving;
-        let stranded = self.stranded(self.rest(), 2.0 * self.rebuild_hours())
-            + self.stranded(self.rest() - role.instances, serving);
-        Some(self.weighed(Repair::Shrink(role.role.clone()), lost, stranded))
+        let stranded = self.stranded(self.remaining(), 2.0 * self.rebuild_hours())
+            + self.stranded(self.remaining() - role.instances, serving);
+        Some(self.option(Repair::Shrink(role.role.clone()), lost_worth_hours, stranded))
     }
 }
--- a/crates/workshold-core/src/steward/mending.rs
+++ b/crates/workshold-core/src/steward/active_groups.rs
@@ -1,4 +1,5 @@
-//! Active groups: ordering members in, replacing what is lost or must go.
+//! Maintains active groups: orders members to join, repairs broken groups, and replaces
+//! or drains groups that have to end.
 
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Model;
@@ -16,21 +17,21 @@
 use crate::repair::Repair;
 use crate::repair::Situation;
 use crate::repair::SmallerRole;
-use crate::repair::choose;
+use crate::repair::choose_repair;
 use crate::steward::Decision;
 use crate::steward::Plan;
 use crate::steward::StewardRules;
 use crate::steward::StewardTimers;
 use crate::steward::View;
-use crate::steward::ending::dissolved;
-use crate::steward::ending::draining;
+use crate::steward::ending::dissolve_fact;
+use crate::steward::ending::drain_fact;
 use crate::steward::ending::is_lost;
+use crate::steward::ending::push_order;
 use crate::steward::ending::release_time;
-use crate::steward::ending::send;
 use crate::steward::forming;
 
-/// Looks after every active group of the domain.
-pub(super) fn mend_groups(
+/// Plans the next step for every active group of the domain.
+pub(super) fn maintain_active_groups(
     view: &View<'_>,
     timers: &mut StewardTimers,
     rules: &StewardRules,
@@ -39,18 +40,18 @@
     let Some(in_force) = view.state.bundles.in_force() else { return };
     let active = view.state.fleet.groups().filter(|group| group.is_active());
     for group in active.filter(|group| &group.domain == view.domain) {
-        if mend_lost(view, timers, rules, in_force, group, plan) {
+        if repair_if_broken(view, timers, rules, in_force, group, plan) {
             continue;
         }
-        if let Some(cause) = why_it_must_go(view, rules, in_force, group) {
+        if let Some(cause) = reason_to_end(view, rules, in_force, group) {
             let leaving = group.members.iter().any(|member| view.is_leaving(&member.instance));
             retire(view, rules, group, cause, leaving, plan);
         }
-        order_members_in(view, timers, rules, in_force, group, plan);
+        order_members_to_join(view, timers, rules, in_force, group, plan);
     }
 }
 
-fn mend_lost(
+fn repair_if_broken(
     view: &View<'_>,
     timers: &mut StewardTimers,
     rules: &StewardRules,
@@ -65,13 +66,13 @@
         return false;
     }
     let Some(model) = in_force.bundle.models.get(&group.model) else {
-        plan.facts.push(dissolved(group, EndCause::MemberLost));
+        plan.facts.push(dissolve_fact(group, EndCause::MemberLost));
         return true;
     };
     let situation = situation(view, rules, group, model, &lost, lost_for);
-    let choice = choose(situation, &rules.expect, in_force.bundle.weights);
+    let choice = choose_repair(situation, &rules.expect, in_force.bundle.weights);
     if choice.taken() != &Repair::Wait {
-        plan.facts.push(dissolved(group, EndCause::MemberLost));
+        plan.facts.push(dissolve_fact(group, EndCause::MemberLost));
     }
     let what = format!("{} member(s) lost: {}", lost.len(), choice.taken());
     plan.decisions.push(Decision { group: group.id.clone(), what, choice: Some(choice) });
@@ -89,7 +90,8 @@
     let role = model.role(&group.role);
     let size = u16::try_from(group.members.len()).unwrap_or(u16::MAX);
     let is_back = |member: &&&Member| {
-        view.fresh(&member.instance, rules).is_some() && !view.must_go(&member.instance)
+        view.fresh_observation(&member.instance, rules).is_some()
+            && !view.must_leave(&member.instance)
     };
     let back = lost.iter().filter(is_back).count();
     let smaller = model.roles.iter().filter(|role| role.instances < size);
@@ -97,10 +99,10 @@
         size,
         worth: role.map_or(1.0, |role| role.worth),
         accelerators: accelerators(view, &group.head().instance),
-        missing: count(lost.len()),
+        missing: saturating_u16(lost.len()),
         missing_for: lost_for,
-        spares: count(view.free(rules).len() + back),
-        other_rests: other_rests(view, rules, group),
+        spares: saturating_u16(view.free_instances(rules).len() + back),
+        other_remaining: other_remaining(view, rules, group),
         release_time: release_time(rules),
         load_time: spare_load_time(view, rules, group, model, lost.len()),
         smaller: smaller
@@ -113,11 +115,11 @@
     }
 }
 
-fn count(n: usize) -> u16 {
+fn saturating_u16(n: usize) -> u16 {
     u16::try_from(n).unwrap_or(u16::MAX)
 }
 
-/// What replacing the lost takes: nothing if enough spares have the weights.
+/// Time to load the weights into replacements: zero if enough spares have them.
 fn spare_load_time(
     view: &View<'_>,
     rules: &StewardRules,
@@ -125,12 +127,12 @@
     model: &Model,
     lost: usize,
 ) -> Millis {
-    let free = view.free(rules);
+    let free = view.free_instances(rules);
     let loaded = free.iter().filter(|spare| view.has_weights(&spare.instance, &group.model, model));
     if loaded.count() >= lost { Millis::ZERO } else { load_time(model, rules) }
 }
 
-/// What one instance needs to read its part of the weights.
+/// Time in which one instance reads its part of the weights from the store.
 pub(super) fn load_time(model: &Model, rules: &StewardRules) -> Millis {
     Millis(u64::from(model.weights_mib) * 1000 / u64::from(rules.load_mib_per_s.max(1)))
 }
@@ -142,30 +144,30 @@
     }
 }
 
-/// Members that are left of the other broken groups of the same size here.
-fn other_rests(view: &View<'_>, rules: &StewardRules, group: &Group) -> u16 {
+/// Remaining members of the other broken groups of the same size in the domain.
+fn other_remaining(view: &View<'_>, rules: &StewardRules, group: &Group) -> u16 {
     let others = view.state.fleet.groups().filter(|other| {
         other.is_active()
             && other.id != group.id
             && other.domain == group.domain
             && other.members.len() == group.members.len()
     });
-    let rests = others.filter_map(|other| {
+    let remaining = others.filter_map(|other| {
         let lost = other.members.iter().filter(|m| is_lost(view, rules, other, m)).count();
         (lost > 0).then(|| other.members.len() - lost)
     });
-    count(rests.sum())
+    saturating_u16(remaining.sum())
 }
 
-/// Why a whole group has to end, if it has to.
-fn why_it_must_go(
+/// Why the group has to end although no member is lost; `None` if it stays.
+fn reason_to_end(
     view: &View<'_>,
     rules: &StewardRules,
     in_force: &InForce,
     group: &Group,
 ) -> Option<EndCause> {
     let fleet = &view.state.fleet;
-    if group.members.iter().any(|member| view.must_go(&member.instance)) {
+    if group.members.iter().any(|member| view.must_leave(&member.instance)) {
         return Some(EndCause::PlannedStop);
     }
     let Some(model) = in_force.bundle.models.get(&group.model) else {
@@ -189,22 +191,25 @@
     is_outgrown(view, rules, model, group).then_some(EndCause::Outgrown)
 }
 
-/// Whether the group took a smaller role, and the best one is possible again.
+/// Whether the group has a smaller role than the model's best, and its members and the
+/// free instances suffice for the best one.
 fn is_outgrown(view: &View<'_>, rules: &StewardRules, model: &Model, group: &Group) -> bool {
     let Some(best) = model.roles.first().filter(|best| best.name != group.role) else {
         return false;
     };
-    // One at a time, and not before what lacks: what is free is spoken for.
-    let is_spoken_for = forming::is_growing(view, &group.model)
-        || forming::may_form(view, rules, &group.model, model);
-    if is_spoken_for {
+    // Groups grow one at a time, and missing groups go first: the free instances are
+    // reserved for those.
+    let is_reserved = forming::is_growing(view, &group.model)
+        || forming::can_form(view, rules, &group.model, model);
+    if is_reserved {
         return false;
     }
-    let at_hand = view.free(rules).len() + group.members.len();
-    at_hand >= usize::from(best.instances)
+    let available = view.free_instances(rules).len() + group.members.len();
+    available >= usize::from(best.instances)
 }
 
-/// Whether enough older groups of the same version fill the model's places.
+/// Whether older groups of the same version are as many as the model's replicas. A group
+/// that replaces one which still exists is no surplus.
 fn is_surplus(fleet: &Fleet, group: &Group, replicas: usize) -> bool {
     let replaced = group.replaces.as_ref();
     if replaced.is_some_and(|replaced| fleet.group(&replaced.group).is_some()) {
@@ -216,7 +221,8 @@
     older.count() >= replicas
 }
 
-/// Lets another group stand in first if there is one, then drains.
+/// Ends a group: at once if it is surplus or an instance leaves, otherwise after its
+/// replacement is ready. Without free instances for a replacement it drains at once.
 fn retire(
     view: &View<'_>,
     rules: &StewardRules,
@@ -226,38 +232,44 @@
     plan: &mut Plan,
 ) {
     if leaving || cause == EndCause::NotWanted {
-        plan.decide(&group.id, "draining at once");
-        plan.facts.push(draining(group, cause));
+        plan.add_decision(&group.id, "draining at once");
+        plan.facts.push(drain_fact(group, cause));
         return;
     }
-    if let Some(stand_in) = view.state.fleet.replacement_of(&group.id) {
+    if let Some(replacement) = view.state.fleet.replacement_of(&group.id) {
         let serves = check_group(
-            stand_in,
+            replacement,
             view.observations,
-            &view.leaving(),
+            &view.leaving_instances(),
             view.now,
             rules.group_readiness,
         );
         match serves {
             Ok(()) => {
-                plan.decide(&group.id, format!("draining: {} serves in its place", stand_in.id));
-                plan.facts.push(draining(group, cause));
+                plan.add_decision(
+                    &group.id,
+                    format!("draining: {} serves in its place", replacement.id),
+                );
+                plan.facts.push(drain_fact(group, cause));
+            }
+            Err(why) => {
+                plan.add_decision(&group.id, format!("{} stands in soon: {why}", replacement.id))
             }
-            Err(why) => plan.decide(&group.id, format!("{} stands in soon: {why}", stand_in.id)),
         }
         return;
     }
-    if let Some(formation) = forming::stand_in(view, rules, group) {
-        plan.decide(&group.id, format!("forming {} to stand in", formation.group));
+    if let Some(formation) = forming::replacement(view, rules, group) {
+        plan.add_decision(&group.id, format!("forming {} to stand in", formation.group));
         plan.facts.push(workshold_protocol::record::Fact::GroupFormed(formation));
     } else {
-        plan.decide(&group.id, "draining: nothing is free to stand in");
-        plan.facts.push(draining(group, cause));
+        plan.add_decision(&group.id, "draining: nothing is free to stand in");
+        plan.facts.push(drain_fact(group, cause));
     }
 }
 
-/// Orders in whoever does not say that it is in, and is still the same life.
-fn order_members_in(
+/// Orders every member to join that does not report to be in the group and has not
+/// restarted since the group was formed.
+fn order_members_to_join(
     view: &View<'_>,
     timers: &mut StewardTimers,
     rules: &StewardRules,
@@ -276,11 +288,11 @@
         weights_mib: model.weights_mib,
     });
     for member in &group.members {
-        let Some(observation) = view.fresh(&member.instance, rules) else { continue };
+        let Some(observation) = view.fresh_observation(&member.instance, rules) else { continue };
         let own = observation.report.membership.as_ref();
         let is_in = own.is_some_and(|own| own.group == group.id && own.fence == group.fence);
         if !is_in && observation.report.incarnation == member.incarnation {
-            send(view, timers, rules, &member.instance, group.fence, &action, plan);
+            push_order(view, timers, rules, &member.instance, group.fence, &action, plan);
         }
     }
 }
--- a/crates/workshold-core/src/steward/ending.rs
+++ b/crates/workshold-core/src/steward/ending.rs
@@ -1,4 +1,4 @@
-//! Draining groups, ending them, and freeing their members.
+//! Drains groups, dissolves them and releases their members.
 
 use workshold_protocol::Millis;
 use workshold_protocol::ids::Fence;
@@ -20,8 +20,9 @@
 use crate::steward::StewardTimers;
 use crate::steward::View;
 
-/// Goes on with every group of the domain that is draining or over.
-pub(super) fn carry_out_ends(
+/// Plans the next step for every draining or dissolved group of the domain, and orders
+/// unclaimed instances out of groups.
+pub(super) fn advance_ending_groups(
     view: &View<'_>,
     timers: &mut StewardTimers,
     rules: &StewardRules,
@@ -31,22 +32,24 @@
         match group.phase {
             Phase::Active => {}
             Phase::Draining { since, cause } => {
-                go_on_draining(view, timers, rules, group, since, cause, plan);
+                advance_draining(view, timers, rules, group, since, cause, plan);
             }
             Phase::Dissolved { since, .. } => {
-                free_members(view, timers, rules, group, since, plan);
+                release_members(view, timers, rules, group, since, plan);
             }
         }
     }
-    order_strays_out(view, timers, rules, plan);
+    order_unclaimed_out(view, timers, rules, plan);
 }
 
-/// A draining group ends when every member reports that it drains and has nothing
-/// left, or when a member is lost.
+/// Dissolves a draining group once every member reports that it is draining and has no
+/// requests left, or once a member has been lost for `member_grace`. Until then, orders
+/// the members to drain.
 ///
-/// A request that was on its way meanwhile is refused by a member that drains, so
-/// one such report of each is enough; the model finds no breach without a wait.
-fn go_on_draining(
+/// A draining member refuses a request that was sent to it meanwhile, so one such
+/// report of each member is enough; the model checker finds no violation without a
+/// further wait.
+fn advance_draining(
     view: &View<'_>,
     timers: &mut StewardTimers,
     rules: &StewardRules,
@@ -58,24 +61,24 @@
     let is_lost = group.members.iter().any(|member| is_lost(view, rules, group, member));
     let lost_for = timers.broken_for(&group.id, is_lost, view.now);
     if lost_for > rules.member_grace {
-        plan.decide(&group.id, "ended while draining: a member is lost");
-        plan.facts.push(dissolved(group, EndCause::MemberLost));
+        plan.add_decision(&group.id, "ended while draining: a member is lost");
+        plan.facts.push(dissolve_fact(group, EndCause::MemberLost));
         return;
     }
     if group.members.iter().all(|member| is_idle(view, rules, group, member)) {
-        plan.decide(&group.id, "drained: ended");
-        plan.facts.push(dissolved(group, cause));
+        plan.add_decision(&group.id, "drained: ended");
+        plan.facts.push(dissolve_fact(group, cause));
         return;
     }
     let action = OrderAction::Drain { group: group.id.clone() };
     for member in &group.members {
         if !is_draining(view, rules, group, member) {
-            send(view, timers, rules, &member.instance, since.into(), &action, plan);
+            push_order(view, timers, rules, &member.instance, since.into(), &action, plan);
         }
     }
 }
 
-fn free_members(
+fn release_members(
     view: &View<'_>,
     timers: &mut StewardTimers,
     rules: &StewardRules,
@@ -88,7 +91,7 @@
         if view.state.fleet.claim_of(instance) != Some(&group.id) {
             continue;
         }
-        let observation = view.fresh(instance, rules);
+        let observation = view.fresh_observation(instance, rules);
         let is_outside = observation.is_some_and(|observation| {
             observation.report.membership.as_ref().is_none_or(|own| own.group != group.id)
         });
@@ -96,15 +99,15 @@
         let is_gone = observation.is_none() && view.listed(instance).is_none();
         let gone_for = timers.gone_for(instance, is_gone, view.now);
         if outside_for > rules.release_wait || gone_for > rules.gone_after {
-            plan.facts.push(released(group, instance));
+            plan.facts.push(release_fact(group, instance));
         } else if observation.is_some() && !is_outside {
-            send(view, timers, rules, instance, since.into(), &action, plan);
+            push_order(view, timers, rules, instance, since.into(), &action, plan);
         }
     }
 }
 
-/// An instance that nobody claims but that believes itself in a group.
-fn order_strays_out(
+/// Orders out each instance that no group claims but that reports to be in one.
+fn order_unclaimed_out(
     view: &View<'_>,
     timers: &mut StewardTimers,
     rules: &StewardRules,
@@ -116,20 +119,21 @@
             continue;
         }
         let membership = view
-            .fresh(&listed.instance, rules)
+            .fresh_observation(&listed.instance, rules)
             .and_then(|observation| observation.report.membership.as_ref());
         let Some(membership) = membership else { continue };
-        // A fence that is not read yet: this node is behind, not the instance astray.
+        // The group's record is not replayed yet: this node is behind, and the instance
+        // may well be claimed.
         if membership.fence.0 >= view.state.next().0 {
             continue;
         }
         let action = OrderAction::Leave { group: membership.group.clone() };
-        send(view, timers, rules, &listed.instance, fence, &action, plan);
+        push_order(view, timers, rules, &listed.instance, fence, &action, plan);
     }
 }
 
-/// Sends an order unless one went out a moment ago.
-pub(super) fn send(
+/// Adds an order to the plan unless the instance got one less than `order_every` ago.
+pub(super) fn push_order(
     view: &View<'_>,
     timers: &mut StewardTimers,
     rules: &StewardRules,
@@ -143,15 +147,15 @@
     }
 }
 
-pub(super) fn dissolved(group: &Group, cause: EndCause) -> Fact {
+pub(super) fn dissolve_fact(group: &Group, cause: EndCause) -> Fact {
     Fact::GroupDissolved(GroupEnd { group: group.id.clone(), fence: group.fence, cause })
 }
 
-pub(super) fn draining(group: &Group, cause: EndCause) -> Fact {
+pub(super) fn drain_fact(group: &Group, cause: EndCause) -> Fact {
     Fact::GroupDraining(GroupEnd { group: group.id.clone(), fence: group.fence, cause })
 }
 
-fn released(group: &Group, instance: &InstanceId) -> Fact {
+fn release_fact(group: &Group, instance: &InstanceId) -> Fact {
     Fact::MemberReleased(Release {
         group: group.id.clone(),
         fence: group.fence,
@@ -159,14 +163,15 @@
     })
 }
 
-/// Whether the member is silent, in another life or elsewhere.
+/// Whether the member has no recent report, has restarted, or reports to be in a newer
+/// group.
 pub(super) fn is_lost(
     view: &View<'_>,
     rules: &StewardRules,
     group: &Group,
     member: &Member,
 ) -> bool {
-    let Some(observation) = view.fresh(&member.instance, rules) else { return true };
+    let Some(observation) = view.fresh_observation(&member.instance, rules) else { return true };
     if observation.report.incarnation != member.incarnation {
         return true;
     }
@@ -176,19 +181,20 @@
 
 fn is_draining(view: &View<'_>, rules: &StewardRules, group: &Group, member: &Member) -> bool {
     let membership = view
-        .fresh(&member.instance, rules)
+        .fresh_observation(&member.instance, rules)
         .and_then(|observation| observation.report.membership.as_ref());
     membership.is_some_and(|own| own.group == group.id && own.readiness == Readiness::Draining)
 }
 
 fn is_idle(view: &View<'_>, rules: &StewardRules, group: &Group, member: &Member) -> bool {
-    let Some(observation) = view.fresh(&member.instance, rules) else { return false };
-    let has_nothing = observation.report.running == 0 && observation.report.queued == 0;
-    let outside = observation.report.membership.is_none();
-    has_nothing && (outside || is_draining(view, rules, group, member))
+    let Some(observation) = view.fresh_observation(&member.instance, rules) else { return false };
+    let has_no_requests = observation.report.running == 0 && observation.report.queued == 0;
+    let is_outside = observation.report.membership.is_none();
+    has_no_requests && (is_outside || is_draining(view, rules, group, member))
 }
 
-/// The time that ending a group takes before its members are free, as planned with.
+/// Expected time from the decision to dissolve a group until its members are free: two
+/// order intervals and the wait for the release.
 pub(super) fn release_time(rules: &StewardRules) -> Millis {
     rules.release_wait + rules.order_every + rules.order_every
 }
--- a/crates/workshold-core/src/steward/forming.rs
+++ b/crates/workshold-core/src/steward/forming.rs
@@ -1,4 +1,4 @@
-//! Forming groups out of free instances.
+//! Forms groups out of free instances.
 
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Model;
@@ -23,16 +23,18 @@
 use crate::steward::StewardRules;
 use crate::steward::View;
 
-/// Forms what the bundle asks for and the domain has instances for.
+/// Forms the groups that the bundle asks for and the domain has free instances for.
 ///
-/// Stewards of other domains may do so at the same time; the log counts.
-/// A domain with a broken group of a model waits for its repair to be decided.
+/// Stewards of other domains may form the same ones at the same time; the log
+/// accepts only as many as the bundle asks for. A broken group counts as present until
+/// its repair is decided. Nothing is formed if the plan already forms a replacement, and
+/// nothing for a model that is growing here.
 pub(super) fn form_groups(view: &View<'_>, rules: &StewardRules, plan: &mut Plan) {
     let Some(in_force) = view.state.bundles.in_force() else { return };
     if plan.facts.iter().any(|fact| matches!(fact, Fact::GroupFormed(_))) {
         return;
     }
-    let mut free = view.free(rules);
+    let mut free = view.free_instances(rules);
     let mut formed = 0;
     for (name, model) in by_need(view.state, in_force) {
         if is_growing(view, name) {
@@ -40,7 +42,7 @@
         }
         for _ in 0..deficit(view.state, name, model) {
             let Some(role) = largest_fitting(model, free.len()) else { break };
-            if is_worth_waiting(view, rules, model, role, free.len()) {
+            if larger_role_fits_soon(view, rules, model, role, free.len()) {
                 break;
             }
             loaded_first(view, &mut free, name, model);
@@ -48,15 +50,19 @@
             let Some(members) = members_of(view, &members) else { break };
             let id = group_id(view, formed);
             formed += 1;
-            plan.decide(&id, format!("forming: {name} lacks a group, {} are free", members.len()));
+            plan.add_decision(
+                &id,
+                format!("forming: {name} lacks a group, {} are free", members.len()),
+            );
             let formation = formation(view, in_force, id, name, model, role, members, None);
             plan.facts.push(Fact::GroupFormed(formation));
         }
     }
 }
 
-/// Whether a group of the model ends here so that a larger one can be formed: until
-/// its members are free, what is free is kept for that.
+/// Whether a group of the model is ending in this domain so that a larger one can be
+/// formed. Free instances are reserved for that until its members are released, unless
+/// one of them has been silent for too long.
 pub(super) fn is_growing(view: &View<'_>, model: &ModelName) -> bool {
     view.state.fleet.groups().any(|group| {
         let cause = match group.phase {
@@ -64,19 +70,19 @@
             Phase::Draining { cause, .. } | Phase::Dissolved { cause, .. } => Some(cause),
         };
         let is_here = &group.domain == view.domain && &group.model == model;
-        let waits_for_nobody = group.members.iter().all(|member| {
-            view.observations
-                .get(&member.instance)
-                .is_some_and(|observation| view.now.since(observation.seen) < GROWTH_PATIENCE)
+        let none_is_silent = group.members.iter().all(|member| {
+            view.observations.get(&member.instance).is_some_and(|observation| {
+                view.now.since(observation.seen) < MAX_SILENCE_FOR_GROWTH
+            })
         });
-        is_here && cause == Some(EndCause::Outgrown) && waits_for_nobody
+        is_here && cause == Some(EndCause::Outgrown) && none_is_silent
     })
 }
 
-/// A member that is silent for longer than this is not waited for.
-const GROWTH_PATIENCE: Millis = Millis(10_000);
+/// The release of a member that has been silent for longer than this is not waited for.
+const MAX_SILENCE_FOR_GROWTH: Millis = Millis(10_000);
 
-/// Models by what share of their groups is missing, worst first.
+/// The models, ordered by the fraction of their groups that is missing, largest first.
 fn by_need<'a>(state: &State, in_force: &'a InForce) -> Vec<(&'a ModelName, &'a Model)> {
     let mut models: Vec<_> = in_force.bundle.models.iter().collect();
     models.sort_by_key(|(name, model)| {
@@ -86,34 +92,35 @@
     models
 }
 
-/// How many groups are lacking. One of an old version fills its place until its
-/// turn comes: see [`is_next_old`].
+/// The number of groups that the model lacks. A group of an old version counts as
+/// present until it is replaced; see [`is_next_old`].
 fn deficit(state: &State, name: &ModelName, model: &Model) -> usize {
     let running = state.fleet.groups().filter(|group| group.is_active() && &group.model == name);
-    let lasting = running.filter(|group| state.fleet.replacement_of(&group.id).is_none());
-    usize::from(model.replicas).saturating_sub(lasting.count())
+    let not_replaced = running.filter(|group| state.fleet.replacement_of(&group.id).is_none());
+    usize::from(model.replicas).saturating_sub(not_replaced.count())
 }
 
 fn largest_fitting(model: &Model, free: usize) -> Option<&Role> {
     model.roles.iter().find(|role| usize::from(role.instances) <= free)
 }
 
-/// Whether a group of the model lacks, and there is room for one here.
-pub(super) fn may_form(
+/// Whether the model lacks a group and the domain has the free instances for one.
+pub(super) fn can_form(
     view: &View<'_>,
     rules: &StewardRules,
     name: &ModelName,
     model: &Model,
 ) -> bool {
-    deficit(view.state, name, model) > 0 && largest_fitting(model, view.free(rules).len()).is_some()
+    deficit(view.state, name, model) > 0
+        && largest_fitting(model, view.free_instances(rules).len()).is_some()
 }
 
-/// Whether `group`, of an old version, is the next to make room.
+/// Whether `group`, of an old version, is the next one to end in the rollout.
 ///
-/// Old groups go one by one, oldest first: only while none is on its way out,
-/// every new one serves, and nothing more can be formed of what is free. Every
-/// steward reads the same order from the log. A new version that does not come
-/// up therefore stops the rollout.
+/// Old groups end one at a time, oldest first: only while no other is ending, every
+/// group of the new version is ready, and no further group can be formed from free
+/// instances. All stewards derive the same order from the log. A new version that
+/// does not become ready therefore stops the rollout.
 pub(super) fn is_next_old(
     view: &View<'_>,
     rules: &StewardRules,
@@ -124,20 +131,21 @@
     let is_old = |other: &&Group| other.version != model.version;
     let any_ending = same_model().filter(is_old).any(|other| !other.is_active());
     let oldest = same_model().filter(is_old).min_by_key(|other| other.age_key());
-    let leaving = view.leaving();
+    let leaving = view.leaving_instances();
     let all_new_serve = same_model().filter(|other| !is_old(other)).all(|other| {
         check_group(other, view.observations, &leaving, view.now, rules.group_readiness).is_ok()
     });
     let is_oldest = oldest.is_some_and(|oldest| oldest.id == group.id);
-    is_oldest && !any_ending && all_new_serve && !may_form(view, rules, &group.model, model)
+    is_oldest && !any_ending && all_new_serve && !can_form(view, rules, &group.model, model)
 }
 
-/// A group of free instances that can stand in for `old`.
-pub(super) fn stand_in(view: &View<'_>, rules: &StewardRules, old: &Group) -> Option<Formation> {
+/// The formation of a group that replaces `old`, in the model's best role; `None` if
+/// too few instances are free.
+pub(super) fn replacement(view: &View<'_>, rules: &StewardRules, old: &Group) -> Option<Formation> {
     let in_force = view.state.bundles.in_force()?;
     let model = in_force.bundle.models.get(&old.model)?;
     let role = model.roles.first()?;
-    let mut free = view.free(rules);
+    let mut free = view.free_instances(rules);
     loaded_first(view, &mut free, &old.model, model);
     let chosen = free.get(..usize::from(role.instances))?;
     let members = members_of(view, chosen)?;
@@ -146,8 +154,8 @@
     Some(formation(view, in_force, id, &old.model, model, role, members, replaces))
 }
 
-/// Whether a better role will fit as soon as members of ended groups are free.
-fn is_worth_waiting(
+/// Whether a larger role will fit once the members of ending groups are released.
+fn larger_role_fits_soon(
     view: &View<'_>,
     rules: &StewardRules,
     model: &Model,
@@ -159,14 +167,15 @@
         let claimed = |m: &&Member| view.state.fleet.claim_of(&m.instance) == Some(&group.id);
         group.members.iter().filter(claimed)
     });
-    let is_there = |member: &&Member| {
-        view.fresh(&member.instance, rules).is_some() && !view.must_go(&member.instance)
+    let is_available = |member: &&Member| {
+        view.fresh_observation(&member.instance, rules).is_some()
+            && !view.must_leave(&member.instance)
     };
-    let soon = free + members.filter(is_there).count();
-    largest_fitting(model, soon).is_some_and(|better| better.instances > role.instances)
+    let available_soon = free + members.filter(is_available).count();
+    largest_fitting(model, available_soon).is_some_and(|better| better.instances > role.instances)
 }
 
-/// Puts those that have the weights first.
+/// Moves the instances that have the model's weights in memory to the front.
 fn loaded_first(view: &View<'_>, free: &mut [&ListedInstance], name: &ModelName, model: &Model) {
     free.sort_by_key(|listed| !view.has_weights(&listed.instance, name, model));
 }
@@ -204,12 +213,13 @@
     }
 }
 
-/// A name that two stewards with the same view give alike, so that the log
-/// takes only one of the two formations.
+/// The name of a new group. Stewards with the same view generate the same name, so
+/// the log accepts only one of their formations.
 fn group_id(view: &View<'_>, nth: usize) -> GroupId {
     let next = view.state.next();
     let domain = domain_hash(view.domain);
-    GroupId::new(&format!("g{next}-{domain:08x}-{nth}")).expect("digits and dashes make a name")
+    GroupId::new(&format!("g{next}-{domain:08x}-{nth}"))
+        .expect("a name of letters, digits and dashes is valid")
 }
 
 fn domain_hash(domain: &FabricDomain) -> u32 {
--- a/crates/workshold-core/src/steward/plan.rs
+++ b/crates/workshold-core/src/steward/plan.rs
@@ -1,4 +1,4 @@
-//! What a steward wants done, and why.
+//! The result of planning: facts, orders, and the decisions behind them.
 
 use serde::Serialize;
 use workshold_protocol::ids::GroupId;
@@ -6,16 +6,16 @@
 use workshold_protocol::record::Fact;
 use workshold_protocol::report::Order;
 
-use crate::repair::Choice;
+use crate::repair::RepairChoice;
 
-/// What a steward wants done.
+/// The result of planning for one domain.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Plan {
-    /// Facts to append; the log decides whether they count.
+    /// Facts to append to the log, which may still reject them.
     pub facts: Vec<Fact>,
-    /// Orders to send; their replies prove nothing, reports do.
+    /// Orders to send. Whether they took effect is known from reports, not from replies.
     pub orders: Vec<(InstanceId, Order)>,
-    /// What was decided about groups, for operators.
+    /// Decisions about groups, shown to operators.
     pub decisions: Vec<Decision>,
 }
 
@@ -24,14 +24,14 @@
 pub struct Decision {
     /// The group.
     pub group: GroupId,
-    /// What was decided, in words.
+    /// What was decided, as text for operators.
     pub what: String,
-    /// The options that were weighed, if there was a choice.
-    pub choice: Option<Choice>,
+    /// The repairs that were compared, if the group was broken.
+    pub choice: Option<RepairChoice>,
 }
 
 impl Plan {
-    pub(super) fn decide(&mut self, group: &GroupId, what: impl Into<String>) {
+    pub(super) fn add_decision(&mut self, group: &GroupId, what: impl Into<String>) {
         self.decisions.push(Decision { group: group.clone(), what: what.into(), choice: None });
     }
 }
--- a/crates/workshold-core/src/steward/preloading.rs
+++ b/crates/workshold-core/src/steward/preloading.rs
@@ -1,7 +1,8 @@
-//! Loading weights into spares, so that one of them serves seconds after a loss.
+//! Loads weights into spares, so that a spare can serve within seconds after the loss of
+//! a member.
 //!
-//! The weight store is rate-limited: a spare loads only while every group of the
-//! domain serves, and one at a time.
+//! The weight store is rate-limited: spares load one at a time, and only while every
+//! group of the domain is ready.
 
 use workshold_protocol::bundle::Model;
 use workshold_protocol::ids::Fence;
@@ -17,10 +18,11 @@
 use crate::steward::StewardRules;
 use crate::steward::StewardTimers;
 use crate::steward::View;
-use crate::steward::ending::send;
-use crate::steward::mending::load_time;
+use crate::steward::active_groups::load_time;
+use crate::steward::ending::push_order;
 
-/// Orders the next spare to load, if nothing more urgent needs the store.
+/// Orders the next spare to load weights, unless the plan or a group that is not ready
+/// needs the store more urgently.
 pub(super) fn preload_spares(
     view: &View<'_>,
     timers: &mut StewardTimers,
@@ -28,34 +30,36 @@
     plan: &mut Plan,
 ) {
     let Some(in_force) = view.state.bundles.in_force() else { return };
-    if !plan.facts.is_empty() || !all_serve(view, rules) {
+    if !plan.facts.is_empty() || !all_groups_ready(view, rules) {
         return;
     }
-    let free = view.free(rules);
+    let free = view.free_instances(rules);
     let Some((name, model)) = least_covered(view, in_force, &free) else { return };
-    let lacks = |instance: &InstanceId| {
+    let has_no_wanted_weights = |instance: &InstanceId| {
         let wanted = in_force.bundle.models.iter();
         !wanted.clone().any(|(name, model)| view.has_weights(instance, name, model))
     };
-    let Some(spare) = free.iter().find(|listed| lacks(&listed.instance)) else { return };
+    let Some(spare) = free.iter().find(|listed| has_no_wanted_weights(&listed.instance)) else {
+        return;
+    };
     if !timers.may_preload(load_time(model, rules) + rules.order_every, view.now) {
         return;
     }
     let weights = Weights { model: name.clone(), version: model.version.clone() };
     let action = OrderAction::Load { weights, weights_mib: model.weights_mib };
     let fence = Fence(view.state.next().0.saturating_sub(1));
-    send(view, timers, rules, &spare.instance, fence, &action, plan);
+    push_order(view, timers, rules, &spare.instance, fence, &action, plan);
 }
 
-fn all_serve(view: &View<'_>, rules: &StewardRules) -> bool {
-    let leaving = view.leaving();
+fn all_groups_ready(view: &View<'_>, rules: &StewardRules) -> bool {
+    let leaving = view.leaving_instances();
     let mut here = view.state.fleet.groups().filter(|group| &group.domain == view.domain);
     here.all(|group| {
         check_group(group, view.observations, &leaving, view.now, rules.group_readiness).is_ok()
     })
 }
 
-/// The model whose groups here have the fewest loaded spares each.
+/// The model with the fewest loaded spares per group in the domain.
 fn least_covered<'a>(
     view: &View<'_>,
     in_force: &'a InForce,
@@ -65,10 +69,10 @@
         let here = view.state.fleet.groups().filter(|group| &group.domain == view.domain);
         here.filter(|group| &group.model == name).count()
     };
-    let covered = |name: &ModelName, model: &Model| {
+    let milli_spares_per_group = |name: &ModelName, model: &Model| {
         let loaded = free.iter().filter(|listed| view.has_weights(&listed.instance, name, model));
         loaded.count() * 1000 / groups(name)
     };
     let models = in_force.bundle.models.iter().filter(|(name, _)| groups(name) > 0);
-    models.min_by_key(|(name, model)| covered(name, model))
+    models.min_by_key(|(name, model)| milli_spares_per_group(name, model))
 }
--- a/crates/workshold-core/src/steward/timers.rs
+++ b/crates/workshold-core/src/steward/timers.rs
@@ -8,19 +8,20 @@
 
 use crate::state::State;
 
-/// Since when something has been so, by the steward's own clock.
+/// Since when conditions have held, and when the last orders were sent, by the planning
+/// node's clock.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct StewardTimers {
-    broken: BTreeMap<GroupId, Millis>,
-    outside: BTreeMap<(GroupId, InstanceId), Millis>,
-    gone: BTreeMap<InstanceId, Millis>,
-    ordered: BTreeMap<InstanceId, Millis>,
-    preloaded: Option<Millis>,
+    broken_since: BTreeMap<GroupId, Millis>,
+    outside_since: BTreeMap<(GroupId, InstanceId), Millis>,
+    gone_since: BTreeMap<InstanceId, Millis>,
+    last_order: BTreeMap<InstanceId, Millis>,
+    last_preload: Option<Millis>,
 }
 
-/// How long `key` has been so; the first time it is so starts the clock.
-fn lasting<K: Ord>(map: &mut BTreeMap<K, Millis>, key: K, is_so: bool, now: Millis) -> Millis {
-    if !is_so {
+/// How long a condition has held for `key`; `holds` is whether it holds now.
+fn held_for<K: Ord>(map: &mut BTreeMap<K, Millis>, key: K, holds: bool, now: Millis) -> Millis {
+    if !holds {
         map.remove(&key);
         return Millis::ZERO;
     }
@@ -28,12 +29,12 @@
 }
 
 impl StewardTimers {
-    /// How long the group has been broken.
+    /// How long the group has had a lost member.
     pub(super) fn broken_for(&mut self, group: &GroupId, is_broken: bool, now: Millis) -> Millis {
-        lasting(&mut self.broken, group.clone(), is_broken, now)
+        held_for(&mut self.broken_since, group.clone(), is_broken, now)
     }
 
-    /// How long the member has been seen outside of the group without a break.
+    /// How long the member has reported, without interruption, to be outside of the group.
     pub(super) fn outside_for(
         &mut self,
         group: &GroupId,
@@ -41,36 +42,38 @@
         is_outside: bool,
         now: Millis,
     ) -> Millis {
-        lasting(&mut self.outside, (group.clone(), member.clone()), is_outside, now)
+        held_for(&mut self.outside_since, (group.clone(), member.clone()), is_outside, now)
     }
 
-    /// How long the instance has been neither listed nor heard of.
+    /// How long the instance has been neither listed nor heard from.
     pub(super) fn gone_for(&mut self, instance: &InstanceId, is_gone: bool, now: Millis) -> Millis {
-        lasting(&mut self.gone, instance.clone(), is_gone, now)
+        held_for(&mut self.gone_since, instance.clone(), is_gone, now)
     }
 
-    /// Whether an order may go out; at most one in `every`.
+    /// Whether an order may be sent to the instance: at most one per `every`. If so, the
+    /// order counts as sent.
     pub(super) fn may_order(&mut self, instance: &InstanceId, every: Millis, now: Millis) -> bool {
-        let due = self.ordered.get(instance).is_none_or(|last| now.since(*last) >= every);
+        let due = self.last_order.get(instance).is_none_or(|last| now.since(*last) >= every);
         if due {
-            self.ordered.insert(instance.clone(), now);
+            self.last_order.insert(instance.clone(), now);
         }
         due
     }
 
-    /// Whether the next spare may load; at most one in `every`.
+    /// Whether the next spare may load weights: at most one per `every`. If so, it counts
+    /// as started.
     pub(super) fn may_preload(&mut self, every: Millis, now: Millis) -> bool {
-        let due = self.preloaded.is_none_or(|last| now.since(last) >= every);
+        let due = self.last_preload.is_none_or(|last| now.since(last) >= every);
         if due {
-            self.preloaded = Some(now);
+            self.last_preload = Some(now);
         }
         due
     }
 
-    pub(super) fn forget_ended(&mut self, state: &State) {
+    pub(super) fn drop_ended(&mut self, state: &State) {
         let fleet = &state.fleet;
-        self.broken.retain(|group, _| fleet.group(group).is_some());
-        self.outside.retain(|(group, _), _| fleet.group(group).is_some());
-        self.gone.retain(|instance, _| fleet.claim_of(instance).is_some());
+        self.broken_since.retain(|group, _| fleet.group(group).is_some());
+        self.outside_since.retain(|(group, _), _| fleet.group(group).is_some());
+        self.gone_since.retain(|instance, _| fleet.claim_of(instance).is_some());
     }
 }
--- a/crates/workshold-core/tests/steward.rs
+++ b/crates/workshold-core/tests/steward.rs
@@ -1,4 +1,5 @@
-//! A steward brings a small domain to what the bundle asks for, and then rests.
+//! Tests that a steward brings a small domain to the groups that the bundle asks for
+//! and then appends no more facts.
 
 use std::collections::BTreeMap;
 
@@ -34,22 +35,23 @@
 
 const STEP: Millis = Millis(500);
 
-/// Instances that obey at once, and a steward that plans every half second.
+/// A simulated domain: instances that carry out orders at once, and a steward that
+/// plans every half second.
 struct Domain {
     state: State,
     observations: Observations,
     timers: StewardTimers,
     now: Millis,
-    up: BTreeMap<InstanceId, Instance>,
+    instances: BTreeMap<InstanceId, Instance>,
     list: InstanceList,
-    records: usize,
+    appended_records: usize,
 }
 
 #[derive(Default)]
 struct Instance {
     is_up: bool,
-    life: u64,
-    seat: Option<Membership>,
+    incarnation: u64,
+    membership: Option<Membership>,
     loaded: Option<Weights>,
 }
 
@@ -79,15 +81,15 @@
             kind: InstanceKind::Engine { domain: domain(), accelerators: 8, fenced: true },
             leaving: false,
         };
-        let up = |i| (id(i), Instance { is_up: true, life: 1, ..Instance::default() });
+        let running = |i| (id(i), Instance { is_up: true, incarnation: 1, ..Instance::default() });
         let mut domain = Self {
             state: State::default(),
             observations: Observations::default(),
             timers: StewardTimers::default(),
             now: Millis(10_000),
-            up: (0..instances).map(up).collect(),
+            instances: (0..instances).map(running).collect(),
             list: InstanceList::new((0..instances).map(listed).collect()),
-            records: 0,
+            appended_records: 0,
         };
         domain.roll_out(first);
         domain
@@ -102,19 +104,20 @@
     }
 
     fn append(&mut self, facts: Vec<Fact>) {
-        self.records += 1;
+        self.appended_records += 1;
         let envelope = Envelope::new(Millis::ZERO, facts);
         let next = self.state.next();
         self.state.apply(next, &envelope).unwrap();
     }
 
-    fn lose(&mut self, i: u16) {
-        self.up.get_mut(&id(i)).unwrap().is_up = false;
+    fn crash_instance(&mut self, i: u16) {
+        self.instances.get_mut(&id(i)).unwrap().is_up = false;
     }
 
-    fn come_back(&mut self, i: u16) {
-        let instance = self.up.get_mut(&id(i)).unwrap();
-        *instance = Instance { is_up: true, life: instance.life + 1, ..Instance::default() };
+    fn restart_instance(&mut self, i: u16) {
+        let instance = self.instances.get_mut(&id(i)).unwrap();
+        *instance =
+            Instance { is_up: true, incarnation: instance.incarnation + 1, ..Instance::default() };
     }
 
     fn run(&mut self, secs: u64) {
@@ -126,10 +129,10 @@
     }
 
     fn step(&mut self) {
-        for (id, instance) in self.up.iter().filter(|(_, instance)| instance.is_up) {
+        for (id, instance) in self.instances.iter().filter(|(_, instance)| instance.is_up) {
             let report = Report {
-                incarnation: Incarnation(instance.life),
-                membership: instance.seat.clone(),
+                incarnation: Incarnation(instance.incarnation),
+                membership: instance.membership.clone(),
                 loaded: instance.loaded.clone(),
                 lag: Millis::ZERO,
                 running: 0,
@@ -156,19 +159,20 @@
         };
         let plan = steward::plan(&view, &mut self.timers, &rules);
         for (id, order) in plan.orders {
-            let instance = self.up.get_mut(&id).unwrap();
+            let instance = self.instances.get_mut(&id).unwrap();
             match order.action {
                 OrderAction::Join(join) => {
                     let (group, fence) = (join.group, order.fence);
                     instance.loaded = Some(Weights { model: join.model, version: join.version });
-                    instance.seat = Some(Membership { group, fence, readiness: Readiness::Ready });
+                    instance.membership =
+                        Some(Membership { group, fence, readiness: Readiness::Ready });
                 }
                 OrderAction::Drain { .. } => {
-                    if let Some(seat) = &mut instance.seat {
-                        seat.readiness = Readiness::Draining;
+                    if let Some(membership) = &mut instance.membership {
+                        membership.readiness = Readiness::Draining;
                     }
                 }
-                OrderAction::Leave { .. } => instance.seat = None,
+                OrderAction::Leave { .. } => instance.membership = None,
                 OrderAction::Load { weights, .. } => instance.loaded = Some(weights),
             }
         }
@@ -177,20 +181,20 @@
         }
     }
 
-    /// Role and version of each active group, and how many instances are in none.
-    fn shape(&self) -> (Vec<String>, usize) {
+    /// Role and version of each active group, sorted, and the number of unclaimed instances.
+    fn groups_and_free(&self) -> (Vec<String>, usize) {
         let active = self.state.fleet.groups().filter(|group| group.is_active());
         let mut groups: Vec<_> = active.map(|g| format!("{}@{}", g.role, g.version)).collect();
         groups.sort();
-        let free = self.up.keys().filter(|id| self.state.fleet.claim_of(id).is_none());
+        let free = self.instances.keys().filter(|id| self.state.fleet.claim_of(id).is_none());
         (groups, free.count())
     }
 
-    /// Nothing more is appended.
-    fn assert_rests(&mut self) {
-        let before = self.records;
+    /// Asserts that no fact is appended for a minute.
+    fn assert_appends_nothing(&mut self) {
+        let before = self.appended_records;
         self.run(60);
-        assert_eq!(self.records, before, "the steward does not come to rest");
+        assert_eq!(self.appended_records, before, "the steward still appends facts");
     }
 }
 
@@ -198,8 +202,8 @@
 #[case::exact(8, 2, &["full@v1", "full@v1"], 0)]
 #[case::with_spares(10, 2, &["full@v1", "full@v1"], 2)]
 #[case::not_enough_for_two(6, 2, &["full@v1", "half@v1"], 0)]
-#[case::nearly_nothing(1, 2, &[], 1)]
-fn it_forms_what_there_is_room_for(
+#[case::too_few_for_any_group(1, 2, &[], 1)]
+fn forms_the_groups_that_fit(
     #[case] instances: u16,
     #[case] replicas: u16,
     #[case] groups: &[&str],
@@ -207,35 +211,35 @@
 ) {
     let mut domain = Domain::new(instances, bundle("b", "v1", replicas));
     domain.run(30);
-    assert_eq!(domain.shape(), (groups.iter().map(|g| (*g).to_owned()).collect(), free));
-    domain.assert_rests();
+    assert_eq!(domain.groups_and_free(), (groups.iter().map(|g| (*g).to_owned()).collect(), free));
+    domain.assert_appends_nothing();
 }
 
 #[test]
 fn a_lost_member_is_replaced_by_a_spare() {
     let mut domain = Domain::new(5, bundle("b", "v1", 1));
     domain.run(20);
-    domain.lose(0);
+    domain.crash_instance(0);
     domain.run(30);
-    let (groups, _) = domain.shape();
+    let (groups, _) = domain.groups_and_free();
     assert_eq!(groups, ["full@v1"]);
     assert!(domain.state.fleet.groups().any(|group| group.is_active() && !group.has(&id(0))));
-    domain.assert_rests();
+    domain.assert_appends_nothing();
 }
 
 #[test]
-fn groups_that_shrank_grow_again_and_the_steward_rests() {
+fn shrunk_groups_grow_back() {
     let mut domain = Domain::new(8, bundle("b", "v1", 2));
     domain.run(20);
-    // Both groups lose a member for long, and no spare is there.
-    domain.lose(0);
-    domain.lose(7);
+    // Both groups lose a member for a long time, and there is no spare.
+    domain.crash_instance(0);
+    domain.crash_instance(7);
     domain.run(2_000);
-    domain.come_back(0);
-    domain.come_back(7);
+    domain.restart_instance(0);
+    domain.restart_instance(7);
     domain.run(120);
-    assert_eq!(domain.shape(), (vec!["full@v1".to_owned(), "full@v1".to_owned()], 0));
-    domain.assert_rests();
+    assert_eq!(domain.groups_and_free(), (vec!["full@v1".to_owned(), "full@v1".to_owned()], 0));
+    domain.assert_appends_nothing();
 }
 
 #[test]
@@ -247,14 +251,14 @@
         domain.step();
         domain.now = domain.now + STEP;
         let active = domain.state.fleet.groups().filter(|group| group.is_active()).count();
-        assert!(active >= 1, "one group serves at every moment");
+        assert!(active >= 1, "at least one group stays active");
     }
-    assert_eq!(domain.shape(), (vec!["full@v2".to_owned(), "full@v2".to_owned()], 0));
-    domain.assert_rests();
+    assert_eq!(domain.groups_and_free(), (vec!["full@v2".to_owned(), "full@v2".to_owned()], 0));
+    domain.assert_appends_nothing();
 }
 
 #[test]
-fn a_stopped_instance_leaves_its_group_to_a_stand_in_first() {
+fn a_group_with_a_stopped_instance_is_replaced_before_it_drains() {
     let mut domain = Domain::new(8, bundle("b", "v1", 1));
     domain.run(20);
     let request = StopRequest { instance: id(0), stop: true };
@@ -265,50 +269,53 @@
         assert!(domain.state.fleet.groups().any(|group| group.is_active()), "no downtime");
     }
     assert_eq!(domain.state.fleet.claim_of(&id(0)), None);
-    assert_eq!(domain.shape().0, ["full@v1"]);
-    domain.assert_rests();
+    assert_eq!(domain.groups_and_free().0, ["full@v1"]);
+    domain.assert_appends_nothing();
 }
 
 #[test]
-fn fewer_replicas_end_the_surplus_only() {
+fn fewer_replicas_end_only_surplus_groups() {
     let mut domain = Domain::new(8, bundle("b", "v1", 2));
     domain.run(20);
     domain.roll_out(bundle("c", "v1", 1));
     domain.run(30);
-    assert_eq!(domain.shape(), (vec!["full@v1".to_owned()], 4));
-    domain.assert_rests();
+    assert_eq!(domain.groups_and_free(), (vec!["full@v1".to_owned()], 4));
+    domain.assert_appends_nothing();
 }
 
 #[test]
-fn a_lacking_group_goes_before_a_larger_one_and_the_steward_rests() {
+fn a_missing_group_is_formed_before_another_grows() {
     let mut domain = Domain::new(8, bundle("b", "v1", 3));
-    domain.lose(6);
-    domain.lose(7);
+    domain.crash_instance(6);
+    domain.crash_instance(7);
     domain.run(20);
-    assert_eq!(domain.shape().0, ["full@v1", "half@v1"]);
-    domain.come_back(6);
-    domain.come_back(7);
+    assert_eq!(domain.groups_and_free().0, ["full@v1", "half@v1"]);
+    domain.restart_instance(6);
+    domain.restart_instance(7);
     domain.run(30);
-    assert_eq!(domain.shape(), (vec!["full@v1".into(), "half@v1".into(), "half@v1".into()], 0));
-    domain.assert_rests();
+    assert_eq!(
+        domain.groups_and_free(),
+        (vec!["full@v1".into(), "half@v1".into(), "half@v1".into()], 0)
+    );
+    domain.assert_appends_nothing();
 }
 
 #[test]
-fn spares_load_what_groups_need_and_are_taken_first() {
+fn spares_preload_weights_and_loaded_ones_are_claimed_first() {
     let mut domain = Domain::new(7, bundle("b", "v1", 1));
     domain.run(20);
     domain.run(60);
     let spares: Vec<_> = domain
-        .up
+        .instances
         .iter()
         .filter(|(id, _)| domain.state.fleet.claim_of(id).is_none())
         .map(|(id, instance)| (id.clone(), instance.loaded.is_some()))
         .collect();
     assert!(spares.iter().all(|(_, is_loaded)| *is_loaded), "{spares:?}");
-    // A spare that restarts meanwhile has nothing; one that has the weights goes first.
-    domain.lose(0);
+    // A spare that restarts has lost its weights; those that have them are claimed first.
+    domain.crash_instance(0);
     domain.run(4);
-    domain.come_back(4);
+    domain.restart_instance(4);
     domain.run(12);
     let taken = domain.state.fleet.claim_of(&id(5)).or(domain.state.fleet.claim_of(&id(6)));
     let groups: Vec<_> = domain.state.fleet.groups().collect();
