--- a/crates/workshold-core/src/lib.rs
+++ b/crates/workshold-core/src/lib.rs
@@ -1,16 +1,18 @@
-//! Decisions of workshold as pure functions.
+//! The decision logic of workshold, free of I/O.
 //!
-//! Nothing here opens a socket, reads a clock or draws a random number by
-//! itself: every function takes what it needs and returns what to do. The
+//! Nothing here opens a socket, reads a clock or generates a random number:
+//! every function takes its inputs as arguments and returns what to do. The
 //! daemon, the tests, the model checker and the benches run the same code.
 //!
-//! - What lasts: [`state`] folds the log through the aggregates [`bundles`],
-//!   [`fleet`] and [`keys`]; [`replay`] feeds it.
-//! - What is true now: [`observation`] keeps reports, [`group_readiness`] judges a group.
-//! - What to do about it: [`steward`] with [`repair`]; [`checkpointing`].
-//! - Requests: [`lifecycle`], [`at_most_once`], [`routing`], [`admission`], [`limits`], [`retry`],
-//!   [`outlier`].
-//! - Where the platform keeps the state: [`hosted`].
+//! - Durable state: [`state`] folds the log through the aggregates [`bundles`],
+//!   [`fleet`] and [`keys`]; [`replay`] feeds records to it.
+//! - Current observations: [`observation`] holds instances' reports, [`group_readiness`] decides
+//!   from them whether a group is ready.
+//! - Control: [`steward`] plans groups, with [`repair`] for broken ones;
+//!   [`checkpointing`] maintains the log.
+//! - Requests: [`lifecycle`], [`at_most_once`], [`routing`] with [`prefix`], [`admission`],
+//!   [`limits`], [`retry`], [`outlier`].
+//! - Deployments whose platform stores the state: [`hosted`].
 //! - Nodes: [`membership`], [`instance_list`], [`authority`], [`rendezvous`].
 
 pub mod admission;
