--- a/crates/workshold-core/src/membership.rs
+++ b/crates/workshold-core/src/membership.rs
@@ -163,7 +163,7 @@
     /// which bundle is in force.
     ///
     /// `log_heard` is when the log last answered. A node with no expected peers is a
-    /// cluster of one by design and is never isolated.
+    /// cluster of one by design: it relies on the log only and is never isolated.
     pub fn is_isolated(&self, log_heard: Millis, now: Millis, rules: &MembershipRules) -> bool {
         if self.expected.is_empty() {
             return false;
--- a/crates/workshold-core/src/outlier.rs
+++ b/crates/workshold-core/src/outlier.rs
@@ -124,7 +124,8 @@
         health.ejected_until = now + Millis(rules.base_ejection_time.0 * u64::from(factor));
         health.consecutive_ejections += 1;
         health.consecutive_failures = 0;
-        // Its average starts anew afterwards, or the old one would eject it again at once.
+        // Its average starts anew afterwards. The old one would eject it again after its
+        // first answer, so that it would never be tried properly.
         health.samples = 0;
     }
 }
--- a/crates/workshold-core/src/repair.rs
+++ b/crates/workshold-core/src/repair.rs
@@ -190,8 +190,9 @@
         RepairOption { repair, cost, down_hours, stranded_hours }
     }
 
-    /// A member comes back as a new incarnation, so the wait ends with a rebuild. Spares
-    /// that could replace it are idle meanwhile, as are the remaining members.
+    /// A member may come back as a new incarnation, so the wait includes a rebuild of the
+    /// group. Spares that could replace the member are idle meanwhile, as are the
+    /// remaining members.
     fn wait(&self) -> RepairOption {
         let hours = self.hours_until_return() + self.rebuild_hours();
         let idle = self.remaining() + self.situation.spares.min(self.situation.missing);
