--- a/crates/workshold-gateway/src/proxy.rs
+++ b/crates/workshold-gateway/src/proxy.rs
@@ -1,10 +1,10 @@
-//! Carrying a request to an upstream and its answer back.
+//! Proxies a request to an upstream instance and its response back to the caller.
 //!
-//! - [`attempt`]: one send to one instance, up to the head of its answer.
-//! - [`attempts`]: those that may still speak; the first that does goes on.
-//! - [`events`]: a stream cut into whole events.
-//! - [`stream`]: passing events on, and going on elsewhere when they stop.
-//! - [`wait`]: an eye on who is waited for.
+//! - [`attempt`]: one attempt at one instance, up to the head of its response.
+//! - [`attempts`]: the concurrent attempts of one request; the first to respond wins.
+//! - [`framing`]: splits a stream into whole events.
+//! - [`stream`]: forwards a stream's events, and continues it at another instance if they stop.
+//! - [`wait`]: how long to wait for an instance before it is probed or suspected.
 
 pub mod attempt;
 pub mod attempts;
@@ -50,40 +50,41 @@
 use crate::routing_table::Target;
 use crate::tasks::probing;
 
-/// With less time than this left nothing is sent any more.
+/// No attempt starts with less time than this left before the deadline.
 pub const LEAST_TIME: Millis = Millis(25);
-/// Requests that may wait at a full group: one place becomes free within a fraction
-/// of the goal, several do not.
+/// Requests that may queue at a full group: one slot becomes free within a fraction of the
+/// latency goal, several do not.
 const MAY_WAIT: u32 = 2;
-/// How long a request waits for a target to come up, as a part of its goal.
+/// A request waits for a target to become available for its latency goal divided by this.
 const WAIT_PART: u64 = 6;
+/// Poll interval while a request waits for a target.
 const WAIT_STEP: Millis = Millis(15);
-/// When to come back if nothing serves a model.
+/// `Retry-After` if nothing serves the model.
 const COME_BACK_NONE: Millis = Millis(500);
-/// The same for what is kept from instances: callers do not wait that long.
+/// Longest `Retry-After` of quarantined requests: callers do not wait longer.
 const COME_BACK_HELD: Millis = Millis::from_secs(60);
-/// Why a request is refused that no instance takes now.
-const ALL_WITHHELD: &str = "all that serve it take nothing for now, by their own word";
-/// However long nobody takes anything; callers do not wait that long.
+/// Logged reason of a refusal when every instance has asked for no requests now.
+const ALL_WITHHELD: &str = "all instances that serve it have asked for no requests for now";
+/// Longest `Retry-After` while instances ask for no requests: callers do not wait longer.
 const COME_BACK_LONGEST: Millis = Millis::from_secs(60);
-/// When to come back after a refusal by an upstream that is full.
+/// `Retry-After` if upstreams were tried and refused because they are full.
 const COME_BACK_FULL: Millis = Millis(150);
 
-/// Where a request stands.
+/// The state of a request on its way through its attempts.
 pub struct Course {
-    /// What is to be done.
+    /// The request.
     pub job: Arc<AdmittedRequest>,
-    /// What has ended of it.
+    /// What its ended attempts have used up.
     pub used: AttemptsUsed,
-    /// Instances that it was tried at.
+    /// Instances that it was attempted at.
     pub tried: Vec<Identity>,
-    /// Why the last attempt ended.
+    /// Why the latest attempt ended, for logs.
     pub why: &'static str,
-    /// Requests at the target that it went to first.
+    /// Requests that were in flight at its first target when it was chosen.
     pub load: u32,
-    /// Nothing can follow from doubt before this.
+    /// Suspicion of an instance is not reported before this: the last report had no consequence.
     held_until: Millis,
-    /// When an instance takes it that took nothing for now, by its own word.
+    /// When an instance that has asked for no requests takes one again.
     free_at: Option<Millis>,
 }
 
@@ -94,21 +95,22 @@
             job: Arc::new(job),
             used,
             tried: Vec::new(),
-            why: "nothing that serves it has a place",
+            why: "no instance that serves it has a free slot",
             load: 0,
             held_until: Millis::ZERO,
             free_at: None,
         }
     }
 
-    /// Whether nothing was tried yet: one that has run in part goes on wherever there
-    /// is a place, full or not.
+    /// Whether nothing was attempted yet. A request that has already run in part may continue
+    /// even at an instance that is full.
     fn is_new(&self) -> bool {
         self.tried.is_empty() && self.job.last_event_id.is_none()
     }
 
-    /// How long to wait for the newest of `under_way` attempts, which was last heard at
-    /// `since`; `after` says when it is looked into and when silence alone is doubt.
+    /// How long to wait for the newest of `under_way` attempts, whose instance last sent something
+    /// at `since`. `after` holds the silence after which the instance is probed, and the silence
+    /// that makes it suspect even if it answers probes.
     pub fn patience(&self, since: Millis, after: (Millis, Millis), under_way: u32) -> Patience {
         let may_begin = retry_policy::may_hedge(&self.job.route, self.used, under_way);
         Patience {
@@ -121,12 +123,12 @@
         }
     }
 
-    /// Time that is left.
+    /// Time left before the deadline.
     pub fn left(&self, node: &Node) -> Millis {
         self.job.left(node.now())
     }
 
-    /// Begins an attempt at `target`; a stream goes on behind event `last`.
+    /// Starts an attempt at `target`; a stream continues after event `last`.
     pub fn begin(
         &mut self,
         node: &Arc<Node>,
@@ -138,8 +140,9 @@
         attempts.push(Attempt::begin(node, &self.job, target, last));
     }
 
-    /// Begins an attempt beside those under way, if there is a place and budget for it;
-    /// otherwise all stays as it is, and doubt is told again a little later.
+    /// Starts an attempt concurrent with those under way (a hedge), if there is a target with a
+    /// free slot and retry budget for it. Otherwise nothing changes, and the suspicion is
+    /// reported again after [`LOOK_AGAIN`].
     pub fn begin_beside(
         &mut self,
         node: &Arc<Node>,
@@ -151,7 +154,7 @@
         let doubted = attempts.newest().map(|newest| Arc::clone(&newest.target));
         let place = pick(node, self);
         let lacks = match &place {
-            _ if node.is_suspect(self.job.fingerprint) => "proof that it ends nobody",
+            _ if node.is_suspect(self.job.fingerprint) => "proof that it ends no instance",
             Err(_) => "place",
             Ok(_) if !node.take_retry(&self.job.service) => "budget",
             Ok(_) => "nothing",
@@ -173,7 +176,8 @@
         }
     }
 
-    /// Notes how an attempt ended beside `others`; what never left was no repeat.
+    /// Records how an attempt ended while `others` are under way. An attempt that was never sent
+    /// is no retry, so its retry token is returned.
     fn note(&mut self, node: &Node, ending: AttemptEnd, why: &'static str, others: u32) {
         self.why = why;
         match ending {
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Notes how an attempt ended beside `others`, which go on.
+    /// Records how an attempt ended while `others` continue.
     pub fn ended_beside(
         &mut self,
         node: &Node,
@@ -203,8 +207,9 @@
         self.log_failure(node, target, ending, "Beside", "nothing");
     }
 
-    /// Whether the instance of a broken attempt has ended is looked into: at once and before
-    /// anything else if that may keep the request from others.
+    /// Probes whether the instance of a broken attempt has ended. If its end would quarantine the
+    /// request, the probe completes before anything else happens; otherwise it runs in the
+    /// background.
     pub async fn look_into(&self, node: &Node, target: &Target, ending: AttemptEnd) {
         if ending != AttemptEnd::Broken {
             return;
@@ -217,7 +222,7 @@
         }
     }
 
-    /// Gives back what [`Self::after`] took: there is no place for another attempt.
+    /// Returns the retry token that [`Self::after`] took, because no target is free.
     pub fn give_up_repeat(&self, node: &Node) {
         if self.used.sent > 0 {
             node.return_retry(&self.job.service);
@@ -249,7 +254,8 @@
         );
     }
 
-    /// Notes how the only attempt ended; says what follows.
+    /// Records how the only attempt ended, and decides what follows. A retry takes a token from the
+    /// retry budget.
     pub fn after(
         &mut self,
         node: &Node,
@@ -280,14 +286,14 @@
     }
 }
 
-/// Carries one request; the answer is final.
+/// Proxies one request, with retries, and returns the final response.
 pub async fn run(
     node: &Arc<Node>,
     job: AdmittedRequest,
     guard: RequestGuard,
 ) -> Response<ResponseBody> {
-    // What ends whoever runs it comes back under new ids, at any node: before it is counted
-    // or sent it is asked for by what it asks.
+    // A request that crashes instances comes back under new ids, at any node, so the quarantine is
+    // looked up by its content, before the request is counted or sent.
     if let Some(until) = node.quarantined_until(job.fingerprint) {
         return refuse_held(node, &job, until);
     }
@@ -328,7 +334,11 @@
             AttemptEvent::Opened(target, Opened::Whole(res))
                 if is_worth_repeating(&course, &res) =>
             {
-                (target, (AttemptEnd::Failed, "the upstream failed"), Some(res))
+                (
+                    target,
+                    (AttemptEnd::Failed, "the upstream answered with a server error"),
+                    Some(res),
+                )
             }
             AttemptEvent::Opened(target, Opened::Whole(res)) => {
                 attempts.drop_all(node, &course.job.id);
@@ -345,7 +355,7 @@
                 course.begin_beside(node, &mut attempts, last, why);
                 continue;
             }
-            // Nobody streams yet.
+            // No attempt has a stream yet.
             AttemptEvent::Events(_) => continue,
         };
         note_failure(node, &target, ending);
@@ -365,7 +375,8 @@
     }
 }
 
-/// Counts a failure against an instance, unless all it did is to say how much it takes.
+/// Counts a failure against an instance for outlier detection, unless the instance only stated
+/// how many requests it takes.
 pub fn note_failure(node: &Node, target: &Target, ending: AttemptEnd) {
     let now = node.now();
     let has_said = ending == AttemptEnd::Refused
@@ -375,7 +386,7 @@
     }
 }
 
-/// How long to wait for the newest attempt, none of which has spoken yet.
+/// How long to wait for the newest attempt while none has responded yet.
 fn opening_patience(node: &Node, course: &Course, attempts: &mut Attempts) -> Patience {
     let under_way = attempts.len();
     let newest = attempts.newest().expect("one was begun");
@@ -384,7 +395,7 @@
     Patience { waiting: Some(course.job.fingerprint), ..patience }
 }
 
-/// What is asked counts, whether it can be served or not.
+/// Counts the request towards its model's demand, whether it can be served or not.
 fn note_demand(node: &Node, job: &AdmittedRequest) {
     if let Some(model) = &job.model {
         node.demand.lock().on_request(model, asked(job), node.now());
@@ -417,8 +428,8 @@
     );
 }
 
-/// Refuses what would end whoever runs it. Nobody is invited back in a moment: until an
-/// operator lets it go it fares no better.
+/// Refuses a quarantined request. `Retry-After` is long, because a retry is refused as well until
+/// the quarantine ends or an operator releases the request.
 fn refuse_held(node: &Node, job: &AdmittedRequest, until: Millis) -> Response<ResponseBody> {
     let after = until.since(node.now()).min(COME_BACK_HELD);
     let fingerprint = job.fingerprint.to_string();
@@ -429,7 +440,7 @@
     responses::not_run("it has not run; it ends whoever begins to run it", spread(after))
 }
 
-/// The final answer of a request that is given up, at once.
+/// The final response to a request that is given up.
 fn give_up(node: &Node, course: &Course, next: NextStep) -> Response<ResponseBody> {
     let is_time_up = course.left(node) <= LEAST_TIME;
     let took = node.now().since(course.job.received_at).0.to_string();
@@ -459,20 +470,21 @@
     responses::own(status, "nobody knows whether it has run")
 }
 
-/// One to two times `after`, so that callers do not come back together.
+/// Adds jitter: one to two times `after`, so that callers do not all retry at the same time.
 fn spread(after: Millis) -> Millis {
     Millis(after.0 + rand::rng().random_range(0..=after.0))
 }
 
-/// Nothing can be sent now.
+/// No target takes the request now.
 #[derive(Debug)]
 pub struct NoTarget {
-    /// When one takes a request again, if all that fit take none for now by their own word.
+    /// When the first instance takes requests again, if all that serve the request have asked for
+    /// none now.
     pub free_at: Option<Millis>,
 }
 
-/// Waits a little for a target: a moment without any is often shorter than the
-/// way back to the caller.
+/// Waits a little for a target: a moment without any is often shorter than the caller's round
+/// trip for a retry.
 async fn wait_for_target(node: &Node, course: &Course) -> Result<Arc<Target>, NoTarget> {
     let patience = Millis(course.job.route.latency_goal.0 / WAIT_PART);
     let until = node.now() + patience;
@@ -490,11 +502,11 @@
     }
 }
 
-/// The best target that was not tried yet.
+/// Chooses the best target that was not attempted yet.
 ///
 /// # Errors
 ///
-/// [`NoTarget`] if there is none, or none with a place.
+/// [`NoTarget`] if there is none, or none with a free slot.
 pub fn pick(node: &Node, course: &Course) -> Result<Arc<Target>, NoTarget> {
     let routing_table = node.routing_table();
     let job = &course.job;
@@ -527,7 +539,7 @@
     chosen.map(|chosen| Arc::clone(fits[chosen])).ok_or(NoTarget { free_at })
 }
 
-/// Those that take a request of this node now, and when the first of the others does.
+/// The targets that take a request from this node now, and when the first of the others does.
 fn taking<'a>(
     node: &Node,
     fits: impl Iterator<Item = &'a Arc<Target>>,
@@ -546,8 +558,8 @@
     (taking.collect(), free_at)
 }
 
-/// How long a stream or answer may stay away before its instance is looked into,
-/// and before it is tried elsewhere.
+/// How long the first event or the answer may take before the instance is probed, and before
+/// another attempt starts elsewhere.
 pub fn first_patience(course: &Course, usual_gap_ms: f64) -> (Millis, Millis) {
     let latency_goal = course.job.route.latency_goal;
     match course.job.route.kind {
@@ -562,6 +574,6 @@
     }
 }
 
-/// A first event that is later than this will not come: longer than the queue of a
-/// busy engine.
+/// Shortest wait for a stream's first event before another attempt starts: longer than a request
+/// queues at a busy engine.
 const LEAST_FIRST_MOVE: Millis = Millis(1_200);
--- a/crates/workshold-gateway/src/proxy/attempt.rs
+++ b/crates/workshold-gateway/src/proxy/attempt.rs
@@ -1,4 +1,5 @@
-//! One send to one instance, up to the head of its answer or its first event.
+//! One attempt: sends a request to one instance and reads the response up to its end or, if it is
+//! a stream, its first event.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -36,76 +37,76 @@
 use crate::proxy::framing::Framer;
 use crate::routing_table::Target;
 
-/// Time for a connection to come up.
+/// Longest wait for a connection to an instance.
 const CONNECT_TIME: Millis = Millis(40);
-/// The longest answer that is held until it is whole, in bytes.
+/// Longest response body that is buffered until it is complete, in bytes.
 const MOST_HELD: usize = 4 * 1024 * 1024;
 
-/// An answer that has begun.
+/// A response that has begun.
 pub enum Opened {
-    /// It is there as a whole.
+    /// The complete response.
     Whole(Response<ResponseBody>),
-    /// A stream with its first events.
+    /// The head of a stream, and its body with the first events.
     Stream(Box<(Parts, Current)>),
 }
 
-/// A stream at an instance.
+/// A stream of events from an instance.
 pub struct Current {
-    /// Where it runs.
+    /// The instance that sends it.
     pub target: Arc<Target>,
-    /// Its further events.
+    /// The rest of the body.
     pub body: Incoming,
-    /// Events that are out but not yet passed on.
+    /// Whole events that are not forwarded yet.
     pub ready: Bytes,
-    /// What has been cut into events.
+    /// Splits the body into events.
     pub framer: Framer,
-    /// When its last event came.
+    /// When the request was sent.
     pub since: Millis,
-    /// Whether nothing more comes.
+    /// Whether the body has ended.
     pub is_over: bool,
     _driver: Driver,
     in_flight: InFlight,
 }
 
-/// Why an attempt ended whose request's time was up.
-pub const TIME_UP: &str = "its time was up";
+/// Logged reason of an attempt that the deadline ended.
+pub const TIME_UP: &str = "the request's deadline passed";
 
-/// Why a request is not sent that is kept from instances.
-pub const HELD: &str = "whoever begins to run it ends";
+/// Logged reason why a quarantined request is not sent.
+pub const HELD: &str = "instances ended when they began to run it";
 
-/// How an attempt failed, and why.
+/// How an attempt failed, and the reason for logs.
 pub type Failure = (AttemptEnd, &'static str);
 
-/// What is sent, and where.
+/// What [`open`] sends, and where to.
 #[derive(Debug, Clone)]
 pub struct Dispatch {
-    /// The request.
+    /// The request that is sent.
     pub job: Arc<AdmittedRequest>,
-    /// Where it goes.
+    /// The instance that it is sent to.
     pub target: Arc<Target>,
-    /// The last event that the caller has: a stream goes on behind it.
+    /// The last event that the caller has; a stream continues after it.
     pub last: Option<u64>,
-    /// Set once a byte of it may have left.
+    /// Set once a byte of the request may have been sent.
     pub is_sent: Arc<AtomicBool>,
 }
 
-/// Sends a request, and waits for its whole answer or its first events. Only the
-/// instance's own word, the end of the connection and the request's time end this.
+/// Sends a request, and waits for the complete response or the first events of a stream. Only the
+/// instance's response, the end of the connection and the request's deadline end the wait.
 ///
 /// # Errors
 ///
-/// How the attempt ended without an answer.
+/// How the attempt ended without a response.
 pub async fn open(node: Arc<Node>, dispatch: Dispatch) -> Result<Opened, Failure> {
     let Dispatch { job, target, last, is_sent } = dispatch;
     let in_flight = node.loads.begin(&target.id, job.prompt_tokens as u32);
     let connected = client::connect(&target.address, CONNECT_TIME.to_duration()).await;
     let connected = connected.map_err(|_| {
         node.probe(&target.id, &target.address, ProbeTask::Look);
-        (AttemptEnd::NotSent, "no connection")
+        (AttemptEnd::NotSent, "could not connect")
     })?;
     let left = job.left(node.now());
     if left <= LEAST_TIME {
-        return Err((AttemptEnd::NotSent, "no time is left"));
+        return Err((AttemptEnd::NotSent, "too little time left before the deadline"));
     }
     let permit =
         node.permit(&target.id).map_err(|withheld| (AttemptEnd::Withheld, withheld.why.text()))?;
@@ -116,7 +117,7 @@
     let (res, driver) = match sending.await {
         Ok(got) => got,
         Err(CallError::TimedOut { .. }) => return Err((AttemptEnd::Unknown, TIME_UP)),
-        Err(_) => return Err((AttemptEnd::Broken, "the connection broke")),
+        Err(_) => return Err((AttemptEnd::Broken, "the connection broke before the response")),
     };
     if is_of(&job, &res) {
         node.on_rate_limit(&target.id, words::limit(res.headers()), sent);
@@ -147,7 +148,7 @@
         current
             .read()
             .await
-            .map_err(|(ending, _)| (ending, "it broke off before its first event"))?;
+            .map_err(|(ending, _)| (ending, "the stream broke off before its first event"))?;
     }
     current.in_flight.on_read();
     Ok(Opened::Stream(Box::new((parts, current))))
@@ -174,38 +175,44 @@
     req
 }
 
-/// Whether an answer comes from the instance that was asked, and belongs to this request.
+/// Whether a response comes from the instance that was addressed, and belongs to this request.
 fn is_of(job: &AdmittedRequest, res: &Response<Incoming>) -> bool {
     res.status() != StatusCode::MISDIRECTED_REQUEST && !is_foreign(job, res.headers())
 }
 
-/// Whether an answer is one to this request, and says that it has run.
+/// Checks that a response belongs to this request and proves that it has run.
 fn check_head(job: &AdmittedRequest, res: &Response<Incoming>) -> Result<(), Failure> {
     let (status, headers) = (res.status(), res.headers());
     if headers.contains_key(names::NOT_RUN) {
-        return Err((AttemptEnd::Refused, "the upstream has not run it"));
+        return Err((AttemptEnd::Refused, "the upstream refused it without running it"));
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Err((AttemptEnd::Refused, "another instance is there"));
+        return Err((AttemptEnd::Refused, "another instance has this address"));
     }
     if is_foreign(job, headers) {
-        return Err((AttemptEnd::Unknown, "an answer to another request"));
+        return Err((AttemptEnd::Unknown, "the response belongs to another request"));
     }
     if headers.contains_key(header::CONTENT_ENCODING) {
-        return Err((AttemptEnd::Unknown, "an answer in an encoding that nobody asked for"));
+        return Err((
+            AttemptEnd::Unknown,
+            "the response has a content encoding that was not requested",
+        ));
     }
     if status.is_success() && !headers.contains_key(names::STAMP) {
-        return Err((AttemptEnd::Unknown, "an answer without its proof"));
+        return Err((AttemptEnd::Unknown, "the response has no stamp as proof"));
     }
-    // These would tell the caller that it has not run; only the upstream's own word
-    // says so.
+    // The caller would take these to mean that the request has not run. Only the upstream's
+    // `x-not-executed` header says so.
     let promises = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::REQUEST_TIMEOUT,
     ];
     if promises.contains(&status) {
-        return Err((AttemptEnd::Unknown, "a refusal without the word that it has not run"));
+        return Err((
+            AttemptEnd::Unknown,
+            "a refusal that does not state that the request has not run",
+        ));
     }
     Ok(())
 }
@@ -218,30 +225,31 @@
 async fn read_whole(res: Response<Incoming>) -> Result<Response<ResponseBody>, Failure> {
     let (mut parts, body) = res.into_parts();
     let collected = Limited::new(body, MOST_HELD).collect().await;
-    let bytes = collected.map_err(|_| (AttemptEnd::Broken, "the answer broke off"))?.to_bytes();
+    let bytes = collected.map_err(|_| (AttemptEnd::Broken, "the response broke off"))?.to_bytes();
     responses::strip(&mut parts.headers);
     Ok(Response::from_parts(parts, responses::whole(bytes)))
 }
 
 impl Current {
-    /// Reads on until something comes; whole events are then in `ready`. Nothing is lost
-    /// if this is given up.
+    /// Reads the next bytes; whole events are then in `ready`. Cancel safe: no bytes are lost if
+    /// the future is dropped.
     ///
     /// # Errors
     ///
-    /// Why nothing comes any more.
+    /// Why the stream cannot continue.
     pub async fn read(&mut self) -> Result<(), Failure> {
         match self.body.frame().await {
             Some(Ok(frame)) => {
                 let Ok(data) = frame.into_data() else { return Ok(()) };
                 let ready = self.framer.push(&data);
-                self.ready = ready.ok_or((AttemptEnd::Unknown, "bytes that are no events"))?;
+                self.ready =
+                    ready.ok_or((AttemptEnd::Unknown, "an event is longer than the limit"))?;
                 Ok(())
             }
             Some(Err(_)) => Err((AttemptEnd::Broken, "the stream broke off")),
-            // However its end is told, a stream that is whole ends with an event.
+            // A complete stream ends with a whole event, however the end of the body is marked.
             None if self.framer.has_partial_event() => {
-                Err((AttemptEnd::Broken, "the stream ended within an event"))
+                Err((AttemptEnd::Broken, "the stream ended in the middle of an event"))
             }
             None => {
                 self.is_over = true;
--- a/crates/workshold-gateway/src/proxy/attempts.rs
+++ b/crates/workshold-gateway/src/proxy/attempts.rs
@@ -1,9 +1,9 @@
-//! The attempts of one request that may still speak.
+//! The concurrent attempts of one request.
 //!
-//! Whatever is inferred about an instance, only its own word, the end of its connection
-//! and the request's time end an attempt. Where there is doubt another one begins beside
-//! it, and the one that speaks first goes on: an answer is never worse off for a doubt
-//! that was wrong, or for a new place that does not work.
+//! Only an instance's response, the end of its connection and the request's deadline end an
+//! attempt, never what is inferred about the instance. If it is suspected, another attempt starts
+//! concurrently, and the one that responds first wins. So a wrong suspicion, or another
+//! instance that fails, never costs the caller a response that was under way.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -33,27 +33,30 @@
 use crate::proxy::wait::WaitOver;
 use crate::routing_table::Target;
 
+/// A response whose head or first event has not come.
 type Opening = Pin<Box<dyn Future<Output = Result<Opened, Failure>> + Send>>;
 
+/// How far an attempt has come.
 enum Stage {
     Opening(Opening),
     Streaming(Current),
 }
 
-/// One attempt.
+/// An attempt under way.
 pub struct Attempt {
-    /// Where.
+    /// The instance that it was sent to.
     pub target: Arc<Target>,
-    /// When it last said something, or began.
+    /// When data last came from it, or when it started.
     pub since: Millis,
-    /// When its stream began.
+    /// When its first event came.
     spoke: Option<Millis>,
+    /// Whether a byte of the request may have been sent.
     is_sent: Arc<AtomicBool>,
     stage: Stage,
 }
 
 impl Attempt {
-    /// Begins one; a stream goes on behind event `last`.
+    /// Starts an attempt; a stream continues after event `last`.
     pub fn begin(
         node: &Arc<Node>,
         job: &Arc<AdmittedRequest>,
@@ -71,14 +74,14 @@
         Self { target, since: node.now(), spoke: None, is_sent, stage: Stage::Opening(opening) }
     }
 
-    /// One whose answer streams.
+    /// An attempt whose first events have come.
     pub fn streaming(current: Current, now: Millis) -> Self {
         let target = Arc::clone(&current.target);
         let is_sent = Arc::new(AtomicBool::new(true));
         Self { target, since: now, spoke: Some(now), is_sent, stage: Stage::Streaming(current) }
     }
 
-    /// The stream, if its answer streams.
+    /// The stream, if its first events have come.
     pub fn current(&mut self) -> Option<&mut Current> {
         match &mut self.stage {
             Stage::Opening(_) => None,
@@ -86,12 +89,12 @@
         }
     }
 
-    /// Whether its answer has not begun.
+    /// Whether no response has come yet.
     pub fn is_opening(&self) -> bool {
         matches!(self.stage, Stage::Opening(_))
     }
 
-    /// Waits for its word; nothing is lost if this is given up.
+    /// Waits for the response, or for more events (`None`). Cancel safe.
     async fn speak(&mut self) -> Result<Option<Opened>, Failure> {
         let current = match &mut self.stage {
             Stage::Opening(opening) => return opening.await.map(Some),
@@ -103,8 +106,8 @@
         Ok(None)
     }
 
-    /// How it has failed: one that has long been running did not end its instance by
-    /// beginning to run.
+    /// How the attempt has failed. If it had been streaming for longer than [`START_WINDOW`], a
+    /// broken connection is no sign that the request crashed the instance when it began to run.
     fn failed(&self, (ending, why): Failure, now: Millis) -> Failure {
         let is_through = self.spoke.is_some_and(|spoke| now.since(spoke) > START_WINDOW);
         if ending == AttemptEnd::Broken && is_through {
@@ -114,61 +117,61 @@
         }
     }
 
-    /// How it ended if it is given up now.
+    /// How the attempt ends if it is dropped now.
     fn given_up(&self) -> AttemptEnd {
         if self.is_sent.load(Ordering::Relaxed) { AttemptEnd::Unknown } else { AttemptEnd::NotSent }
     }
 }
 
-/// What came first.
+/// What [`Attempts::next`] waits for.
 pub enum AttemptEvent {
-    /// An answer; the attempt is over, or its stream begins.
+    /// An attempt has a complete response, or the first events of a stream.
     Opened(Arc<Target>, Opened),
-    /// More of a stream; it is the only attempt now, and so many that were sent beside
-    /// it have been ended.
+    /// A stream has more events. Its attempt is the only one now; the number is how many others
+    /// had been sent and were dropped.
     Events(u32),
     /// An attempt has failed.
     Failed(Arc<Target>, Failure),
-    /// The newest attempt may not speak any more.
+    /// The newest attempt is suspected, for this reason, to get no response.
     Suspect(&'static str),
 }
 
-/// All attempts that have not ended, the newest last.
+/// The attempts of a request that have not ended, the newest last.
 #[derive(Default)]
 pub struct Attempts {
     live: Vec<Attempt>,
-    /// How many of them began before the one that spoke last.
+    /// How many of them started before the one that responded last.
     older: usize,
 }
 
 impl Attempts {
-    /// One more.
+    /// Adds an attempt as the newest one.
     pub fn push(&mut self, attempt: Attempt) {
         self.live.push(attempt);
     }
 
-    /// How many there are.
+    /// How many attempts are under way.
     pub fn len(&self) -> u32 {
         self.live.len() as u32
     }
 
-    /// Whether there is none.
+    /// Whether no attempt is under way.
     pub fn is_empty(&self) -> bool {
         self.live.is_empty()
     }
 
-    /// The newest one.
+    /// The attempt that started last.
     pub fn newest(&mut self) -> Option<&mut Attempt> {
         self.live.last_mut()
     }
 
-    /// Waits until one speaks or ends, or there is doubt about the newest.
+    /// Waits until an attempt responds or fails, or the newest is suspected.
     ///
     /// # Panics
     ///
-    /// If there is none.
+    /// If no attempt is under way.
     pub async fn next(&mut self, node: &Node, request: &str, patience: Patience) -> AttemptEvent {
-        let newest = Arc::clone(&self.live.last().expect("somebody is waited for").target);
+        let newest = Arc::clone(&self.live.last().expect("an attempt is under way").target);
         let words = self.live.iter_mut().map(|attempt| Box::pin(attempt.speak()));
         let first = tokio::select! {
             biased;
@@ -204,9 +207,9 @@
             WaitOver::Suspect(why) => return AttemptEvent::Suspect(why),
             WaitOver::TimeUp => (TIME_UP, false),
             WaitOver::Held => (HELD, false),
-            WaitOver::Ended => ("its instance has begun anew", true),
+            WaitOver::Ended => ("its instance has restarted", true),
         };
-        let newest = self.live.pop().expect("somebody was waited for");
+        let newest = self.live.pop().expect("an attempt is under way");
         let ending = match newest.given_up() {
             AttemptEnd::Unknown if is_broken => newest.failed((AttemptEnd::Broken, why), now).0,
             ending => ending,
@@ -214,8 +217,8 @@
         AttemptEvent::Failed(newest.target, (ending, why))
     }
 
-    /// Ends all: another one has spoken. Says how many of them had been sent. Only those
-    /// that began before that one had their time and failed.
+    /// Drops all attempts, because another one has responded. Returns how many of them had been
+    /// sent. Only those that started before that one count as failed: the others had less time.
     pub fn drop_all(&mut self, node: &Node, request: &str) -> u32 {
         let sent = self.live.iter().filter(|attempt| attempt.given_up() == AttemptEnd::Unknown);
         let sent = sent.count() as u32;
--- a/crates/workshold-gateway/src/proxy/framing.rs
+++ b/crates/workshold-gateway/src/proxy/framing.rs
@@ -1,47 +1,49 @@
-//! Cutting a stream into whole events.
+//! Splits a stream of server-sent events into whole events.
 //!
-//! Bytes are passed on as they came; only where events end and which number they
-//! have is looked at.
+//! Bytes are forwarded unchanged; only the end of each event and its id are parsed.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// A stream's bytes up to the end of an event.
+/// Buffers a stream's bytes until an event is complete, and drops events that the caller has.
 #[derive(Debug, Default)]
 pub struct Framer {
     buf: BytesMut,
+    /// Bytes of `buf` that were already searched for the end of an event.
     scanned: usize,
+    /// The id of the last event that was returned, or that the caller already has.
     last: Option<u64>,
+    /// Events that were returned.
     taken: u64,
 }
 
-/// The longest event, in bytes; more without an end is no event.
+/// Longest event, in bytes.
 const MOST_BYTES: usize = 1024 * 1024;
 
 impl Framer {
-    /// A framer for a stream whose event `last` the caller already has.
+    /// A framer for a stream of which the caller already has the events up to `last`.
     pub fn after(last: Option<u64>) -> Self {
         Self { buf: BytesMut::new(), scanned: 0, last, taken: 0 }
     }
 
-    /// The number of the last event that was taken out.
+    /// The id of the last event that was returned, or that the caller already has.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// How many events were taken out.
+    /// How many events were returned.
     pub fn taken(&self) -> u64 {
         self.taken
     }
 
-    /// Whether bytes are left that are no whole event.
+    /// Whether the buffer holds the beginning of an unfinished event.
     pub fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Adds bytes; takes out the whole events among them that the caller lacks.
+    /// Adds bytes, and returns the whole events that the caller does not have yet.
     ///
-    /// Returns `None` if the bytes are no events.
+    /// Returns `None` if an unfinished event is longer than an event may be.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.buf.extend_from_slice(bytes);
         let mut out = BytesMut::new();
@@ -56,7 +58,7 @@
         (self.buf.len() <= MOST_BYTES).then(|| out.freeze())
     }
 
-    /// Where the first whole event ends: behind an empty line.
+    /// The offset after the empty line that ends the first event, if it is complete.
     fn next_end(&mut self) -> Option<usize> {
         let from = self.scanned.saturating_sub(3);
         let bytes = &self.buf[from..];
@@ -83,7 +85,7 @@
     }
 }
 
-/// The number of an event.
+/// The numeric id of an event, if it has one.
 fn id_of(event: &[u8]) -> Option<u64> {
     let line = event.split(|byte| *byte == b'\n').find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
--- a/crates/workshold-gateway/src/proxy/stream.rs
+++ b/crates/workshold-gateway/src/proxy/stream.rs
@@ -1,4 +1,5 @@
-//! Passing a stream's events on, and going on elsewhere when they stop.
+//! Forwards a stream's events to the caller, and continues the stream at another instance if they
+//! stop.
 
 use std::sync::Arc;
 
@@ -33,31 +34,35 @@
 use crate::proxy::wait::Patience;
 use crate::routing_table::Target;
 
-/// A stream under way to its caller.
+/// A stream that is being forwarded to its caller.
 pub struct StreamRelay {
     node: Arc<Node>,
     course: Course,
     attempts: Attempts,
-    /// Who spoke last.
+    /// The instance that sent the latest events.
     speaker: Arc<Target>,
-    /// Events that are out but not yet passed on.
+    /// Whole events that are not forwarded yet.
     ready: Bytes,
-    /// The last event that is out.
+    /// The id of the last event in `ready` or already forwarded.
     last: Option<u64>,
     /// When it came.
     since: Millis,
+    /// When the first events came.
     first_at: Millis,
+    /// The longest time between two events, over all instances.
     longest_gap: Millis,
-    /// Events of this speaker, and of those before it.
+    /// Events of the current instance, and of those before it.
     events: u64,
     events_before: u64,
+    /// Whether the upstream's stream has ended.
     is_over: bool,
+    /// Whether the end was reported to the caller, as complete or cut.
     has_ended: bool,
     _guard: RequestGuard,
 }
 
 impl StreamRelay {
-    /// The answer whose head and first events have come.
+    /// Builds the caller's response from a head and its first events; the body forwards the rest.
     pub fn answer(
         node: Arc<Node>,
         course: Course,
@@ -96,7 +101,7 @@
         Response::from_parts(head, BodyExt::boxed_unsync(StreamBody::new(events)))
     }
 
-    /// The next events; `None` at the end.
+    /// The next events for the caller; `None` at the end.
     async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
         loop {
             if self.has_ended {
@@ -116,7 +121,7 @@
         }
     }
 
-    /// Waits for whatever comes first, and acts on it.
+    /// Waits for the next event of the attempts, and handles it.
     async fn listen(&mut self) -> Result<(), Cut> {
         let patience = self.patience();
         match self.attempts.next(&self.node, &self.course.job.id, patience).await {
@@ -126,7 +131,7 @@
             }
             AttemptEvent::Opened(_, Opened::Stream(begun)) => self.move_to(begun.1),
             AttemptEvent::Opened(target, Opened::Whole(_)) => {
-                let failure = (AttemptEnd::Failed, "an answer that is no stream");
+                let failure = (AttemptEnd::Failed, "the response is not a stream");
                 return self.on_failure(&target, failure).await;
             }
             AttemptEvent::Failed(target, failure) => {
@@ -141,7 +146,7 @@
 
     fn patience(&mut self) -> Patience {
         let under_way = self.attempts.len();
-        let newest = self.attempts.newest().expect("somebody is waited for");
+        let newest = self.attempts.newest().expect("an attempt is under way");
         let (id, since) = (&newest.target.id, newest.since);
         let mean_ms = self.node.gaps.lock().mean_ms(id).unwrap_or(newest.target.quiet_gap_ms);
         let goal = self.course.job.route.pause_goal;
@@ -155,8 +160,8 @@
         Patience { waiting, ..self.course.patience(since, after, under_way) }
     }
 
-    /// Takes what the only attempt has brought; how long its first events took says
-    /// nothing about the gaps between them.
+    /// Takes the events that the only attempt has received. The time to its first events is not
+    /// recorded as a gap between events.
     fn take_events(&mut self, is_first: bool) {
         let now = self.node.now();
         let Some(speaker) = self.attempts.newest() else { return };
@@ -176,8 +181,8 @@
         }
     }
 
-    /// Goes on at an instance that has begun to speak; late bytes of others are dropped
-    /// with them.
+    /// Continues with the stream of another instance, which has responded; the other attempts are
+    /// dropped together with what they may still send.
     fn move_to(&mut self, current: Current) {
         let now = self.node.now();
         self.course.used.sent += self.attempts.drop_all(&self.node, &self.course.job.id);
@@ -199,7 +204,8 @@
         );
     }
 
-    /// Others may still speak; if there are none, it goes on elsewhere, or is cut.
+    /// Handles the failure of an attempt: other attempts continue. If there are none, the stream is
+    /// retried at another instance, or cut if that is not possible.
     async fn on_failure(&mut self, target: &Target, (ending, why): Failure) -> Result<(), Cut> {
         proxy::note_failure(&self.node, target, ending);
         self.course.look_into(&self.node, target, ending).await;
@@ -237,7 +243,8 @@
         cut
     }
 
-    /// How long answers are says what is asked of the groups.
+    /// Records the length of the answer, from which the demand on groups is estimated. Resumed
+    /// streams are left out: only a part of the answer was counted.
     fn note_length(&self, now: Millis) {
         let job = &self.course.job;
         let is_whole = job.last_event_id.is_none();
--- a/crates/workshold-gateway/src/proxy/wait.rs
+++ b/crates/workshold-gateway/src/proxy/wait.rs
@@ -1,4 +1,4 @@
-//! An eye on whether an upstream is still there, while its answer is waited for.
+//! Decides, while a response is awaited, when its instance is probed and when it is suspected.
 
 use futures_util::future::join_all;
 use workshold_core::hosted::fingerprint::Fingerprint;
@@ -8,57 +8,60 @@
 use crate::routing_table::Target;
 use crate::tasks::probing;
 
-/// Why waiting for one instance alone may be in vain.
+/// Why the wait for one instance is over, or should not go on for it alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitOver {
-    /// The request's time is up.
+    /// The request's deadline passed.
     TimeUp,
-    /// It must not run: it is kept from instances from now on.
+    /// The request was quarantined meanwhile and must not run.
     Held,
-    /// It will not: another life of the instance has begun.
+    /// No response will come: the instance has restarted.
     Ended,
-    /// It may not come: the instance, or one that it depends on, is out of reach, or has
-    /// been silent for too long.
+    /// A response may not come, for this reason: a member of the instance's group is unreachable,
+    /// or the instance has been silent for too long.
     Suspect(&'static str),
 }
 
-/// How long to wait, and since when.
+/// How long to wait for an instance.
 #[derive(Debug, Clone, Copy)]
 pub struct Patience {
-    /// When the instance last said something.
+    /// When the instance last sent something.
     pub since: Millis,
-    /// Silence after which it is looked into; `None` if the request must not run
-    /// twice, whatever is seen.
+    /// Silence after which the instance is probed; `None` if the request must not run twice, so
+    /// that no probe result could have a consequence.
     pub probe_after: Option<Millis>,
-    /// Silence after which there is doubt although all answer; `None` if the request may
-    /// not be sent to another one: then no doubt is told at all.
+    /// Silence after which the instance is suspected even if all members answer probes; `None` if
+    /// the request may not be sent to another instance: then no suspicion is reported at all.
     pub failover_after: Option<Millis>,
-    /// No doubt is told before this: nothing followed from the last one.
+    /// No suspicion is reported before this, because the last one had no consequence.
     pub held_until: Millis,
-    /// When the request's time is up.
+    /// The request's deadline.
     pub deadline: Millis,
-    /// What it asks, as long as it may not have begun to run.
+    /// The request's fingerprint while it may not have begun to run, so that a quarantine ends the
+    /// wait.
     pub waiting: Option<Fingerprint>,
 }
 
-/// How often an instance that answers but says nothing is looked into again, and how
-/// soon doubt is told again from which nothing followed.
+/// How often an instance that answers probes but sends nothing is probed again, and how soon a
+/// suspicion that had no consequence is reported again.
 pub const LOOK_AGAIN: Millis = Millis(250);
-/// The clock is asked again this soon: timers do not count what the machine sleeps.
+/// Longest sleep before the clock is read again: timers do not advance while the machine is
+/// suspended.
 const LOOKS_UP: Millis = Millis(1_000);
-/// A final answer leaves this early, so that it arrives in time.
+/// The wait ends this long before the deadline, so that the response reaches the caller in time.
 const ANSWER_LEAD: Millis = Millis(15);
-/// What an instance said before it began anew has come by now.
+/// Data that an instance sent before it restarted has arrived after this.
 const LAST_WORDS: Millis = Millis(500);
 
-/// Waits until there is doubt that `target` will say something.
+/// Waits until the wait for a response of `target` is over or the target is suspected. Probes the
+/// target's group meanwhile.
 pub async fn doubt(node: &Node, target: &Target, patience: Patience) -> WaitOver {
     let mut changed = node.suspicion_changed.subscribe();
     let deadline = patience.deadline - ANSWER_LEAD;
     let mut look_at = patience.probe_after.map(|after| patience.since + after);
     let mut move_at =
         patience.failover_after.map(|after| (patience.since + after).max(patience.held_until));
-    // With others' word that a member is lost, less silence is enough.
+    // Half of the silence is enough if a member of the group is already suspected.
     let half = patience.probe_after.filter(|_| patience.failover_after.is_some());
     let doubt_at =
         half.map(|after| (patience.since + Millis(after.0 / 2)).max(patience.held_until));
@@ -66,12 +69,12 @@
         let is_doubted = doubt_at.is_some() && node.is_suspected(target);
         let now = node.now();
         if is_doubted && doubt_at.is_some_and(|at| now >= at) {
-            return WaitOver::Suspect("a member is out of reach");
+            return WaitOver::Suspect("a member of its group is unreachable");
         }
         if now >= deadline {
             return WaitOver::TimeUp;
         }
-        // Unread in an instance's queue it can still be called back.
+        // While the request may be queued at the instance, it can still be cancelled.
         if patience.waiting.is_some_and(|fingerprint| node.quarantined_until(fingerprint).is_some())
         {
             return WaitOver::Held;
@@ -82,7 +85,7 @@
         }
         if move_at.is_some_and(|at| now >= at) {
             if node.has_alternative_to(target) {
-                return WaitOver::Suspect("it has been silent for too long");
+                return WaitOver::Suspect("the instance has been silent for too long");
             }
             move_at = Some(now + LOOK_AGAIN);
         }
@@ -101,8 +104,8 @@
     }
 }
 
-/// Tries to reach all members of a target's group at once; what it shows is noted at
-/// the node, for all who wait for them.
+/// Probes all members of a target's group concurrently, unless that was done just now. The node
+/// records the results for all requests that wait for them.
 async fn look(node: &Node, target: &Target) {
     if node.was_probed_recently(&target.id) {
         return;
