--- a/crates/workshold-gateway/src/callers.rs
+++ b/crates/workshold-gateway/src/callers.rs
@@ -1,4 +1,4 @@
-//! Everything that is asked of a node over HTTP.
+//! The HTTP handlers of a node: for callers, for the platform, and for other nodes and operators.
 
 pub mod control;
 pub mod directory;
--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -1,4 +1,5 @@
-//! What other nodes and operators ask of a node: its configuration, list and state.
+//! Handlers for other nodes and operators: configuration, instance list, state, metrics, and the
+//! release of quarantined requests.
 
 use bytes::Bytes;
 use hyper::Method;
@@ -20,16 +21,16 @@
 use crate::tasks::gossip;
 use crate::tasks::store_sync;
 
-/// Where operators read a node's state.
+/// Path of a node's state, for operators.
 pub const STATE_PATH: &str = "/state";
 
-/// Where operators let a request go that is kept from instances: its fingerprint follows.
+/// Path prefix at which operators release a quarantined request; its fingerprint follows.
 pub const QUARANTINE_PATH: &str = "/quarantine/";
 
-/// Where metrics are told as text.
+/// Path of the metrics, as text.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Answers other nodes and operators.
+/// Handles a request of another node or an operator.
 pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     match req.uri().path() {
         gossip::CONFIG_PATH => match node.config_bytes() {
@@ -66,13 +67,13 @@
     Response::new(responses::whole(Bytes::from(bytes)))
 }
 
-/// A place as another node writes it: its era, a point, its offset.
+/// Parses a log position as another node writes it: `ERA.OFFSET`.
 fn place(text: &str) -> Option<LogPosition> {
     let (era, offset) = text.split_once('.')?;
     Some(LogPosition { era: Era(era.parse().ok()?), offset: offset.parse().ok()? })
 }
 
-/// The node's state as JSON.
+/// The node's state as JSON, for operators.
 pub fn state(node: &Node) -> String {
     let now = node.now();
     let lease = node.lease.lock().clone();
--- a/crates/workshold-gateway/src/callers/directory.rs
+++ b/crates/workshold-gateway/src/callers/directory.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers use, and whether this node serves.
+//! Handlers that tell callers which addresses to use, and the platform whether this node is ready.
 
 use bytes::Bytes;
 use hyper::Request;
@@ -16,11 +16,11 @@
 use crate::callers::responses::ResponseBody;
 use crate::node::Node;
 
-/// With fewer nodes than this in a caller's data centre, others are named as well:
-/// the loss of one must not leave a caller without any.
+/// With fewer ready nodes than this in a caller's data centre, nodes of others are named as well,
+/// so that the loss of one does not leave the caller without any.
 const LEAST_NEAR: usize = 2;
 
-/// Answers callers who ask which addresses to use.
+/// Handles a caller's request for the addresses to use.
 pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::RESOLVE_PATH {
         return responses::own(StatusCode::NOT_FOUND, "no such question");
@@ -36,7 +36,7 @@
     res
 }
 
-/// Nodes that serve: those of the caller's data centre, if there are enough.
+/// The addresses of ready nodes: of the caller's data centre, or of all if it has too few.
 fn addresses(node: &Node, data_centre: Option<&str>) -> Vec<String> {
     let settings = node.settings();
     let mut all = Vec::new();
@@ -58,14 +58,14 @@
     } else {
         all.into_iter().map(|(_, address)| address).collect()
     };
-    // Each answer names others first, or all callers would go to the same ones.
+    // Each response starts at another node, or all callers would use the same ones first.
     let turn = rand::rng().random_range(0..chosen.len().max(1));
     chosen.rotate_left(turn);
     chosen.truncate(face::MOST_ADDRESSES);
     chosen
 }
 
-/// Answers the platform's question whether this node serves.
+/// Handles the platform's readiness check.
 pub fn readiness(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::READY_PATH {
         return responses::own(StatusCode::NOT_FOUND, "no such question");
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -1,4 +1,5 @@
-//! A caller's request, from its head to what is to be done for it.
+//! Handles callers' requests: routing, authorization, reading the body, and the headers for the
+//! upstream. [`proxy`] does the rest.
 
 use std::sync::Arc;
 
@@ -34,62 +35,64 @@
 use crate::node::Node;
 use crate::proxy;
 
-/// A request that is allowed, and all that is needed to carry it to an upstream.
+/// A request that passed routing and authorization, with all that proxying it needs.
 #[derive(Debug)]
 pub struct AdmittedRequest {
-    /// The caller's name for it.
+    /// The id that the caller gave this attempt; empty if it gave none.
     pub id: SmolStr,
-    /// Its route.
+    /// The route that matched its host and path.
     pub route: Arc<Route>,
-    /// The service that takes it.
+    /// The upstream service that was drawn from the route's targets.
     pub service: ServiceName,
-    /// Its method.
+    /// The HTTP method, unchanged.
     pub method: Method,
-    /// Its path and query, unchanged.
+    /// The path and query, unchanged.
     pub path: SmolStr,
-    /// Its headers as upstreams get them, but for those of one attempt.
+    /// The headers for the upstream, except those that differ between attempts.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
-    /// What it asks, whatever its id.
+    /// Identifies its content, whatever its id.
     pub fingerprint: Fingerprint,
-    /// Who asks, as a mark.
+    /// Hash of the team's name, or of the empty string without a team.
     pub caller: u32,
-    /// The model that it is for.
+    /// The model that it names, if any.
     pub model: Option<SmolStr>,
-    /// Tokens of its prompt, by the caller's word.
+    /// Tokens of the prompt, as the caller states them; 0 if it does not.
     pub prompt_tokens: f64,
-    /// The last event that the caller has.
+    /// The last event that the caller already has of the stream that it resumes.
     pub last_event_id: Option<u64>,
-    /// When it came.
+    /// When the request arrived.
     pub received_at: Millis,
-    /// When its time is up.
+    /// The deadline.
     pub deadline: Millis,
 }
 
 impl AdmittedRequest {
-    /// The request as it is told from others.
+    /// The key of this request in the quarantine.
     pub fn request_key(&self) -> RequestKey {
         RequestKey { fingerprint: self.fingerprint, caller: self.caller }
     }
 
-    /// Time that is left at `now`.
+    /// Time left before the deadline at `now`.
     pub fn left(&self, now: Millis) -> Millis {
         self.deadline.since(now)
     }
 }
 
-/// Waits for a caller who names no time of its own.
+/// Timeout of a request whose caller states none.
 const USUAL_TIME: Millis = Millis::from_secs(10);
-/// When to come back if this node lacks what it needs to judge a request.
+/// `Retry-After` if this node lacks what it needs to route or authorize a request.
 const COME_BACK: Millis = Millis(400);
-/// When to come back, to another node.
+/// `Retry-After` while this node is stopping: the caller can retry at another node at once.
 const COME_BACK_ELSEWHERE: Millis = Millis(20);
-/// A team's rank goes before a route's: this many ranks of a route are one of a team.
+/// Urgency orders by the team's rank first, then the route's; each team rank spans this many route
+/// ranks.
 const ROUTE_RANKS: u8 = 3;
+/// The lowest urgency that the header takes; 0 is the highest.
 const LEAST_URGENT: u8 = 9;
 
-/// Answers one request.
+/// Handles one request of a caller.
 pub async fn answer(node: Arc<Node>, req: Request<Incoming>) -> Response<ResponseBody> {
     let guard = node.begin_request();
     node.note_traffic();
@@ -159,7 +162,7 @@
     Box::new(responses::not_run(text, COME_BACK))
 }
 
-/// Others serve: the caller need not wait to go there.
+/// Refuses a request because this node is stopping. Others serve, so the caller need not wait.
 fn refuse_stopping(id: &str) -> Box<Response<ResponseBody>> {
     let why = "this node is stopping";
     emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
@@ -172,9 +175,10 @@
     Box::new(responses::own(status, text))
 }
 
+/// The name of a team and its rank; 0 goes first.
 type TeamAndRank = (SmolStr, u8);
 
-/// Whose a request is, if it may be believed.
+/// Finds the team of a request by its key; `None` if the route needs no key.
 fn authorize(
     node: &Node,
     serving_config: &ServingConfig,
@@ -205,7 +209,7 @@
     time.map_or(USUAL_TIME, |ms| Millis(ms.max(0.0) as u64))
 }
 
-/// The first of the two counts that the caller tells.
+/// The prompt's count of tokens, which is the first of the two that the caller states.
 fn prompt_tokens(headers: &HeaderMap) -> f64 {
     let counts = text(headers, &names::TOKEN_COUNTS);
     let prompt = counts.as_deref().and_then(|counts| counts.split(',').next());
@@ -222,7 +226,7 @@
     time: Millis,
 ) -> Result<Bytes, Response<ResponseBody>> {
     let within = time.min(serving_config.limits.idle_time).to_duration();
-    // A length that is too long by its own word need not be waited for.
+    // A body whose stated length is too long is refused before it is read.
     if incoming.size_hint().lower() > serving_config.limits.body_len as u64 {
         return Err(responses::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
@@ -237,7 +241,8 @@
     })
 }
 
-/// Sets what upstreams are told beyond the caller's own headers.
+/// Turns the caller's headers into those for the upstream: removes hop-by-hop headers and those
+/// that only the node may set, and adds the team and urgency.
 fn set_headers(headers: &mut HeaderMap, team: Option<SmolStr>, urgency: u8) {
     responses::strip(headers);
     headers.remove(header::EXPECT);
--- a/crates/workshold-gateway/src/callers/responses.rs
+++ b/crates/workshold-gateway/src/callers/responses.rs
@@ -1,4 +1,4 @@
-//! Answers and their bodies.
+//! HTTP responses and their bodies.
 
 use bytes::Bytes;
 use displaydoc::Display;
@@ -13,27 +13,27 @@
 use hyper::header::HeaderValue;
 use workshold_protocol::Millis;
 
-/// The body of an answer; an error breaks the caller's connection, so that what is
-/// not whole never looks whole.
+/// The body of a response. An error breaks the caller's connection, so that a truncated response
+/// never looks complete.
 pub type ResponseBody = UnsyncBoxBody<Bytes, Cut>;
 
-/// An answer that ends before its end.
+/// Why the body of a response is truncated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Cut {
-    /// the upstream's answer broke off
+    /// the upstream's response broke off
     Broken,
-    /// its time is up
+    /// the request's deadline passed
     TimeUp,
 }
 
 impl std::error::Error for Cut {}
 
-/// A body that is there as a whole.
+/// A body whose bytes are all there.
 pub fn whole(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer of this node's own.
+/// A plain-text response that this node itself gives.
 pub fn own(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut res = Response::new(whole(Bytes::from_static(text.as_bytes())));
     *res.status_mut() = status;
@@ -41,16 +41,17 @@
     res
 }
 
-/// The request has not run and will not; the caller may come back `after`.
+/// Refuses a request that has not run and will not; the caller may retry `after` that time, which
+/// goes into `Retry-After` as seconds with a fraction.
 pub fn not_run(text: &'static str, after: Millis) -> Response<ResponseBody> {
     let mut res = own(StatusCode::SERVICE_UNAVAILABLE, text);
     let secs = format!("{:.3}", after.as_secs_f64());
-    let value = HeaderValue::from_str(&secs).expect("digits are a header's value");
+    let value = HeaderValue::from_str(&secs).expect("digits are a valid header value");
     res.headers_mut().insert(header::RETRY_AFTER, value);
     res
 }
 
-/// Headers that belong to one connection only.
+/// Headers that belong to one connection (hop-by-hop), besides [`KEEP_ALIVE`].
 const OF_A_CONNECTION: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -63,8 +64,8 @@
 ];
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Takes out what belongs to one connection only, by name or by the word of
-/// `Connection`. Lengths are set anew from the body that is sent.
+/// Removes hop-by-hop headers: the usual ones and those that `Connection` names. `Content-Length`
+/// goes too, because it is set again from the body that is sent.
 pub fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
