--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting a node, and ending it with a plan.
+//! Starts a node and shuts it down gracefully.
 
 use std::io;
 use std::net::SocketAddr;
@@ -37,52 +37,52 @@
 use crate::settings::Settings;
 use crate::tasks;
 
-/// Time for the last lines to be written.
+/// Longest wait at exit for queued log lines to be written.
 pub const LOG_END_TIME: Duration = Duration::from_millis(300);
 
-/// Why a node did not start, or ended without being told to.
+/// Why a node did not start, or ended without a stop signal.
 #[derive(Debug, Display)]
 pub enum DaemonError {
-    /// {address} cannot be listened on: {why}
+    /// cannot listen on {address}: {why}
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the machine said.
+        /// The error of `bind` or `listen`.
         why: io::Error,
     },
-    /// the socket for other nodes cannot be opened: {0}
+    /// cannot open the UDP socket for gossip: {0}
     Peers(io::Error),
-    /// a part of the node has ended
+    /// a background task of the node ended unexpectedly
     TaskEnded,
 }
 
 impl std::error::Error for DaemonError {}
 
-/// Bytes of a request's head where the operator has not said.
+/// Longest head of a request, in bytes.
 const HEAD_LEN: usize = 16 * 1024;
-/// A connection rests, or its head stays away, for this long at most: longer than
-/// callers let connections rest.
+/// How long a connection may stay idle or take to send a request head. Longer than callers keep
+/// idle connections, so that the caller closes first.
 const REST_TIME: Duration = Duration::from_secs(16);
-/// Connections to the directory and the like at once.
+/// Most concurrent connections to each of the directory, readiness and control servers.
 const SIDE_CONNECTIONS: usize = 512;
-/// What is sent but not yet read by one caller, in bytes.
+/// Socket send buffer of one caller connection, in bytes: data sent but not yet read.
 const SEND_BUFFER: u32 = 64 * 1024;
-/// How often the settings' file is looked at.
+/// How often the settings file is checked for changes.
 const SETTINGS_EVERY: Duration = Duration::from_secs(1);
-/// How often a stopping node looks whether it is done.
+/// Poll interval for the conditions that a stopping node waits for.
 const STOP_POLL: Duration = Duration::from_millis(25);
-/// A planned stop ends this long before it would be cut.
+/// A planned stop ends this long before the platform would kill the process.
 const STOP_LEAD: Millis = Millis(700);
-/// Time for answers that are complete to leave the machine.
+/// Time to flush responses that are complete, after the listener is closed.
 const FINISH_TIME: Duration = Duration::from_millis(250);
-/// Callers use addresses for up to this many times as long as they are told.
+/// Callers may keep using addresses for up to this many times their time to live.
 const ADDRESSES_KEPT: f64 = 3.0;
 
-/// Runs a node until one of `signals` stops it.
+/// Runs a node until one of `signals` stops it; `path` is the settings file to watch.
 ///
 /// # Errors
 ///
-/// [`DaemonError`] if it cannot start, or a part of it ends.
+/// [`DaemonError`] if the node cannot start, or one of its background tasks ends.
 pub async fn run(
     settings: Settings,
     path: PathBuf,
@@ -126,7 +126,7 @@
     Ok(())
 }
 
-#[expect(clippy::print_stdout, reason = "the dump goes where the operator reads it")]
+#[expect(clippy::print_stdout, reason = "the operator reads the dump on stdout")]
 fn print_state(node: &Node) {
     println!("{}", control::state(node));
 }
@@ -178,7 +178,7 @@
     server::bind(address, SEND_BUFFER).map_err(|why| DaemonError::Listen { address, why })
 }
 
-/// The file may change without a signal.
+/// Reloads the settings when the file's modification time changes, for edits without a SIGHUP.
 async fn watch_settings(node: Arc<Node>, path: PathBuf) {
     let modified = |path: &Path| std::fs::metadata(path).and_then(|meta| meta.modified()).ok();
     let mut last = modified(&path);
@@ -203,8 +203,9 @@
     }
 }
 
-/// Leaves the addresses, serves until callers have forgotten this node, but takes no
-/// stream any more that might not end in time, finishes what is in flight, and ends.
+/// Stops gracefully: withdraws this node's address from the directory, serves until callers no
+/// longer use it, refuses new streams that might not end in time, and waits for the requests in
+/// flight.
 async fn stop(node: &Arc<Node>, callers: JoinHandle<usize>, stage: &watch::Sender<Stage>) {
     node.leave();
     emit(Event::Leaving, &[]);
@@ -223,7 +224,7 @@
         tokio::time::sleep(STOP_POLL).await;
     }
     stage.send_replace(Stage::Finishing);
-    // What is left after this is cut by the platform as well.
+    // The platform would kill whatever takes longer.
     let _ = tokio::time::timeout(FINISH_TIME, callers).await;
 }
 
--- a/crates/workshold-gateway/src/lib.rs
+++ b/crates/workshold-gateway/src/lib.rs
@@ -1,13 +1,13 @@
-//! The entry node on the users' platform.
+//! The entry node for the users' platform: routes callers' requests to upstream instances.
 //!
-//! - [`settings`] are read and checked before anything starts, and read again when
-//!   they change.
-//! - [`node::Node`] is what all parts share, in pieces, each under its own lock.
-//! - [`store_monitor`]: what if the store's answer is older than what this node holds?
-//! - [`tasks`] run beside the callers: following the store, holding the lease,
-//!   stewarding, talking to peers, looking after instances in doubt.
-//! - [`callers`] answers requests; [`proxy`] carries them to upstreams.
-//! - [`daemon`] starts and ends it all.
+//! - [`settings`]: the settings file, validated before anything starts and reloaded when it
+//!   changes.
+//! - [`node::Node`]: the state that all modules share, in parts that each have their own lock.
+//! - [`store_monitor`]: detects answers of the store that predate its last restore from a backup.
+//! - [`tasks`]: background tasks: following the store, holding the lease, stewarding groups,
+//!   gossip with peers, probing suspected instances.
+//! - [`callers`]: the HTTP handlers; [`proxy`] proxies requests to upstreams.
+//! - [`daemon`]: startup and graceful shutdown.
 
 pub mod callers;
 pub mod daemon;
--- a/crates/workshold-gateway/src/loads.rs
+++ b/crates/workshold-gateway/src/loads.rs
@@ -1,4 +1,4 @@
-//! Requests at each instance, of this node and, by their word, of others.
+//! Requests in flight at each instance: those of this node, and the counts that peers report.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,24 +11,24 @@
 use xxhash_rust::xxh3::xxh3_64;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A short name for a life of an instance in datagrams; two alike are a matter of one in
-/// millions, and cost no more than a worse choice.
+/// A 32-bit hash of an instance's identity, which stands for it in datagrams. Collisions have
+/// odds of one in millions and cost no more than a worse choice of instance.
 pub fn instance_hash(id: &Identity) -> u32 {
     xxh3_64_with_seed(id.as_str().as_bytes(), id.incarnation.0) as u32
 }
 
-/// The same for any name.
+/// A 32-bit hash of any other name, such as a model's, for datagrams.
 pub fn name_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// What an instance has to do, as far as known.
+/// The work at one instance, as far as known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Load {
-    /// Requests there.
+    /// Requests in flight.
     pub requests: u32,
-    /// Tokens of prompts whose first event has not come: they are read before it, those
-    /// of others too.
+    /// Prompt tokens of requests without a first event yet. The engine processes (prefills) the
+    /// prompts that are ahead before it sends a new request's first event.
     pub unread: u32,
 }
 
@@ -37,7 +37,7 @@
         Self { requests: self.requests + other.requests, unread: self.unread + other.unread }
     }
 
-    /// What is left without a part of it.
+    /// Subtracts a part, down to zero.
     pub fn less(self, part: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(part.requests),
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Adds what another node has there.
+    /// Adds the load that another node reports for the same instance.
     pub fn add(&mut self, other: Self) {
         *self = self.and(other);
     }
 }
 
-/// What this node has at an instance.
+/// This node's load at one instance.
 #[derive(Debug, Default)]
 struct Own {
     requests: AtomicU32,
@@ -67,14 +67,15 @@
     }
 }
 
-/// Counters by instance.
+/// Loads by instance.
 #[derive(Debug, Default)]
 pub struct Loads {
     own: Mutex<HashMap<Identity, Arc<Own>>>,
+    /// Sums of the peers' loads by [`instance_hash`], and when they were computed.
     others: Mutex<(HashMap<u32, Load>, Millis)>,
 }
 
-/// One request at an instance; ends with its drop.
+/// Counts one request at an instance until it is dropped.
 #[derive(Debug)]
 pub struct InFlight {
     own: Arc<Own>,
@@ -82,7 +83,7 @@
 }
 
 impl InFlight {
-    /// Its prompt has been read: the first event has come.
+    /// The first event has come, so the prompt is processed: its tokens no longer count.
     pub fn on_read(&mut self) {
         self.own.unread.fetch_sub(std::mem::take(&mut self.unread), Ordering::Relaxed);
     }
@@ -96,7 +97,7 @@
 }
 
 impl Loads {
-    /// A request with a prompt of `tokens` goes to `id`.
+    /// Counts a request with a prompt of `tokens` tokens that is sent to `id`.
     pub fn begin(&self, id: &Identity, tokens: u32) -> InFlight {
         let own = Arc::clone(self.own.lock().entry(id.clone()).or_default());
         own.requests.fetch_add(1, Ordering::Relaxed);
@@ -104,35 +105,35 @@
         InFlight { own, unread: tokens }
     }
 
-    /// What this node has at `id`.
+    /// This node's load at `id`.
     pub fn own(&self, id: &Identity) -> Load {
         self.own.lock().get(id).map_or(Load::default(), |own| own.load())
     }
 
-    /// What all nodes have at `id`, as far as known.
+    /// The load of all nodes at `id`, as far as known.
     pub fn of(&self, id: &Identity) -> Load {
         let others = self.others.lock().0.get(&instance_hash(id)).copied().unwrap_or_default();
         self.own(id).and(others)
     }
 
-    /// All that this node has requests at.
+    /// This node's load at every instance where it has requests in flight.
     pub fn own_loads(&self) -> Vec<(Identity, Load)> {
         let own = self.own.lock();
         let all = own.iter().map(|(id, own)| (id.clone(), own.load()));
         all.filter(|(_, load)| load.requests > 0).collect()
     }
 
-    /// Takes what the others said, summed up at `now`.
+    /// Replaces the sums of the peers' loads, computed at `now`; the keys are [`instance_hash`]s.
     pub fn set_peer_loads(&self, others: HashMap<u32, Load>, now: Millis) {
         *self.others.lock() = (others, now);
     }
 
-    /// Whether what the others said was last summed up longer than `age` ago.
+    /// Whether the sums of the peers' loads are at least `age` old.
     pub fn are_peer_loads_stale(&self, now: Millis, age: Millis) -> bool {
         now.since(self.others.lock().1) >= age
     }
 
-    /// Drops counters that nobody uses.
+    /// Removes the counters of instances where this node has no request in flight.
     pub fn tidy(&self) {
         self.own.lock().retain(|_, counter| Arc::strong_count(counter) > 1);
     }
--- a/crates/workshold-gateway/src/main.rs
+++ b/crates/workshold-gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! `workshold-gateway`: one entry node on the users' platform.
+//! `workshold-gateway`: the binary that runs one entry node on the users' platform.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,9 +10,11 @@
 use workshold_telemetry::log::LevelFilter;
 use workshold_telemetry::writer;
 
-/// The variable that names the settings' file.
+/// Environment variable with the path of the settings file.
 const SETTINGS_VARIABLE: &str = "WORKSHOLD_CONFIG";
+/// Exit code if the node cannot start, or a background task of it ends.
 const EXIT_FAILED: u8 = 1;
+/// Exit code if the settings file is missing or invalid.
 const EXIT_SETTINGS: u8 = 2;
 
 #[derive(Debug, Clone)]
@@ -37,14 +39,14 @@
         .version(env!("CARGO_PKG_VERSION"))
 }
 
-#[expect(clippy::print_stderr, reason = "there are no logs yet")]
+#[expect(clippy::print_stderr, reason = "the logger is not running yet")]
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let options = options().run();
     let signals = match Signals::new() {
         Ok(signals) => signals,
         Err(err) => {
-            eprintln!("signals cannot be waited for: {err}");
+            eprintln!("cannot install signal handlers: {err}");
             return ExitCode::from(EXIT_FAILED);
         }
     };
@@ -61,7 +63,7 @@
     let queue = match writer::init(LevelFilter::Info, &settings.node.name) {
         Ok(queue) => queue,
         Err(err) => {
-            eprintln!("logs cannot be written: {err}");
+            eprintln!("cannot start the log writer: {err}");
             return ExitCode::from(EXIT_FAILED);
         }
     };
--- a/crates/workshold-gateway/src/routing_table.rs
+++ b/crates/workshold-gateway/src/routing_table.rs
@@ -1,4 +1,4 @@
-//! Where requests can be sent now, made anew whenever something changed.
+//! The table of targets that requests can be sent to now, rebuilt after every change.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,41 +17,42 @@
 use workshold_protocol::ids::DataCentre;
 use workshold_protocol::ids::ServiceName;
 
-/// An instance that takes requests: of a plain service, or the head of a group.
+/// An instance that takes requests: one of a service without groups, or the head of a group.
 #[derive(Debug)]
 pub struct Target {
-    /// Its id, which every request names.
+    /// Its identity; every request names the instance id, so that no other instance runs it.
     pub id: Identity,
-    /// The service that it is part of.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Host and port that it listens on.
     pub address: SmolStr,
-    /// Where it is.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// The model that it serves, if it is a head.
+    /// The model that its group serves; `None` for a service without groups.
     pub model: Option<SmolStr>,
-    /// The usual time between events at a quiet head, in milliseconds.
+    /// Expected time between two events of a stream that runs alone, in milliseconds; for a service
+    /// without groups, of one answer.
     pub quiet_gap_ms: f64,
-    /// What it takes to read a token of a prompt, in milliseconds.
+    /// Time to process (prefill) one prompt token, in milliseconds.
     pub read_ms: f64,
-    /// All members, itself included.
+    /// All members of its group, itself included.
     pub members: Vec<Arc<Instance>>,
 }
 
-/// All targets by service.
+/// All targets, by service.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
     by_service: HashMap<ServiceName, Vec<Arc<Target>>>,
 }
 
-/// What an answer of a plain service usually takes, in milliseconds; only its
-/// ratio to other targets matters.
+/// Expected time of one answer at a service without groups, in milliseconds. Only its ratio to the
+/// other targets matters.
 const PLAIN_PACE_MS: f64 = 30.0;
 
 impl RoutingTable {
-    /// Judges every instance by its entry.
+    /// Builds the table from the instance list and the configuration in force.
     pub fn make(
         serving_config: &ServingConfig,
         roster: &Roster,
@@ -79,28 +80,28 @@
         Self { by_service }
     }
 
-    /// Targets of a service.
+    /// The targets of a service.
     pub fn of(&self, service: &ServiceName) -> &[Arc<Target>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// All targets that serve what `target` does.
+    /// All targets of the same service and model as `target`, itself included.
     pub fn like<'a>(&'a self, target: &'a Target) -> impl Iterator<Item = &'a Arc<Target>> {
         let of_service = self.by_service.get(&target.service).into_iter().flatten();
         of_service.filter(|other| other.model == target.model)
     }
 
-    /// The heads of all groups that serve.
+    /// The heads of all groups that take requests.
     pub fn heads(&self) -> impl Iterator<Item = &Arc<Target>> {
         self.by_service.values().flatten().filter(|target| target.model.is_some())
     }
 
-    /// How many targets there are.
+    /// The number of targets over all services.
     pub fn len(&self) -> usize {
         self.by_service.values().map(Vec::len).sum()
     }
 
-    /// Whether there is anything to send requests to.
+    /// Whether no target takes requests.
     pub fn is_empty(&self) -> bool {
         self.by_service.values().all(Vec::is_empty)
     }
--- a/crates/workshold-gateway/src/settings.rs
+++ b/crates/workshold-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! A node's settings: TOML, checked as a whole before anything starts.
+//! A node's settings: a TOML file, validated as a whole before anything starts.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,86 +12,88 @@
 
 use crate::peers::exchange::LocalNode;
 
-/// All settings of a node.
+/// All settings of a node, by section of the file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who and where it is.
+    /// Name and location.
     pub node: NodeSettings,
-    /// Where it listens.
+    /// Addresses to listen on.
     pub listen: Listen,
-    /// The platform's store.
+    /// Access to the platform's store.
     pub store: StoreSettings,
-    /// What the machine allows.
+    /// Resources of the machine.
     #[serde(default)]
     pub limits: MachineLimits,
-    /// What has been promised.
+    /// Limits that were promised to callers and operators.
     #[serde(default)]
     pub bounds: Bounds,
 }
 
-/// Who and where a node is.
+/// Name and location of a node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Its name, for logs.
+    /// The node's name, in logs and among its peers.
     pub name: String,
-    /// Its data centre.
+    /// The data centre that it runs in; callers there prefer it.
     pub data_centre: DataCentre,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time, so that there is no earlier state to
+    /// wait for.
     #[serde(default)]
     pub is_first_start: bool,
 }
 
-/// Addresses of a node.
+/// Addresses that a node listens on.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// For callers' requests.
     pub callers: SocketAddr,
-    /// For the platform's question whether it serves.
+    /// For the platform's readiness check.
     pub readiness: SocketAddr,
     /// For callers who ask which addresses to use.
     pub directory: SocketAddr,
-    /// For other nodes' datagrams and, over connections, for those that lack the
-    /// configuration and for operators; the same port on all.
+    /// Port for the gossip datagrams of other nodes and, over TCP, for the control server that
+    /// other nodes and operators use; the same port on all nodes.
     pub peers_port: u16,
 }
 
-/// The platform's store.
+/// Access to the platform's store.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Where it listens.
+    /// Address of the store.
     pub address: String,
-    /// Parts that a lease is dealt out in.
+    /// Number of partitions of the lease.
     #[serde(default = "usual_parts")]
     pub parts: u64,
-    /// The shortest time that a lease can be held for, in milliseconds.
+    /// The shortest time to live of a lease, in milliseconds.
     #[serde(default)]
     pub least_ttl_ms: u64,
 }
 
-/// What the machine allows.
+/// Resources of the machine.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MachineLimits {
-    /// Descriptors of the process.
+    /// File descriptors that the process may open.
     pub descriptors: usize,
-    /// What its link takes, in Mbit/s.
+    /// Bandwidth of the network link, in Mbit/s.
     pub link_mbit_per_s: f64,
-    /// Its share of a core.
+    /// Processor cores that the node may use, such as 0.25.
     pub processor_share: f64,
 }
 
-/// A link and a share of a core with which a node can well carry what is said to a hundred
-/// others: a relay sends each of them 4 KB up to ten times a second while much changes.
+/// Bandwidth and processor share with which a node can relay gossip to a hundred others: a relay
+/// sends each of them 4 KB up to ten times a second while much changes.
 const GOOD_LINK_MBIT_PER_S: f64 = 100.0;
 const GOOD_PROCESSOR_SHARE: f64 = 0.25;
 
 impl MachineLimits {
-    /// How well the machine carries work for others, 0 best: with the link or the processor
-    /// that is good for it, with half of it, with less.
+    /// How well the machine suits work for other nodes, such as relaying gossip, 0 best: 0 if it
+    /// has both `GOOD_LINK_MBIT_PER_S` and `GOOD_PROCESSOR_SHARE`, 1 if at least half of each,
+    /// else 2.
     pub fn class(&self) -> u8 {
         let link = self.link_mbit_per_s / GOOD_LINK_MBIT_PER_S;
         let processor = self.processor_share / GOOD_PROCESSOR_SHARE;
@@ -103,29 +105,30 @@
     }
 }
 
-/// What has been promised to callers and operators.
+/// Limits that were promised to callers and operators.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// The longest that a key is believed after it was taken away, in milliseconds.
+    /// How long an API key may still be accepted after it was revoked, in milliseconds.
     pub keys_believed_ms: u64,
-    /// Whether requests that need a key are refused once the configuration is older
-    /// than that; if not, the last one known stays good for as long as it has to.
+    /// Whether requests that need a key are refused once the configuration is older than that. If
+    /// not, the last known configuration stays valid for as long as there is no newer one.
     pub refuse_stale_keys: bool,
-    /// A configuration is in force this long after it was acknowledged, in milliseconds.
+    /// A configuration is in force at the latest this long after the store acknowledged it, in
+    /// milliseconds.
     pub config_in_force_ms: u64,
-    /// A node keeps its promises again this long after what disturbed it, or the store, has
-    /// ended, in milliseconds.
+    /// A node keeps its promises again this long after the end of a disturbance of the node or the
+    /// store, in milliseconds.
     pub undisturbed_after_ms: u64,
-    /// The time that a planned stop may take, in seconds.
+    /// The longest that a planned stop may take, in seconds.
     pub stop_within_s: f64,
-    /// Repeats for each request.
+    /// Retries per request that the retry budget allows.
     pub repeat_ratio: f64,
-    /// The time over which repeats count, in seconds.
+    /// Window of the retry budget, in seconds.
     pub repeat_window_s: f64,
-    /// Repeats of all nodes beyond the ratio.
+    /// Retries in a window that all nodes together may make beyond the ratio.
     pub repeat_slack: f64,
-    /// The longest that addresses may be good for, in seconds.
+    /// The longest time to live of addresses that callers are given, in seconds.
     pub addresses_good_at_most_s: f64,
 }
 
@@ -151,38 +154,40 @@
     }
 }
 
+/// Default of [`StoreSettings::parts`].
 const fn usual_parts() -> u64 {
     24
 }
 
-/// How long callers may use the addresses that they are told: short, so that a node
-/// that is gone is soon forgotten, and three times of it fit into a planned stop.
+/// Time to live, in seconds, of the addresses that callers are given. Short, so that callers soon
+/// stop using a node that is gone, and so that three times as long fits into a planned stop.
 const ADDRESSES_GOOD_S: f64 = 2.0;
-/// Part of [`Bounds::keys_believed_ms`] that is used: the rest is for the time that
-/// a request takes to its upstream.
+/// Part of [`Bounds::keys_believed_ms`] that a node uses. The rest covers the time that a request
+/// takes to reach its upstream.
 const KEYS_BELIEVED_PART: f64 = 0.92;
-/// The longest that a reading of the configuration waits for a newer one: each has its
-/// price, and what is read counts as fresh from when it was asked for.
+/// Longest wait of a long poll for a newer configuration. Longer means fewer polls, each of which
+/// has a cost, but an answer counts as fresh only from when the poll was sent.
 const CONFIG_WAIT_MOST: Millis = Millis(1_500);
-/// The shortest, whatever the bound: the store has to serve other readers, too.
+/// Shortest wait of a long poll, whatever the bound: the store has other readers to serve.
 const WAIT_LEAST: Millis = Millis(200);
-/// The longest that a reading of the list waits for a change.
+/// Longest wait of a long poll for a change of the instance list.
 const LIST_WAIT_MOST: Millis = Millis(2_000);
-/// The store's answer is late after this, beyond its wait: many times what it takes.
+/// A poll counts as late when its answer is this much later than its wait: many times what the
+/// store takes to answer.
 const ANSWER_LATE: Millis = Millis(250);
-/// Time for an answer that comes, and for what it says to be in force.
+/// Time allowed for an answer to arrive and for its content to be put in force.
 const ANSWER_ROOM: Millis = Millis(300);
-/// The most between two questions to a store that does not answer.
+/// Longest interval between two requests to a store that does not answer.
 const ASK_EVERY: Millis = Millis(1_300);
-/// Time for answers and for the way of what other nodes have read.
+/// Time allowed for the store's answer and for passing on what another node has read.
 const CONFIG_ON_THE_WAY: Millis = Millis(700);
-/// Descriptors kept for the store, upstreams in doubt, peers and files.
+/// File descriptors reserved for the store, probes of suspected instances, peers and files.
 const DESCRIPTORS_KEPT: usize = 300;
-/// How long a lease is held; a node that dies holds its part up for this long.
+/// Time to live of a lease. The partitions of a node that dies have no holder for this long.
 const LEASE_TTL: Millis = Millis(1_500);
 
 impl Settings {
-    /// This node as others know it.
+    /// This node as its peers know it.
     pub fn own(&self) -> LocalNode<'_> {
         LocalNode {
             address: self.control(),
@@ -191,49 +196,49 @@
         }
     }
 
-    /// Where other nodes and operators reach this one.
+    /// Address of the control server, for other nodes and operators.
     pub fn control(&self) -> SocketAddr {
         SocketAddr::new(self.listen.callers.ip(), self.listen.peers_port)
     }
 
-    /// How long callers may use the addresses that they are told, in seconds.
+    /// Time to live of the addresses that callers are given, in seconds.
     pub fn addresses_good_s(&self) -> f64 {
         ADDRESSES_GOOD_S.min(self.bounds.addresses_good_at_most_s)
     }
 
-    /// How old a configuration may be by which keys are believed.
+    /// How old a configuration may be for API keys to be accepted by it.
     pub fn max_key_age(&self) -> Millis {
         Millis((self.bounds.keys_believed_ms as f64 * KEYS_BELIEVED_PART) as u64)
     }
 
-    /// How the store is asked for a newer configuration. Just before the next answer, what
-    /// is held is as old as two waits: keys must still be believed then.
+    /// Timing of the long polls for a newer configuration. Just before the next answer, the
+    /// configuration in use is as old as two waits; keys must still be accepted then.
     pub fn config_poll_rules(&self, is_reader: bool) -> LongPollRules {
         let kept = CONFIG_ON_THE_WAY + CONFIG_ON_THE_WAY;
         let half = Millis(self.max_key_age().since(kept).0 / 2);
         long_poll(half.min(CONFIG_WAIT_MOST), self.bounds.config_in_force_ms, is_reader)
     }
 
-    /// How the store is asked for changes of the list. What waits brings them at once, unless
-    /// it was lost in a disturbance.
+    /// Timing of the long polls for changes of the instance list. A poll that waits brings a change
+    /// at once, unless the poll was lost in a disturbance.
     pub fn list_poll_rules(&self, is_reader: bool) -> LongPollRules {
         long_poll(LIST_WAIT_MOST, self.bounds.undisturbed_after_ms, is_reader)
     }
 
-    /// What others have read of the configuration is current if it is not older: as old
-    /// as it becomes where it is read, and the way. Keys are still believed then, for
-    /// long enough to read it oneself.
+    /// Up to this age, a configuration that a peer has read counts as current: as old as it
+    /// becomes at the peer that reads it, plus the time to pass it on. Keys are still accepted then
+    /// for long enough that this node can read the configuration itself.
     pub fn max_shared_config_age(&self) -> Millis {
         let wait = self.config_poll_rules(true).wait;
         wait + wait + CONFIG_ON_THE_WAY
     }
 
-    /// How long a lease is held.
+    /// Time to live of a lease.
     pub fn lease_ttl(&self) -> Millis {
         LEASE_TTL.max(Millis(self.store.least_ttl_ms))
     }
 
-    /// How repeats are bounded.
+    /// The rules of the retry budget.
     pub fn budget(&self) -> RetryBudgetRules {
         RetryBudgetRules {
             ratio: self.bounds.repeat_ratio,
@@ -242,16 +247,17 @@
         }
     }
 
-    /// Connections that callers may have open: each may need one to an upstream.
+    /// Most connections that callers may have open. Each may need a second descriptor, for an
+    /// upstream.
     pub fn caller_connections(&self) -> usize {
         (self.limits.descriptors.saturating_sub(DESCRIPTORS_KEPT) / 2).max(64)
     }
 }
 
-/// How the store is asked for what has to be in force within `bound`, in milliseconds: a
-/// question that is lost must not make it late, whatever the moment. Whoever is no reader asks
-/// as rarely as that allows: it is readers who tell it of the store's return, and hundreds
-/// that ask into a silence would be a burden to it afterwards.
+/// Timing of the long polls for what has to be in force within `bound` milliseconds, even if a poll
+/// is lost at any moment. A node that is no reader polls as rarely as the bound allows: readers
+/// tell it when the store is back, and the polls of hundreds of nodes to a store that does not
+/// answer would burden it once it is back.
 fn long_poll(wait_most: Millis, bound: u64, is_reader: bool) -> LongPollRules {
     let asked_within = Millis(bound).since(ANSWER_ROOM);
     let retry_interval = if is_reader { asked_within.min(ASK_EVERY) } else { asked_within };
@@ -262,21 +268,21 @@
     }
 }
 
-/// Why settings are not taken.
+/// Why settings are rejected.
 #[derive(Debug, Display)]
 pub enum SettingsError {
-    /// the settings at {path} cannot be read: {why}
+    /// cannot read the settings file {path}: {why}
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the machine said.
+        /// The error of reading it.
         why: std::io::Error,
     },
-    /// the settings at {path} are not valid: {why}
+    /// the settings file {path} is not valid: {why}
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the reader said, with the place.
+        /// The parser's message, with line and column, or the setting that is out of range.
         why: String,
     },
 }
@@ -284,7 +290,7 @@
 impl std::error::Error for SettingsError {}
 
 impl SettingsError {
-    /// What helps.
+    /// A hint for the operator.
     pub const fn help(&self) -> &'static str {
         match self {
             Self::Unreadable { .. } => "name the file with --settings or in WORKSHOLD_CONFIG",
@@ -293,22 +299,22 @@
     }
 }
 
-/// Reads and checks a file of settings.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// [`SettingsError`] with the first fault.
+/// [`SettingsError`] with the first error.
 pub fn load(path: &Path) -> Result<Settings, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|why| SettingsError::Unreadable { path: path.display().to_string(), why })?;
     parse(&text).map_err(|why| SettingsError::Invalid { path: path.display().to_string(), why })
 }
 
-/// Checks the text of settings.
+/// Parses and validates the text of a settings file.
 ///
 /// # Errors
 ///
-/// The first fault, in words.
+/// The first error, as text.
 pub fn parse(text: &str) -> Result<Settings, String> {
     let settings: Settings = toml::from_str(text).map_err(|err| err.to_string())?;
     if settings.node.name.is_empty() {
@@ -324,7 +330,7 @@
         ("bounds.addresses_good_at_most_s", bounds.addresses_good_at_most_s),
     ];
     match positive.iter().find(|(_, value)| !(value.is_finite() && *value > 0.0)) {
-        Some((name, value)) => Err(format!("{name} is {value}, but has to be above zero")),
+        Some((name, value)) => Err(format!("{name} is {value}, but must be greater than zero")),
         None => Ok(settings),
     }
 }
--- a/crates/workshold-gateway/src/store_monitor.rs
+++ b/crates/workshold-gateway/src/store_monitor.rs
@@ -1,10 +1,10 @@
-//! What if the store's answer is older than what this node holds? All of its answers come
-//! through here first.
+//! Tracks the era of the store and rejects answers from before its last restore. Every answer
+//! of the store passes through here first.
 //!
-//! The store may come back from a copy (`core::hosted::store_era`). An answer of an earlier past
-//! is dropped whole, whatever it says: it may have been on its way for long. The first answer
-//! of a later one, or a peer's word of it, is a rise: what this node keeps of the store is
-//! then of the past, and is read anew.
+//! The store may be restored from a snapshot, which begins a new era
+//! (`core::hosted::store_era`). An answer of an earlier era is rejected as a whole, because it may
+//! have been on its way for a long time. The first answer of a later era, or a peer's report of
+//! one, means that what this node has read is out of date and has to be read again.
 
 use parking_lot::Mutex;
 use workshold_core::hosted::store_era::Era;
@@ -14,28 +14,29 @@
 use workshold_platform::store::StoreError;
 use workshold_protocol::Millis;
 
-/// The store's pasts as this process has heard of them, and when it last answered.
+/// The store's eras as this process has seen them, and when the store last answered.
 #[derive(Debug, Default)]
 pub struct StoreMonitor {
     store_era: Mutex<EraTracker>,
-    /// Nothing was there before this process and those that started with it.
+    /// The whole system starts for the first time: no store data predates this process and its
+    /// peers.
     is_first_start: bool,
-    /// When a question was sent that was answered, the last one.
+    /// When the latest request that the store answered was sent.
     answered: Mutex<Millis>,
 }
 
 impl StoreMonitor {
-    /// Those of a process that has heard of nothing yet.
+    /// A tracker that has seen no era yet.
     pub fn new(is_first_start: bool) -> Self {
         Self { is_first_start, ..Self::default() }
     }
 
-    /// The store answered a question that was sent at `sent`. Returns what it says, and
-    /// whether it has come back from a copy since the last answer.
+    /// Checks an answer of the store to a request that was sent at `sent`. Returns its content,
+    /// and whether the store was restored from a snapshot since the last answer.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Earlier`]: the answer is of a past that is over, and says nothing.
+    /// [`StoreError::Earlier`] if the answer is of an earlier era and must be ignored.
     pub fn take<T>(
         &self,
         answer: Answer<T>,
@@ -51,7 +52,8 @@
         Ok((answer.said, heard == EraOrder::Newer))
     }
 
-    /// Somebody heard of `era` first at `since`.
+    /// Records that `era` has been known since `since`, to this node or a peer. Returns how it
+    /// compares with the newest era known before.
     pub fn observe(&self, era: Era, since: Millis) -> EraOrder {
         let mut store_era = self.store_era.lock();
         let is_first = !store_era.is_known();
@@ -62,28 +64,30 @@
         heard
     }
 
-    /// What the store keeps shows that `era` has lasted for long.
+    /// Records that `era` has lasted long, as data kept in the store shows.
     pub fn mark_settled(&self, era: Era) {
         self.store_era.lock().mark_settled(era);
     }
 
-    /// The newest past heard of.
+    /// The newest era known.
     pub fn era(&self) -> Era {
         self.store_era.lock().era()
     }
 
-    /// The newest past and how long it has been known, to be told to others.
+    /// The newest era and for how many milliseconds it has been known, for gossip; `None` before
+    /// any is known.
     pub fn told(&self, now: Millis) -> Option<(Era, u64)> {
         let store_era = *self.store_era.lock();
         store_era.is_known().then(|| (store_era.era(), store_era.age(now).0))
     }
 
-    /// From when on what the store lists is what there is.
+    /// From when on the store's list matches the instances that exist: after a restore they need
+    /// time to register again.
     pub fn trusted_from(&self) -> Millis {
         self.store_era.lock().trusted_from()
     }
 
-    /// When a question was sent that the store answered, the last one.
+    /// When the latest request that the store answered was sent.
     pub fn answered(&self) -> Millis {
         *self.answered.lock()
     }
