--- a/crates/workshold-gateway/src/events.rs
+++ b/crates/workshold-gateway/src/events.rs
@@ -1,51 +1,51 @@
 //! Numbered events of a node on the platform.
 //!
-//! `docs/EVENTS-PLATFORM.md` is written from this list; a test holds the two together.
+//! `docs/EVENTS-PLATFORM.md` is generated from this list; a test checks that it is up to date.
 
 use workshold_telemetry::events::reference_page as page;
 
 workshold_telemetry::events! {
     Started = 1001, Info, "the node has started", "Nothing.";
     Ready = 1002, Info, "the node serves callers", "Nothing.";
-    NotReady = 1003, Warn, "the node does not serve callers", "Read the reason; it goes away by itself once the store or a peer answers.";
+    NotReady = 1003, Warn, "the node does not serve callers", "Read the reason; the node recovers by itself once the store or a peer answers.";
     Leaving = 1004, Info, "a planned stop has begun", "Nothing.";
     Stopped = 1005, Info, "the node has stopped", "Nothing.";
     SettingsTaken = 1006, Info, "changed settings are in force", "Nothing.";
-    SettingsRefused = 1007, Error, "changed settings are not valid; the old ones stay in force", "Mend the file; the fault is in the event.";
-    StoreLost = 1101, Warn, "the store does not answer", "Serving goes on; look after the store, unless later_questions were answered: then this one was lost.";
+    SettingsRefused = 1007, Error, "changed settings are not valid; the old ones stay in force", "Fix the file; the event names the error.";
+    StoreLost = 1101, Warn, "the store does not answer", "Serving continues. Check the store, unless later_questions were answered: then only this request was lost.";
     StoreBack = 1102, Info, "the store answers again", "Nothing.";
     ConfigTaken = 1103, Info, "a configuration is in force", "Nothing.";
-    ConfigUnreadable = 1104, Error, "a configuration cannot be read and is passed over", "The old one stays in force; mend the new one.";
-    EntryUnreadable = 1105, Warn, "an instance's entry cannot be read and is passed over", "Look at the instance's version.";
+    ConfigUnreadable = 1104, Error, "a configuration cannot be read and is passed over", "The old one stays in force; fix the new one.";
+    EntryUnreadable = 1105, Warn, "an instance's entry cannot be read and is passed over", "Check the version of the instance.";
     ConfigFromPeer = 1106, Info, "a configuration came from another node", "Nothing; this node cannot reach the store.";
-    StoreReturned = 1107, Warn, "the store has come back from a copy: what it acknowledged last is gone", "Write what you wrote in the last seconds again; groups are mended from a few seconds later on.";
-    ReadingLate = 1108, Warn, "the store's answer is late; it is asked again beside the question that is on its way", "Nothing; if it is often, look at the way to the store.";
+    StoreReturned = 1107, Warn, "the store has come back from a copy: what it acknowledged last is gone", "Repeat what you wrote in the last seconds; groups are repaired after a few seconds.";
+    ReadingLate = 1108, Warn, "the store's answer is late; it is asked again beside the question that is on its way", "Nothing; if it happens often, check the network path to the store.";
     LeaseTaken = 1201, Info, "this node stewards other parts than before", "Nothing.";
-    LeaseLost = 1202, Warn, "this node's right to give orders has ended", "Nothing; another node has it.";
+    LeaseLost = 1202, Warn, "this node's right to give orders has ended", "Nothing; another node holds the lease.";
     Ordered = 1203, Info, "an instance was given an order", "Nothing.";
-    DomainSeen = 1204, Info, "what a steward sees in a domain", "Compare groups by model with least, how many would just keep up; intends says what is to change.";
-    InstanceInDoubt = 1301, Warn, "an instance cannot be reached", "Nothing; its groups get no new work.";
+    DomainSeen = 1204, Info, "what a steward sees in a domain", "Compare groups, the count by model, with least, the fewest that keep up with demand; intends lists the planned changes.";
+    InstanceInDoubt = 1301, Warn, "an instance cannot be reached", "Nothing; its groups get no new requests.";
     InstanceBack = 1302, Info, "an instance in doubt answers", "Nothing.";
-    InstanceBeganAnew = 1303, Warn, "an instance has begun anew at its id", "Nothing; what was open at its earlier life goes on elsewhere. Find out why it ended.";
-    InstanceLimited = 1304, Info, "an instance says how many requests a second it takes", "Find out what it lacks; limit is empty once it names none.";
-    InstanceRests = 1305, Info, "an instance has refused a request and wants none of this node for a while", "Find out what it lacks; rest_ms is how long.";
-    InstanceLeaves = 1306, Info, "an instance says in its answers that it leaves", "Nothing; what it has is finished there, its place is taken by others.";
+    InstanceBeganAnew = 1303, Warn, "an instance has begun anew at its id", "Requests of its earlier incarnation continue elsewhere. Find out why it ended.";
+    InstanceLimited = 1304, Info, "an instance says how many requests a second it takes", "Find out which resource it lacks; limit is empty once it names none.";
+    InstanceRests = 1305, Info, "an instance has refused a request and wants none of this node for a while", "Find out which resource it lacks; rest_ms is for how long it wants no requests.";
+    InstanceLeaves = 1306, Info, "an instance says in its answers that it leaves", "Nothing; it finishes its requests, and others replace it.";
     RequestEnded = 1401, Info, "a request was answered", "Nothing.";
-    RequestNotRun = 1402, Warn, "a request was refused and has not run", "Read the reason; the caller was told when to come back.";
+    RequestNotRun = 1402, Warn, "a request was refused and has not run", "Read the reason; the caller was told when to retry.";
     RequestUnknown = 1403, Warn, "a request ended and nobody knows whether it ran", "Read the reason and the attempts.";
-    AttemptFailed = 1404, Warn, "an attempt failed", "Read the reason; what follows is in the event.";
+    AttemptFailed = 1404, Warn, "an attempt failed", "Read the reason; next says what follows.";
     StreamMoved = 1405, Warn, "a stream goes on at another instance", "Nothing.";
     StreamCut = 1406, Warn, "a stream was cut before its end", "Read the reason; the caller may resume it.";
     CallerGone = 1407, Info, "a caller left before the answer was complete", "Nothing; the upstream was told.";
-    AttemptInDoubt = 1408, Warn, "an attempt is in doubt; another one begins beside it if there is a place and budget", "Nothing; in_doubt names who cannot be reached, lacks what was missing.";
+    AttemptInDoubt = 1408, Warn, "an attempt is in doubt; another one begins beside it if there is a place and budget", "Nothing; in_doubt names the member that cannot be reached, lacks what another attempt would need.";
     AttemptNotNeeded = 1409, Info, "an attempt was ended because another one spoke first", "Nothing.";
-    RepeatRefused = 1410, Warn, "a request is not repeated: its upstream's budget is used up", "Find out why its attempts fail; requests, repeats and allowed are those of this node in the last window, nodes is among how many the slack is divided.";
-    RequestHeld = 1411, Error, "requests of this content are kept from all instances: whoever began to run one has ended", "Find the caller and the cause by the failed attempts with this fingerprint; DELETE /quarantine/FINGERPRINT lets it go.";
+    RepeatRefused = 1410, Warn, "a request is not repeated: its upstream's budget is used up", "Find out why its attempts fail; requests, repeats and allowed count this node's in the last window, nodes is how many share the slack.";
+    RequestHeld = 1411, Error, "requests of this content are kept from all instances: whoever began to run one has ended", "Find the caller and the cause by the failed attempts with this fingerprint; DELETE /quarantine/FINGERPRINT releases it.";
     RequestReleased = 1412, Info, "requests of this content were let go by an operator", "Nothing.";
-    QuarantineNotKept = 1413, Warn, "what is known of held requests cannot be read from or written to the store", "Serving goes on by what other nodes say; look after the store.";
+    QuarantineNotKept = 1413, Warn, "what is known of held requests cannot be read from or written to the store", "Serving continues by what other nodes report; check the store.";
 }
 
-/// The text of `docs/EVENTS-PLATFORM.md`.
+/// The text of `docs/EVENTS-PLATFORM.md`: the events as a Markdown table.
 pub fn reference_page() -> String {
     page("Events of a node on the platform", rows())
 }
--- a/crates/workshold-gateway/src/metrics.rs
+++ b/crates/workshold-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a node counts, through `cadence`, and tells on request.
+//! A node's metrics, recorded through `cadence` and served as text at `/metrics`.
 
 use std::fmt::Write as _;
 
@@ -13,27 +13,27 @@
 
 macro_rules! metrics {
     ($($name:ident = $text:literal, $kind:literal, $what:literal;)*) => {
-        /// Everything that is counted or timed.
+        /// A metric of the node.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Metric {
             $(#[doc = $what] $name,)*
         }
 
         impl Metric {
-            /// All of them.
+            /// All metrics, in the order of their page.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// The name, behind the prefix.
+            /// The name without its prefix.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
             }
 
-            /// Counter, gauge or histogram.
+            /// `counter`, `gauge` or `histogram`.
             pub const fn kind(self) -> &'static str {
                 match self { $(Self::$name => $kind,)* }
             }
 
-            /// What it says.
+            /// What it measures, and the unit, for the page of metrics.
             pub const fn what(self) -> &'static str {
                 match self { $(Self::$name => $what,)* }
             }
@@ -42,45 +42,45 @@
 }
 
 metrics! {
-    Requests = "requests", "counter", "requests that were allowed";
-    Answered = "answered", "counter", "requests whose whole answer went to the caller";
-    NotRun = "not_run", "counter", "requests refused: they have not run";
-    RequestsHeld = "requests_held", "counter", "requests refused because whoever begins to run such a one ends; they count as not_run too";
-    Unknown = "unknown", "counter", "requests of which nobody knows whether they ran";
+    Requests = "requests", "counter", "requests that passed routing and authorization and are not held";
+    Answered = "answered", "counter", "requests whose complete answer went to the caller";
+    NotRun = "not_run", "counter", "requests refused without having run";
+    RequestsHeld = "requests_held", "counter", "requests refused because their content is quarantined: instances ended when they began to run it; counted in not_run too";
+    Unknown = "unknown", "counter", "requests that ended without it being known whether they ran";
     AttemptsFailed = "attempts_failed", "counter", "attempts at an instance that failed";
-    Withheld = "withheld", "counter", "sends withheld from instances that took none for now, by their own word";
-    AttemptsNotNeeded = "attempts_not_needed", "counter", "attempts that another one made needless by speaking first";
-    Repeats = "repeats", "counter", "repeats that the budget of their upstream allowed";
-    RepeatsRefused = "repeats_refused", "counter", "repeats refused because the budget of their upstream was used up";
-    StreamsMoved = "streams_moved", "counter", "streams that went on at another instance";
-    StreamsCut = "streams_cut", "counter", "streams cut before their end";
-    CallersGone = "callers_gone", "counter", "callers who left before the end";
+    Withheld = "withheld", "counter", "sends withheld because the instance had asked for none now";
+    AttemptsNotNeeded = "attempts_not_needed", "counter", "attempts dropped because another attempt of the request answered first";
+    Repeats = "repeats", "counter", "retries that the retry budget of their upstream allowed";
+    RepeatsRefused = "repeats_refused", "counter", "retries refused because the retry budget of their upstream was used up";
+    StreamsMoved = "streams_moved", "counter", "streams that continued at another instance";
+    StreamsCut = "streams_cut", "counter", "streams ended before their last event";
+    CallersGone = "callers_gone", "counter", "callers who disconnected before the end of the answer";
     Orders = "orders", "counter", "orders given to instances";
-    ConfigReads = "config_reads", "counter", "readings of the configuration from the store";
-    ListReads = "list_reads", "counter", "readings of the list of instances from the store";
-    LeaseCalls = "lease_calls", "counter", "renewals of the lease, and questions who holds it";
-    Looks = "looks", "counter", "tries to reach an instance";
-    LooksSilent = "looks_silent", "counter", "tries that nobody answered in time";
-    LooksVoid = "looks_void", "counter", "tries that showed nothing: this node itself was held up";
-    FirstEvent = "first_event_ms", "histogram", "from the request to its answer or first event, in ms";
+    ConfigReads = "config_reads", "counter", "reads of the configuration from the store";
+    ListReads = "list_reads", "counter", "reads of the list of instances from the store";
+    LeaseCalls = "lease_calls", "counter", "renewals of the lease, and queries for its holders";
+    Looks = "looks", "counter", "probes of an instance";
+    LooksSilent = "looks_silent", "counter", "probes that were not answered in time";
+    LooksVoid = "looks_void", "counter", "probes that showed nothing because this node itself was delayed";
+    FirstEvent = "first_event_ms", "histogram", "time from the request to its answer or first event, in ms";
     LongestGap = "longest_gap_ms", "histogram", "the longest pause between two events of a stream, in ms";
     InFlight = "in_flight", "gauge", "requests under way";
-    ConfigAge = "config_age_ms", "gauge", "how long ago the configuration was known to be the newest, in ms";
-    ListAge = "list_age_ms", "gauge", "how long ago the list of instances was read, in ms";
-    StoreAge = "store_age_ms", "gauge", "how long ago the store answered, in ms";
+    ConfigAge = "config_age_ms", "gauge", "time since the configuration was last known to be the newest, in ms";
+    ListAge = "list_age_ms", "gauge", "time since the list of instances was read, in ms";
+    StoreAge = "store_age_ms", "gauge", "time since the store answered, in ms";
     Targets = "targets", "gauge", "groups and plain instances that take requests";
-    InDoubt = "in_doubt", "gauge", "instances that somebody cannot reach";
-    Peers = "peers", "gauge", "other nodes that are heard";
-    Limited = "limited", "gauge", "instances that name a limit of requests a second";
-    Resting = "resting", "gauge", "instances that want nothing from this node for a while";
-    Held = "held", "gauge", "contents of requests that are kept from all instances";
-    Sharers = "sharers", "gauge", "nodes among which the slack of repeats is divided, this one included";
+    InDoubt = "in_doubt", "gauge", "suspected instances: those that this node or a peer cannot reach";
+    Peers = "peers", "gauge", "other nodes whose messages arrive";
+    Limited = "limited", "gauge", "instances that have announced a limit of requests per second";
+    Resting = "resting", "gauge", "instances that have asked this node to send no requests for a while";
+    Held = "held", "gauge", "fingerprints of requests that are quarantined from all instances";
+    Sharers = "sharers", "gauge", "nodes that share the slack of the retry budget, including this one";
 }
 
-/// The beginning of every metric's name.
+/// Prefix of every metric's name.
 const PREFIX: &str = "workshold";
 
-/// A node's metrics.
+/// The metrics client, and the text format that it writes to.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
@@ -95,13 +95,13 @@
 }
 
 impl Metrics {
-    /// Counts one.
+    /// Increments a counter by one.
     pub fn count(&self, metric: Metric) {
         let counted = self.client.count(metric.name(), 1);
         debug_assert!(counted.is_ok(), "{metric:?}");
     }
 
-    /// Notes how long something took.
+    /// Records a duration in a histogram.
     pub fn time(&self, metric: Metric, took: Millis) {
         let noted = self.client.time(metric.name(), took.0);
         debug_assert!(noted.is_ok(), "{metric:?}");
@@ -112,7 +112,7 @@
         debug_assert!(noted.is_ok(), "{metric:?}");
     }
 
-    /// All figures as text, the gauges as they are now.
+    /// All metrics in the text format; gauges are sampled now.
     pub fn text(&self, node: &Node) -> Vec<u8> {
         let now = node.now();
         self.gauge(Metric::InFlight, node.in_flight() as u64);
@@ -130,7 +130,7 @@
     }
 }
 
-/// The text of `docs/METRICS-PLATFORM.md`.
+/// The text of `docs/METRICS-PLATFORM.md`: the metrics as a Markdown table.
 pub fn reference_page() -> String {
     let mut text = String::from(
         "# Metrics of a node on the platform\n\nServed as text at `/metrics` of the address for \
