--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -31,44 +31,52 @@
 pub const METRICS_PATH: &str = "/metrics";
 
 /// Handles a request of another node or an operator.
-pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
+pub fn handle(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     match req.uri().path() {
         gossip::CONFIG_PATH => match node.config_bytes() {
-            Some(bytes) => Response::new(responses::whole(bytes)),
-            None => responses::own(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet"),
+            Some(bytes) => Response::new(responses::full_body(bytes)),
+            None => responses::plain_text(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet"),
         },
-        gossip::LIST_PATH => list(node, req.uri().query().unwrap_or_default()),
+        gossip::LIST_PATH => list_records(node, req.uri().query().unwrap_or_default()),
         path if path.starts_with(QUARANTINE_PATH) => release(node, req.method(), path),
-        METRICS_PATH => Response::new(responses::whole(node.metrics.text(node).into())),
-        STATE_PATH => Response::new(responses::whole(state(node).into())),
-        _ => responses::own(StatusCode::NOT_FOUND, "no such question"),
+        METRICS_PATH => Response::new(responses::full_body(node.metrics.text(node).into())),
+        STATE_PATH => Response::new(responses::full_body(state(node).into())),
+        _ => responses::plain_text(StatusCode::NOT_FOUND, "no such question"),
     }
 }
 
+/// Releases the quarantined request whose fingerprint ends the path.
 fn release(node: &Node, method: &Method, path: &str) -> Response<ResponseBody> {
     if method != Method::DELETE {
-        return responses::own(StatusCode::METHOD_NOT_ALLOWED, "DELETE lets a request go");
+        return responses::plain_text(StatusCode::METHOD_NOT_ALLOWED, "DELETE lets a request go");
     }
     let name = path.strip_prefix(QUARANTINE_PATH).unwrap_or_default();
     let Ok(fingerprint) = Fingerprint::parse(name) else {
-        return responses::own(StatusCode::BAD_REQUEST, "a fingerprint is a number in base 16");
+        return responses::plain_text(
+            StatusCode::BAD_REQUEST,
+            "a fingerprint is a number in base 16",
+        );
     };
     if !node.release(fingerprint) {
-        return responses::own(StatusCode::NOT_FOUND, "nothing is held against this fingerprint");
+        return responses::plain_text(
+            StatusCode::NOT_FOUND,
+            "nothing is held against this fingerprint",
+        );
     }
     emit(Event::RequestReleased, &[("fingerprint", name)]);
-    responses::own(StatusCode::OK, "it is let go, here and soon at all nodes")
+    responses::plain_text(StatusCode::OK, "it is let go, here and soon at all nodes")
 }
 
-fn list(node: &Node, query: &str) -> Response<ResponseBody> {
-    let from = query.strip_prefix("from=").and_then(place).unwrap_or_default();
+/// The list records from position `from=ERA.OFFSET` of the query on, for a node that lacks them.
+fn list_records(node: &Node, query: &str) -> Response<ResponseBody> {
+    let from = query.strip_prefix("from=").and_then(parse_position).unwrap_or_default();
     let records = store_sync::news(node, from);
-    let bytes = postcard::to_stdvec(&records).expect("records have only plain fields");
-    Response::new(responses::whole(Bytes::from(bytes)))
+    let bytes = postcard::to_stdvec(&records).expect("list records always serialize");
+    Response::new(responses::full_body(Bytes::from(bytes)))
 }
 
 /// Parses a log position as another node writes it: `ERA.OFFSET`.
-fn place(text: &str) -> Option<LogPosition> {
+fn parse_position(text: &str) -> Option<LogPosition> {
     let (era, offset) = text.split_once('.')?;
     Some(LogPosition { era: Era(era.parse().ok()?), offset: offset.parse().ok()? })
 }
@@ -83,15 +91,15 @@
         .roster
         .iter()
         .map(|entry| {
-            let own = entry.instance.membership.as_ref();
+            let membership = entry.instance.membership.as_ref();
             json!({
                 "id": entry.instance.identity.as_str(),
                 "is_leaving": entry.is_leaving(),
                 "limit_per_s": instance_limits.limit(&entry.instance.identity).map(Rate::as_per_s),
                 "rests_ms": instance_limits.backoff_left(&entry.instance.identity, now).0,
                 "is_listed": entry.unlisted_since.is_none(),
-                "group": own.map(|own| own.group.as_str().to_owned()),
-                "state": own.map(|own| format!("{:?}", own.state)),
+                "group": membership.map(|member| member.group.as_str().to_owned()),
+                "state": membership.map(|member| format!("{:?}", member.state)),
                 "requests": node.loads.of(&entry.instance.identity).requests,
                 "unread_tokens": node.loads.of(&entry.instance.identity).unread,
                 "usual_gap_ms": node.gaps.lock().mean_ms(&entry.instance.identity),
--- a/crates/workshold-gateway/src/callers/directory.rs
+++ b/crates/workshold-gateway/src/callers/directory.rs
@@ -18,20 +18,20 @@
 
 /// With fewer ready nodes than this in a caller's data centre, nodes of others are named as well,
 /// so that the loss of one does not leave the caller without any.
-const LEAST_NEAR: usize = 2;
+const NEAR_NODES_MIN: usize = 2;
 
 /// Handles a caller's request for the addresses to use.
-pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
+pub fn handle(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::RESOLVE_PATH {
-        return responses::own(StatusCode::NOT_FOUND, "no such question");
+        return responses::plain_text(StatusCode::NOT_FOUND, "no such question");
     }
     let question = Question::parse(req.uri().query().unwrap_or_default());
     let addresses = addresses(node, question.data_centre);
     if addresses.is_empty() {
-        return responses::own(StatusCode::SERVICE_UNAVAILABLE, "no node serves now");
+        return responses::plain_text(StatusCode::SERVICE_UNAVAILABLE, "no node serves now");
     }
-    let body: Bytes = face::addresses(&addresses, node.settings().addresses_good_s());
-    let mut res = Response::new(responses::whole(body));
+    let body: Bytes = face::addresses(&addresses, node.settings().address_ttl_s());
+    let mut res = Response::new(responses::full_body(body));
     res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     res
 }
@@ -41,8 +41,8 @@
     let settings = node.settings();
     let mut all = Vec::new();
     if node.readiness().is_ok() {
-        let own = settings.node.data_centre.as_str().to_owned();
-        all.push((own, settings.listen.callers.to_string()));
+        let own_data_centre = settings.node.data_centre.as_str().to_owned();
+        all.push((own_data_centre, settings.listen.callers.to_string()));
     }
     let peers = node.peers.lock();
     for (_, peer) in peers.heard(node.now()) {
@@ -51,16 +51,16 @@
         }
     }
     drop(peers);
-    let near = all.iter().filter(|(place, _)| Some(place.as_str()) == data_centre);
+    let near = all.iter().filter(|(location, _)| Some(location.as_str()) == data_centre);
     let near: Vec<String> = near.map(|(_, address)| address.clone()).collect();
-    let mut chosen = if near.len() >= LEAST_NEAR {
+    let mut chosen = if near.len() >= NEAR_NODES_MIN {
         near
     } else {
         all.into_iter().map(|(_, address)| address).collect()
     };
     // Each response starts at another node, or all callers would use the same ones first.
-    let turn = rand::rng().random_range(0..chosen.len().max(1));
-    chosen.rotate_left(turn);
+    let start = rand::rng().random_range(0..chosen.len().max(1));
+    chosen.rotate_left(start);
     chosen.truncate(face::MOST_ADDRESSES);
     chosen
 }
@@ -68,10 +68,10 @@
 /// Handles the platform's readiness check.
 pub fn readiness(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::READY_PATH {
-        return responses::own(StatusCode::NOT_FOUND, "no such question");
+        return responses::plain_text(StatusCode::NOT_FOUND, "no such question");
     }
     match node.readiness() {
-        Ok(()) => responses::own(StatusCode::OK, "it serves"),
-        Err(_) => responses::own(StatusCode::SERVICE_UNAVAILABLE, "it does not serve"),
+        Ok(()) => responses::plain_text(StatusCode::OK, "it serves"),
+        Err(_) => responses::plain_text(StatusCode::SERVICE_UNAVAILABLE, "it does not serve"),
     }
 }
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -81,23 +81,23 @@
 }
 
 /// Timeout of a request whose caller states none.
-const USUAL_TIME: Millis = Millis::from_secs(10);
+const DEFAULT_TIMEOUT: Millis = Millis::from_secs(10);
 /// `Retry-After` if this node lacks what it needs to route or authorize a request.
-const COME_BACK: Millis = Millis(400);
+const RETRY_AFTER_NOT_READY: Millis = Millis(400);
 /// `Retry-After` while this node is stopping: the caller can retry at another node at once.
-const COME_BACK_ELSEWHERE: Millis = Millis(20);
+const RETRY_AFTER_STOPPING: Millis = Millis(20);
 /// Urgency orders by the team's rank first, then the route's; each team rank spans this many route
 /// ranks.
-const ROUTE_RANKS: u8 = 3;
+const ROUTE_RANKS_PER_TEAM_RANK: u8 = 3;
 /// The lowest urgency that the header takes; 0 is the highest.
-const LEAST_URGENT: u8 = 9;
+const LOWEST_URGENCY: u8 = 9;
 
 /// Handles one request of a caller.
-pub async fn answer(node: Arc<Node>, req: Request<Incoming>) -> Response<ResponseBody> {
+pub async fn handle(node: Arc<Node>, req: Request<Incoming>) -> Response<ResponseBody> {
     let guard = node.begin_request();
     node.note_traffic();
-    let mut res = match prepare(&node, req).await {
-        Ok(job) => proxy::run(&node, job, guard).await,
+    let mut res = match admit(&node, req).await {
+        Ok(request) => proxy::run(&node, request, guard).await,
         Err(res) => *res,
     };
     if node.is_closing() {
@@ -106,7 +106,8 @@
     res
 }
 
-async fn prepare(
+/// Routes, authorizes and reads a request; the error is the response that refuses it.
+async fn admit(
     node: &Node,
     req: Request<Incoming>,
 ) -> Result<AdmittedRequest, Box<Response<ResponseBody>>> {
@@ -115,8 +116,8 @@
     let serving_config = node.serving_config();
     let serving_config =
         serving_config.ok_or_else(|| refuse("this node has no configuration yet"))?;
-    let id = text(&parts.headers, &names::REQUEST_ID).unwrap_or_default();
-    let host = text(&parts.headers, &header::HOST);
+    let id = header_text(&parts.headers, &names::REQUEST_ID).unwrap_or_default();
+    let host = header_text(&parts.headers, &header::HOST);
     let host = host.or_else(|| parts.uri.authority().map(|host| SmolStr::new(host.as_str())));
     let path = parts.uri.path();
     let route = host.as_deref().and_then(|host| serving_config.route(host, path));
@@ -125,21 +126,22 @@
         return Err(refuse_stopping(&id));
     }
     let team = authorize(node, &serving_config, route, &parts.headers, &id)?;
-    let time = time_of(&parts.headers).min(route.timeout);
-    let body = read_body(incoming, &serving_config, time).await.map_err(Box::new)?;
+    let timeout = timeout_of(&parts.headers).min(route.timeout);
+    let body = read_body(incoming, &serving_config, timeout).await.map_err(Box::new)?;
     let draw = xxh3_64(id.as_bytes());
     let service = route.target(draw);
     let service = service.ok_or_else(|| refuse("the route has no service"))?.clone();
     let mut headers = parts.headers;
-    let model = text(&headers, &names::MODEL);
+    let model = header_text(&headers, &names::MODEL);
     let prompt_tokens = prompt_tokens(&headers);
-    let last_event_id = text(&headers, &names::LAST_EVENT).and_then(|text| text.parse().ok());
+    let last_event_id =
+        header_text(&headers, &names::LAST_EVENT).and_then(|text| text.parse().ok());
     let rank = team.as_ref().map_or(0, |(_, rank)| *rank);
     let path = parts.uri.path_and_query().map_or(path, |path| path.as_str());
     let caller = team.as_ref().map(|(name, _)| name.as_str());
     let fingerprint = Fingerprint::of(caller, path, &body);
     let caller = quarantine::name_hash(caller.unwrap_or_default());
-    set_headers(&mut headers, team.map(|(name, _)| name), urgency(rank, route.priority));
+    set_upstream_headers(&mut headers, team.map(|(name, _)| name), urgency(rank, route.priority));
     Ok(AdmittedRequest {
         id,
         route: Arc::clone(route),
@@ -154,25 +156,27 @@
         prompt_tokens,
         last_event_id,
         received_at,
-        deadline: received_at + time,
+        deadline: received_at + timeout,
     })
 }
 
+/// Refuses a request with a `Retry-After`, because this node cannot judge it now.
 fn refuse(text: &'static str) -> Box<Response<ResponseBody>> {
-    Box::new(responses::not_run(text, COME_BACK))
+    Box::new(responses::not_run(text, RETRY_AFTER_NOT_READY))
 }
 
 /// Refuses a request because this node is stopping. Others serve, so the caller need not wait.
 fn refuse_stopping(id: &str) -> Box<Response<ResponseBody>> {
     let why = "this node is stopping";
     emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
-    Box::new(responses::not_run(why, COME_BACK_ELSEWHERE))
+    Box::new(responses::not_run(why, RETRY_AFTER_STOPPING))
 }
 
+/// Rejects a request for a reason that a retry does not change.
 fn deny(id: &str, status: StatusCode, text: &'static str) -> Box<Response<ResponseBody>> {
     let fields = [("request", id), ("why", text), ("status", status.as_str())];
     emit(Event::RequestNotRun, &fields);
-    Box::new(responses::own(status, text))
+    Box::new(responses::plain_text(status, text))
 }
 
 /// The name of a team and its rank; 0 goes first.
@@ -191,7 +195,7 @@
         emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
         return Err(refuse(why));
     }
-    let key = text(headers, &names::KEY);
+    let key = header_text(headers, &names::KEY);
     match serving_config.caller(route, key.as_deref()) {
         Caller::Anonymous => Ok(None),
         Caller::Team(team) => Ok(Some((SmolStr::new(team.name.as_str()), team.priority))),
@@ -199,52 +203,57 @@
     }
 }
 
+/// The urgency for the upstream, 0 to [`LOWEST_URGENCY`], from the ranks of team and route.
 fn urgency(team: u8, route: u8) -> u8 {
-    let route = route.min(ROUTE_RANKS - 1);
-    team.saturating_mul(ROUTE_RANKS).saturating_add(route).min(LEAST_URGENT)
+    let route = route.min(ROUTE_RANKS_PER_TEAM_RANK - 1);
+    team.saturating_mul(ROUTE_RANKS_PER_TEAM_RANK).saturating_add(route).min(LOWEST_URGENCY)
 }
 
-fn time_of(headers: &HeaderMap) -> Millis {
-    let time = text(headers, &names::TIME_LEFT).and_then(|text| text.parse::<f64>().ok());
-    time.map_or(USUAL_TIME, |ms| Millis(ms.max(0.0) as u64))
+/// How long the caller waits, as it states in milliseconds, or [`DEFAULT_TIMEOUT`].
+fn timeout_of(headers: &HeaderMap) -> Millis {
+    let timeout = header_text(headers, &names::TIME_LEFT).and_then(|text| text.parse::<f64>().ok());
+    timeout.map_or(DEFAULT_TIMEOUT, |ms| Millis(ms.max(0.0) as u64))
 }
 
 /// The prompt's count of tokens, which is the first of the two that the caller states.
 fn prompt_tokens(headers: &HeaderMap) -> f64 {
-    let counts = text(headers, &names::TOKEN_COUNTS);
+    let counts = header_text(headers, &names::TOKEN_COUNTS);
     let prompt = counts.as_deref().and_then(|counts| counts.split(',').next());
     prompt.and_then(|prompt| prompt.trim().parse().ok()).unwrap_or(0.0)
 }
 
-fn text(headers: &HeaderMap, name: &HeaderName) -> Option<SmolStr> {
+/// The value of a header, if it is there and is visible ASCII.
+fn header_text(headers: &HeaderMap, name: &HeaderName) -> Option<SmolStr> {
     headers.get(name).and_then(|value| value.to_str().ok()).map(SmolStr::new)
 }
 
+/// Reads the body within the limits of the configuration; the error is the response that refuses
+/// it.
 async fn read_body(
     incoming: Incoming,
     serving_config: &ServingConfig,
-    time: Millis,
+    timeout: Millis,
 ) -> Result<Bytes, Response<ResponseBody>> {
-    let within = time.min(serving_config.limits.idle_time).to_duration();
+    let within = timeout.min(serving_config.limits.idle_time).to_duration();
     // A body whose stated length is too long is refused before it is read.
     if incoming.size_hint().lower() > serving_config.limits.body_len as u64 {
-        return Err(responses::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
+        return Err(responses::plain_text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
     body::read(incoming, serving_config.limits.body_len, within).await.map_err(|err| match err {
         BodyError::TooLarge(_) => {
-            responses::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
+            responses::plain_text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
         }
         BodyError::TooSlow(_) => {
-            responses::own(StatusCode::REQUEST_TIMEOUT, "the body did not come")
+            responses::plain_text(StatusCode::REQUEST_TIMEOUT, "the body did not come")
         }
-        BodyError::Broken => responses::own(StatusCode::BAD_REQUEST, "the body broke off"),
+        BodyError::Broken => responses::plain_text(StatusCode::BAD_REQUEST, "the body broke off"),
     })
 }
 
 /// Turns the caller's headers into those for the upstream: removes hop-by-hop headers and those
 /// that only the node may set, and adds the team and urgency.
-fn set_headers(headers: &mut HeaderMap, team: Option<SmolStr>, urgency: u8) {
-    responses::strip(headers);
+fn set_upstream_headers(headers: &mut HeaderMap, team: Option<SmolStr>, urgency: u8) {
+    responses::remove_hop_by_hop(headers);
     headers.remove(header::EXPECT);
     headers.remove(names::KEY);
     headers.remove(names::TEAM);
--- a/crates/workshold-gateway/src/callers/responses.rs
+++ b/crates/workshold-gateway/src/callers/responses.rs
@@ -15,27 +15,27 @@
 
 /// The body of a response. An error breaks the caller's connection, so that a truncated response
 /// never looks complete.
-pub type ResponseBody = UnsyncBoxBody<Bytes, Cut>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, BodyCut>;
 
 /// Why the body of a response is truncated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Cut {
+pub enum BodyCut {
     /// the upstream's response broke off
     Broken,
     /// the request's deadline passed
-    TimeUp,
+    DeadlinePassed,
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for BodyCut {}
 
 /// A body whose bytes are all there.
-pub fn whole(bytes: Bytes) -> ResponseBody {
+pub fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// A plain-text response that this node itself gives.
-pub fn own(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
-    let mut res = Response::new(whole(Bytes::from_static(text.as_bytes())));
+pub fn plain_text(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut res = Response::new(full_body(Bytes::from_static(text.as_bytes())));
     *res.status_mut() = status;
     res.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     res
@@ -44,7 +44,7 @@
 /// Refuses a request that has not run and will not; the caller may retry `after` that time, which
 /// goes into `Retry-After` as seconds with a fraction.
 pub fn not_run(text: &'static str, after: Millis) -> Response<ResponseBody> {
-    let mut res = own(StatusCode::SERVICE_UNAVAILABLE, text);
+    let mut res = plain_text(StatusCode::SERVICE_UNAVAILABLE, text);
     let secs = format!("{:.3}", after.as_secs_f64());
     let value = HeaderValue::from_str(&secs).expect("digits are a valid header value");
     res.headers_mut().insert(header::RETRY_AFTER, value);
@@ -52,7 +52,7 @@
 }
 
 /// Headers that belong to one connection (hop-by-hop), besides [`KEEP_ALIVE`].
-const OF_A_CONNECTION: [HeaderName; 8] = [
+const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -66,7 +66,7 @@
 
 /// Removes hop-by-hop headers: the usual ones and those that `Connection` names. `Content-Length`
 /// goes too, because it is set again from the body that is sent.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -74,7 +74,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&OF_A_CONNECTION).chain([&KEEP_ALIVE]) {
+    for name in named.iter().chain(&HOP_BY_HOP).chain([&KEEP_ALIVE]) {
         headers.remove(name);
     }
 }
--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -38,7 +38,7 @@
 use crate::tasks;
 
 /// Longest wait at exit for queued log lines to be written.
-pub const LOG_END_TIME: Duration = Duration::from_millis(300);
+pub const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Why a node did not start, or ended without a stop signal.
 #[derive(Debug, Display)]
@@ -51,7 +51,7 @@
         why: io::Error,
     },
     /// cannot open the UDP socket for gossip: {0}
-    Peers(io::Error),
+    GossipSocket(io::Error),
     /// a background task of the node ended unexpectedly
     TaskEnded,
 }
@@ -59,24 +59,24 @@
 impl std::error::Error for DaemonError {}
 
 /// Longest head of a request, in bytes.
-const HEAD_LEN: usize = 16 * 1024;
+const HEAD_LEN_MAX: usize = 16 * 1024;
 /// How long a connection may stay idle or take to send a request head. Longer than callers keep
 /// idle connections, so that the caller closes first.
-const REST_TIME: Duration = Duration::from_secs(16);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(16);
 /// Most concurrent connections to each of the directory, readiness and control servers.
-const SIDE_CONNECTIONS: usize = 512;
+const AUXILIARY_CONNECTIONS_MAX: usize = 512;
 /// Socket send buffer of one caller connection, in bytes: data sent but not yet read.
-const SEND_BUFFER: u32 = 64 * 1024;
+const SEND_BUFFER_LEN: u32 = 64 * 1024;
 /// How often the settings file is checked for changes.
-const SETTINGS_EVERY: Duration = Duration::from_secs(1);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Poll interval for the conditions that a stopping node waits for.
-const STOP_POLL: Duration = Duration::from_millis(25);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// A planned stop ends this long before the platform would kill the process.
-const STOP_LEAD: Millis = Millis(700);
+const STOP_LEAD_TIME: Millis = Millis(700);
 /// Time to flush responses that are complete, after the listener is closed.
-const FINISH_TIME: Duration = Duration::from_millis(250);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 /// Callers may keep using addresses for up to this many times their time to live.
-const ADDRESSES_KEPT: f64 = 3.0;
+const ADDRESS_REUSE_FACTOR: f64 = 3.0;
 
 /// Runs a node until one of `signals` stops it; `path` is the settings file to watch.
 ///
@@ -92,27 +92,27 @@
     let node = Arc::new(Node::new(settings, Box::new(SystemClock::default()), probes));
     let (stage, rx) = watch::channel(Stage::Running);
     let callers = start_servers(&node, &rx)?;
-    let socket = tasks::gossip::open(&node).await.map_err(DaemonError::Peers)?;
+    let socket = tasks::gossip::open(&node).await.map_err(DaemonError::GossipSocket)?;
     let socket = Arc::new(socket);
-    let mut parts = JoinSet::new();
-    parts.spawn(tasks::store_sync::config(Arc::clone(&node)));
-    parts.spawn(tasks::store_sync::list(Arc::clone(&node)));
-    parts.spawn(tasks::gossip::send_heartbeats(Arc::clone(&node), Arc::clone(&socket)));
-    parts.spawn(tasks::gossip::send_news(Arc::clone(&node), Arc::clone(&socket)));
-    parts.spawn(tasks::gossip::receive(Arc::clone(&node), Arc::clone(&socket)));
-    parts.spawn(tasks::gossip::catch_up(Arc::clone(&node)));
-    parts.spawn(tasks::probing::run(Arc::clone(&node), socket, probes_rx));
-    parts.spawn(tasks::probing::retry_probes(Arc::clone(&node)));
-    parts.spawn(tasks::leasing::discover_peers(Arc::clone(&node)));
-    parts.spawn(tasks::stewarding::run(Arc::clone(&node)));
-    parts.spawn(tasks::quarantine_store::run(Arc::clone(&node)));
-    parts.spawn(tasks::upkeep::run(Arc::clone(&node)));
-    parts.spawn(watch_settings(Arc::clone(&node), path.clone()));
+    let mut background_tasks = JoinSet::new();
+    background_tasks.spawn(tasks::store_sync::config(Arc::clone(&node)));
+    background_tasks.spawn(tasks::store_sync::list(Arc::clone(&node)));
+    background_tasks.spawn(tasks::gossip::send_heartbeats(Arc::clone(&node), Arc::clone(&socket)));
+    background_tasks.spawn(tasks::gossip::send_news(Arc::clone(&node), Arc::clone(&socket)));
+    background_tasks.spawn(tasks::gossip::receive(Arc::clone(&node), Arc::clone(&socket)));
+    background_tasks.spawn(tasks::gossip::catch_up(Arc::clone(&node)));
+    background_tasks.spawn(tasks::probing::run(Arc::clone(&node), socket, probes_rx));
+    background_tasks.spawn(tasks::probing::retry_probes(Arc::clone(&node)));
+    background_tasks.spawn(tasks::leasing::discover_peers(Arc::clone(&node)));
+    background_tasks.spawn(tasks::stewarding::run(Arc::clone(&node)));
+    background_tasks.spawn(tasks::quarantine_store::run(Arc::clone(&node)));
+    background_tasks.spawn(tasks::upkeep::run(Arc::clone(&node)));
+    background_tasks.spawn(watch_settings(Arc::clone(&node), path.clone()));
     let lease = tokio::spawn(tasks::leasing::hold_lease(Arc::clone(&node)));
     emit(Event::Started, &[("callers", &node.settings().listen.callers.to_string())]);
     loop {
         tokio::select! {
-            _ = parts.join_next() => return Err(DaemonError::TaskEnded),
+            _ = background_tasks.join_next() => return Err(DaemonError::TaskEnded),
             wanted = signals.next() => match wanted {
                 Wanted::Settings => reload(&node, &path),
                 Wanted::Dump => print_state(&node),
@@ -126,11 +126,14 @@
     Ok(())
 }
 
+/// Prints the node's state as JSON, on SIGUSR1.
 #[expect(clippy::print_stdout, reason = "the operator reads the dump on stdout")]
 fn print_state(node: &Node) {
     println!("{}", control::state(node));
 }
 
+/// Starts the server for callers and the auxiliary servers. Returns the task of the first, which
+/// ends with the count of connections that it cut.
 fn start_servers(
     node: &Arc<Node>,
     stage: &watch::Receiver<Stage>,
@@ -138,36 +141,41 @@
     let settings = node.settings();
     let bounds = Bounds {
         connections: settings.caller_connections(),
-        head_len: HEAD_LEN,
-        head_time: REST_TIME,
+        head_len: HEAD_LEN_MAX,
+        head_time: IDLE_TIMEOUT,
         ..Bounds::default()
     };
     let listener = bind(settings.listen.callers)?;
-    let for_callers = Arc::clone(node);
+    let handler_node = Arc::clone(node);
     let service = service_fn(move |req: Request<Incoming>| {
-        infallible(requests::answer(Arc::clone(&for_callers), req))
+        infallible(requests::handle(Arc::clone(&handler_node), req))
     });
     let callers = tokio::spawn(server::serve(listener, bounds, service, stage.clone()));
-    serve_side(node, settings.listen.directory, stage, directory::answer)?;
-    serve_side(node, settings.listen.readiness, stage, directory::readiness)?;
-    serve_side(node, settings.control(), stage, control::answer)?;
+    serve_auxiliary(node, settings.listen.directory, stage, directory::handle)?;
+    serve_auxiliary(node, settings.listen.readiness, stage, directory::readiness)?;
+    serve_auxiliary(node, settings.control(), stage, control::handle)?;
     Ok(callers)
 }
 
-type SideAnswer = fn(&Node, &Request<Incoming>) -> Response<ResponseBody>;
+/// Handles a request to the directory, readiness or control server.
+type AuxiliaryHandler = fn(&Node, &Request<Incoming>) -> Response<ResponseBody>;
 
-fn serve_side(
+/// Starts a server with its own limit of connections, so that callers cannot use them up.
+fn serve_auxiliary(
     node: &Arc<Node>,
     address: SocketAddr,
     stage: &watch::Receiver<Stage>,
-    answer: SideAnswer,
+    handler: AuxiliaryHandler,
 ) -> Result<(), DaemonError> {
-    let bounds =
-        Bounds { connections: SIDE_CONNECTIONS, head_time: REST_TIME, ..Bounds::default() };
+    let bounds = Bounds {
+        connections: AUXILIARY_CONNECTIONS_MAX,
+        head_time: IDLE_TIMEOUT,
+        ..Bounds::default()
+    };
     let listener = bind(address)?;
     let node = Arc::clone(node);
     let service = service_fn(move |req: Request<Incoming>| {
-        let res = answer(&node, &req);
+        let res = handler(&node, &req);
         infallible(async move { res })
     });
     tokio::spawn(server::serve(listener, bounds, service, stage.clone()));
@@ -175,7 +183,7 @@
 }
 
 fn bind(address: SocketAddr) -> Result<TcpListener, DaemonError> {
-    server::bind(address, SEND_BUFFER).map_err(|why| DaemonError::Listen { address, why })
+    server::bind(address, SEND_BUFFER_LEN).map_err(|why| DaemonError::Listen { address, why })
 }
 
 /// Reloads the settings when the file's modification time changes, for edits without a SIGHUP.
@@ -183,7 +191,7 @@
     let modified = |path: &Path| std::fs::metadata(path).and_then(|meta| meta.modified()).ok();
     let mut last = modified(&path);
     loop {
-        tokio::time::sleep(SETTINGS_EVERY).await;
+        tokio::time::sleep(SETTINGS_POLL_INTERVAL).await;
         let now = modified(&path);
         if now != last {
             last = now;
@@ -192,6 +200,7 @@
     }
 }
 
+/// Loads the settings and puts them in force if they changed and are valid.
 fn reload(node: &Node, path: &Path) {
     match settings::load(path) {
         Ok(settings) if settings == *node.settings() => {}
@@ -210,26 +219,27 @@
     node.leave();
     emit(Event::Leaving, &[]);
     let settings = node.settings();
-    let began = node.now();
+    let stop_began = node.now();
     let grace = Millis((settings.bounds.stop_within_s * 1000.0) as u64);
-    let ends = began + grace.since(STOP_LEAD);
-    let kept = Millis((settings.addresses_good_s() * ADDRESSES_KEPT * 1000.0) as u64);
-    let forgotten = (began + kept).min(ends);
-    let half = began + Millis(kept.0 / 2);
-    wait_until(node, half.min(ends)).await;
+    let deadline = stop_began + grace.since(STOP_LEAD_TIME);
+    let address_lifetime =
+        Millis((settings.address_ttl_s() * ADDRESS_REUSE_FACTOR * 1000.0) as u64);
+    let unused_from = (stop_began + address_lifetime).min(deadline);
+    let close_at = stop_began + Millis(address_lifetime.0 / 2);
+    wait_until(node, close_at.min(deadline)).await;
     node.close();
-    wait_until(node, forgotten).await;
+    wait_until(node, unused_from).await;
     node.refuse_requests();
-    while node.in_flight() > 0 && node.now() < ends {
-        tokio::time::sleep(STOP_POLL).await;
+    while node.in_flight() > 0 && node.now() < deadline {
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     stage.send_replace(Stage::Finishing);
     // The platform would kill whatever takes longer.
-    let _ = tokio::time::timeout(FINISH_TIME, callers).await;
+    let _ = tokio::time::timeout(FLUSH_TIMEOUT, callers).await;
 }
 
 async fn wait_until(node: &Node, time: Millis) {
     while node.now() < time {
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
--- a/crates/workshold-gateway/src/loads.rs
+++ b/crates/workshold-gateway/src/loads.rs
@@ -33,7 +33,7 @@
 }
 
 impl Load {
-    fn and(self, other: Self) -> Self {
+    fn plus(self, other: Self) -> Self {
         Self { requests: self.requests + other.requests, unread: self.unread + other.unread }
     }
 
@@ -47,18 +47,18 @@
 
     /// Adds the load that another node reports for the same instance.
     pub fn add(&mut self, other: Self) {
-        *self = self.and(other);
+        *self = self.plus(other);
     }
 }
 
 /// This node's load at one instance.
 #[derive(Debug, Default)]
-struct Own {
+struct OwnLoad {
     requests: AtomicU32,
     unread: AtomicU32,
 }
 
-impl Own {
+impl OwnLoad {
     fn load(&self) -> Load {
         Load {
             requests: self.requests.load(Ordering::Relaxed),
@@ -70,7 +70,7 @@
 /// Loads by instance.
 #[derive(Debug, Default)]
 pub struct Loads {
-    own: Mutex<HashMap<Identity, Arc<Own>>>,
+    own: Mutex<HashMap<Identity, Arc<OwnLoad>>>,
     /// Sums of the peers' loads by [`instance_hash`], and when they were computed.
     others: Mutex<(HashMap<u32, Load>, Millis)>,
 }
@@ -78,20 +78,20 @@
 /// Counts one request at an instance until it is dropped.
 #[derive(Debug)]
 pub struct InFlight {
-    own: Arc<Own>,
+    own: Arc<OwnLoad>,
     unread: u32,
 }
 
 impl InFlight {
     /// The first event has come, so the prompt is processed: its tokens no longer count.
-    pub fn on_read(&mut self) {
+    pub fn on_first_event(&mut self) {
         self.own.unread.fetch_sub(std::mem::take(&mut self.unread), Ordering::Relaxed);
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.on_read();
+        self.on_first_event();
         self.own.requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
@@ -113,7 +113,7 @@
     /// The load of all nodes at `id`, as far as known.
     pub fn of(&self, id: &Identity) -> Load {
         let others = self.others.lock().0.get(&instance_hash(id)).copied().unwrap_or_default();
-        self.own(id).and(others)
+        self.own(id).plus(others)
     }
 
     /// This node's load at every instance where it has requests in flight.
--- a/crates/workshold-gateway/src/metrics.rs
+++ b/crates/workshold-gateway/src/metrics.rs
@@ -107,6 +107,7 @@
         debug_assert!(noted.is_ok(), "{metric:?}");
     }
 
+    /// Sets a gauge.
     fn gauge(&self, metric: Metric, value: u64) {
         let noted = self.client.gauge(metric.name(), value);
         debug_assert!(noted.is_ok(), "{metric:?}");
--- a/crates/workshold-gateway/src/proxy.rs
+++ b/crates/workshold-gateway/src/proxy.rs
@@ -38,98 +38,103 @@
 use crate::node::Node;
 use crate::node::ProbeTask;
 use crate::node::RequestGuard;
+use crate::proxy::attempt::AttemptResponse;
 use crate::proxy::attempt::Failure;
-use crate::proxy::attempt::HELD;
-use crate::proxy::attempt::Opened;
+use crate::proxy::attempt::QUARANTINED;
 use crate::proxy::attempts::Attempt;
 use crate::proxy::attempts::AttemptEvent;
 use crate::proxy::attempts::Attempts;
-use crate::proxy::stream::StreamRelay;
-use crate::proxy::wait::LOOK_AGAIN;
-use crate::proxy::wait::Patience;
+use crate::proxy::stream::ProxiedStream;
+use crate::proxy::wait::REPROBE_INTERVAL;
+use crate::proxy::wait::WaitLimits;
 use crate::routing_table::Target;
 use crate::tasks::probing;
 
 /// No attempt starts with less time than this left before the deadline.
-pub const LEAST_TIME: Millis = Millis(25);
+pub const MIN_TIME_LEFT: Millis = Millis(25);
 /// Requests that may queue at a full group: one slot becomes free within a fraction of the
 /// latency goal, several do not.
-const MAY_WAIT: u32 = 2;
+const QUEUED_MAX: u32 = 2;
 /// A request waits for a target to become available for its latency goal divided by this.
-const WAIT_PART: u64 = 6;
+const TARGET_WAIT_DIVISOR: u64 = 6;
 /// Poll interval while a request waits for a target.
-const WAIT_STEP: Millis = Millis(15);
+const TARGET_POLL_INTERVAL: Millis = Millis(15);
 /// `Retry-After` if nothing serves the model.
-const COME_BACK_NONE: Millis = Millis(500);
+const RETRY_AFTER_NO_TARGET: Millis = Millis(500);
 /// Longest `Retry-After` of quarantined requests: callers do not wait longer.
-const COME_BACK_HELD: Millis = Millis::from_secs(60);
+const RETRY_AFTER_QUARANTINED_MAX: Millis = Millis::from_secs(60);
 /// Logged reason of a refusal when every instance has asked for no requests now.
 const ALL_WITHHELD: &str = "all instances that serve it have asked for no requests for now";
 /// Longest `Retry-After` while instances ask for no requests: callers do not wait longer.
-const COME_BACK_LONGEST: Millis = Millis::from_secs(60);
-/// `Retry-After` if upstreams were tried and refused because they are full.
-const COME_BACK_FULL: Millis = Millis(150);
+const RETRY_AFTER_WITHHELD_MAX: Millis = Millis::from_secs(60);
+/// `Retry-After` if instances were attempted but none took the request, such as full ones.
+const RETRY_AFTER_FULL: Millis = Millis(150);
 
 /// The state of a request on its way through its attempts.
-pub struct Course {
+pub struct RequestProgress {
     /// The request.
-    pub job: Arc<AdmittedRequest>,
+    pub request: Arc<AdmittedRequest>,
     /// What its ended attempts have used up.
     pub used: AttemptsUsed,
     /// Instances that it was attempted at.
     pub tried: Vec<Identity>,
     /// Why the latest attempt ended, for logs.
-    pub why: &'static str,
+    pub reason: &'static str,
     /// Requests that were in flight at its first target when it was chosen.
-    pub load: u32,
+    pub first_target_load: u32,
     /// Suspicion of an instance is not reported before this: the last report had no consequence.
-    held_until: Millis,
+    no_suspicion_before: Millis,
     /// When an instance that has asked for no requests takes one again.
-    free_at: Option<Millis>,
+    available_at: Option<Millis>,
 }
 
-impl Course {
-    fn new(job: AdmittedRequest) -> Self {
+impl RequestProgress {
+    fn new(request: AdmittedRequest) -> Self {
         let used = AttemptsUsed { sent: 0, not_sent: 0, may_have_run: false };
         Self {
-            job: Arc::new(job),
+            request: Arc::new(request),
             used,
             tried: Vec::new(),
-            why: "no instance that serves it has a free slot",
-            load: 0,
-            held_until: Millis::ZERO,
-            free_at: None,
+            reason: "no instance that serves it has a free slot",
+            first_target_load: 0,
+            no_suspicion_before: Millis::ZERO,
+            available_at: None,
         }
     }
 
     /// Whether nothing was attempted yet. A request that has already run in part may continue
     /// even at an instance that is full.
     fn is_new(&self) -> bool {
-        self.tried.is_empty() && self.job.last_event_id.is_none()
+        self.tried.is_empty() && self.request.last_event_id.is_none()
     }
 
     /// How long to wait for the newest of `under_way` attempts, whose instance last sent something
-    /// at `since`. `after` holds the silence after which the instance is probed, and the silence
-    /// that makes it suspect even if it answers probes.
-    pub fn patience(&self, since: Millis, after: (Millis, Millis), under_way: u32) -> Patience {
-        let may_begin = retry_policy::may_hedge(&self.job.route, self.used, under_way);
-        Patience {
-            since,
-            probe_after: self.job.route.is_repeatable().then_some(after.0),
+    /// at `last_data_at`. `after` holds the silence after which the instance is probed, and the
+    /// silence that makes it suspect even if it answers probes.
+    pub fn wait_limits(
+        &self,
+        last_data_at: Millis,
+        after: (Millis, Millis),
+        under_way: u32,
+    ) -> WaitLimits {
+        let may_begin = retry_policy::may_hedge(&self.request.route, self.used, under_way);
+        WaitLimits {
+            last_data_at,
+            probe_after: self.request.route.is_repeatable().then_some(after.0),
             failover_after: may_begin.then_some(after.1),
-            held_until: self.held_until,
-            deadline: self.job.deadline,
-            waiting: None,
+            no_suspicion_before: self.no_suspicion_before,
+            deadline: self.request.deadline,
+            queued_fingerprint: None,
         }
     }
 
     /// Time left before the deadline.
     pub fn left(&self, node: &Node) -> Millis {
-        self.job.left(node.now())
+        self.request.left(node.now())
     }
 
     /// Starts an attempt at `target`; a stream continues after event `last`.
-    pub fn begin(
+    pub fn start_attempt(
         &mut self,
         node: &Arc<Node>,
         attempts: &mut Attempts,
@@ -137,54 +142,56 @@
         last: Option<u64>,
     ) {
         self.tried.push(target.id.clone());
-        attempts.push(Attempt::begin(node, &self.job, target, last));
+        attempts.push(Attempt::start(node, &self.request, target, last));
     }
 
-    /// Starts an attempt concurrent with those under way (a hedge), if there is a target with a
-    /// free slot and retry budget for it. Otherwise nothing changes, and the suspicion is
-    /// reported again after [`LOOK_AGAIN`].
-    pub fn begin_beside(
+    /// Starts a hedge, which is an attempt concurrent with those under way, if there is a target
+    /// with a free slot and retry budget for it. Otherwise nothing changes, and the suspicion is
+    /// reported again after [`REPROBE_INTERVAL`].
+    pub fn start_hedge(
         &mut self,
         node: &Arc<Node>,
         attempts: &mut Attempts,
         last: Option<u64>,
-        why: &'static str,
+        reason: &'static str,
     ) {
         let now = node.now();
-        let doubted = attempts.newest().map(|newest| Arc::clone(&newest.target));
-        let place = pick(node, self);
-        let lacks = match &place {
-            _ if node.is_suspect(self.job.fingerprint) => "proof that it ends no instance",
+        let suspect = attempts.newest().map(|newest| Arc::clone(&newest.target));
+        let hedge_target = choose_target(node, self);
+        let lacks = match &hedge_target {
+            _ if node.is_suspect(self.request.fingerprint) => {
+                "evidence that it crashes no instance"
+            }
             Err(_) => "place",
-            Ok(_) if !node.take_retry(&self.job.service) => "budget",
+            Ok(_) if !node.take_retry(&self.request.service) => "budget",
             Ok(_) => "nothing",
         };
-        let suspected_member = doubted.as_ref().and_then(|target| node.suspected_member(target));
+        let suspected_member = suspect.as_ref().and_then(|target| node.suspected_member(target));
         emit(
             Event::AttemptInDoubt,
             &[
-                ("request", &self.job.id),
-                ("instance", doubted.as_ref().map_or("", |target| target.id.as_str())),
-                ("why", why),
+                ("request", &self.request.id),
+                ("instance", suspect.as_ref().map_or("", |target| target.id.as_str())),
+                ("why", reason),
                 ("in_doubt", &suspected_member.unwrap_or_default()),
                 ("lacks", lacks),
             ],
         );
-        match place.ok().filter(|_| lacks == "nothing") {
-            Some(target) => self.begin(node, attempts, target, last),
-            None => self.held_until = now + LOOK_AGAIN,
+        match hedge_target.ok().filter(|_| lacks == "nothing") {
+            Some(target) => self.start_attempt(node, attempts, target, last),
+            None => self.no_suspicion_before = now + REPROBE_INTERVAL,
         }
     }
 
     /// Records how an attempt ended while `others` are under way. An attempt that was never sent
     /// is no retry, so its retry token is returned.
-    fn note(&mut self, node: &Node, ending: AttemptEnd, why: &'static str, others: u32) {
-        self.why = why;
+    fn record_end(&mut self, node: &Node, ending: AttemptEnd, reason: &'static str, others: u32) {
+        self.reason = reason;
         match ending {
             AttemptEnd::NotSent | AttemptEnd::Withheld => {
                 self.used.not_sent += 1;
                 if self.used.sent + others > 0 {
-                    node.return_retry(&self.job.service);
+                    node.return_retry(&self.request.service);
                 }
             }
             AttemptEnd::Refused => self.used.sent += 1,
@@ -196,25 +203,25 @@
     }
 
     /// Records how an attempt ended while `others` continue.
-    pub fn ended_beside(
+    pub fn record_concurrent_failure(
         &mut self,
         node: &Node,
         target: &Target,
-        (ending, why): Failure,
+        (ending, reason): Failure,
         others: u32,
     ) {
-        self.note(node, ending, why, others);
+        self.record_end(node, ending, reason, others);
         self.log_failure(node, target, ending, "Beside", "nothing");
     }
 
     /// Probes whether the instance of a broken attempt has ended. If its end would quarantine the
     /// request, the probe completes before anything else happens; otherwise it runs in the
     /// background.
-    pub async fn look_into(&self, node: &Node, target: &Target, ending: AttemptEnd) {
+    pub async fn probe_after_break(&self, node: &Node, target: &Target, ending: AttemptEnd) {
         if ending != AttemptEnd::Broken {
             return;
         }
-        if node.note_connection_lost(&self.job, target) {
+        if node.note_connection_lost(&self.request, target) {
             probing::probe_instance(node, &target.id, &target.address).await;
         } else if !node.was_probed_recently(&target.id) {
             node.note_group_probe(&target.id);
@@ -222,13 +229,14 @@
         }
     }
 
-    /// Returns the retry token that [`Self::after`] took, because no target is free.
-    pub fn give_up_repeat(&self, node: &Node) {
+    /// Returns the retry token that [`Self::next_step`] took, because no target is free.
+    pub fn return_unused_retry(&self, node: &Node) {
         if self.used.sent > 0 {
-            node.return_retry(&self.job.service);
+            node.return_retry(&self.request.service);
         }
     }
 
+    /// Logs a failed attempt: `next` is what follows, `lacks` what another attempt would need.
     fn log_failure(
         &self,
         node: &Node,
@@ -241,11 +249,11 @@
         emit(
             Event::AttemptFailed,
             &[
-                ("request", &self.job.id),
-                ("fingerprint", &self.job.fingerprint.to_string()),
+                ("request", &self.request.id),
+                ("fingerprint", &self.request.fingerprint.to_string()),
                 ("instance", target.id.as_str()),
                 ("ending", &format!("{ending:?}")),
-                ("why", self.why),
+                ("why", self.reason),
                 ("next", next),
                 ("sent", &self.used.sent.to_string()),
                 ("lacks", lacks),
@@ -256,25 +264,25 @@
 
     /// Records how the only attempt ended, and decides what follows. A retry takes a token from the
     /// retry budget.
-    pub fn after(
+    pub fn next_step(
         &mut self,
         node: &Node,
         target: &Target,
         ending: AttemptEnd,
-        why: &'static str,
+        reason: &'static str,
     ) -> NextStep {
-        self.note(node, ending, why, 0);
-        let has_time = self.left(node) > LEAST_TIME;
-        let is_held = node.quarantined_until(self.job.fingerprint).is_some();
-        let has_attempts = self.used.sent < self.job.route.attempts.max(1);
-        let may_go_on = has_time && !is_held;
+        self.record_end(node, ending, reason, 0);
+        let has_time = self.left(node) > MIN_TIME_LEFT;
+        let is_quarantined = node.quarantined_until(self.request.fingerprint).is_some();
+        let has_attempts = self.used.sent < self.request.route.attempts.max(1);
+        let may_continue = has_time && !is_quarantined;
         let next = |has_budget| {
-            retry_policy::next(&self.job.route, ending, self.used, has_budget, may_go_on)
+            retry_policy::next(&self.request.route, ending, self.used, has_budget, may_continue)
         };
-        let is_repeat = self.used.sent > 0 && next(true) == NextStep::Again;
-        let has_budget = !is_repeat || node.take_retry(&self.job.service);
+        let is_retry = self.used.sent > 0 && next(true) == NextStep::Again;
+        let has_budget = !is_retry || node.take_retry(&self.request.service);
         let lacks = match (has_time, has_attempts, has_budget) {
-            _ if is_held => HELD,
+            _ if is_quarantined => QUARANTINED,
             (false, ..) => "time",
             (_, false, _) => "attempts",
             (.., false) => "budget",
@@ -289,138 +297,159 @@
 /// Proxies one request, with retries, and returns the final response.
 pub async fn run(
     node: &Arc<Node>,
-    job: AdmittedRequest,
+    request: AdmittedRequest,
     guard: RequestGuard,
 ) -> Response<ResponseBody> {
     // A request that crashes instances comes back under new ids, at any node, so the quarantine is
     // looked up by its content, before the request is counted or sent.
-    if let Some(until) = node.quarantined_until(job.fingerprint) {
-        return refuse_held(node, &job, until);
+    if let Some(until) = node.quarantined_until(request.fingerprint) {
+        return refuse_quarantined(node, &request, until);
     }
-    node.count_request(&job.service);
+    node.count_request(&request.service);
     node.metrics.count(Metric::Requests);
-    note_demand(node, &job);
-    let last = job.last_event_id;
-    let mut course = Course::new(job);
+    record_demand(node, &request);
+    let last = request.last_event_id;
+    let mut progress = RequestProgress::new(request);
     let mut attempts = Attempts::default();
     loop {
         if attempts.is_empty() {
-            let target = match wait_for_target(node, &course).await {
+            let target = match wait_for_target(node, &progress).await {
                 Ok(target) => target,
-                Err(NoTarget { free_at }) => {
-                    course.free_at = free_at;
-                    course.why = free_at.map_or(course.why, |_| ALL_WITHHELD);
-                    course.give_up_repeat(node);
-                    let next =
-                        if course.used.may_have_run { NextStep::Unknown } else { NextStep::NotRun };
-                    return give_up(node, &course, next);
+                Err(NoTarget { available_at }) => {
+                    progress.available_at = available_at;
+                    progress.reason = available_at.map_or(progress.reason, |_| ALL_WITHHELD);
+                    progress.return_unused_retry(node);
+                    let next = if progress.used.may_have_run {
+                        NextStep::Unknown
+                    } else {
+                        NextStep::NotRun
+                    };
+                    return give_up(node, &progress, next);
                 }
             };
-            if let Some(until) = node.quarantined_until(course.job.fingerprint) {
-                course.give_up_repeat(node);
-                if course.used.may_have_run {
-                    return give_up(node, &course, NextStep::Unknown);
+            if let Some(until) = node.quarantined_until(progress.request.fingerprint) {
+                progress.return_unused_retry(node);
+                if progress.used.may_have_run {
+                    return give_up(node, &progress, NextStep::Unknown);
                 }
-                return refuse_held(node, &course.job, until);
+                return refuse_quarantined(node, &progress.request, until);
             }
-            if course.is_new() {
-                course.load = node.loads.of(&target.id).requests;
+            if progress.is_new() {
+                progress.first_target_load = node.loads.of(&target.id).requests;
             }
-            course.begin(node, &mut attempts, target, last);
+            progress.start_attempt(node, &mut attempts, target, last);
         }
-        let patience = opening_patience(node, &course, &mut attempts);
-        let (target, (ending, why), res) = match attempts.next(node, &course.job.id, patience).await
-        {
-            AttemptEvent::Opened(target, Opened::Whole(res))
-                if is_worth_repeating(&course, &res) =>
-            {
-                (
-                    target,
-                    (AttemptEnd::Failed, "the upstream answered with a server error"),
-                    Some(res),
-                )
-            }
-            AttemptEvent::Opened(target, Opened::Whole(res)) => {
-                attempts.drop_all(node, &course.job.id);
-                log_end(node, &course, &target, res.status());
-                return res;
-            }
-            AttemptEvent::Opened(_, Opened::Stream(begun)) => {
-                course.used.sent += attempts.drop_all(node, &course.job.id);
-                let (head, current) = *begun;
-                return StreamRelay::answer(Arc::clone(node), course, guard, head, current);
-            }
-            AttemptEvent::Failed(target, failure) => (target, failure, None),
-            AttemptEvent::Suspect(why) => {
-                course.begin_beside(node, &mut attempts, last, why);
-                continue;
-            }
-            // No attempt has a stream yet.
-            AttemptEvent::Events(_) => continue,
-        };
-        note_failure(node, &target, ending);
-        course.look_into(node, &target, ending).await;
+        let limits = opening_wait_limits(node, &progress, &mut attempts);
+        let (target, (ending, reason), res) =
+            match attempts.next(node, &progress.request.id, limits).await {
+                AttemptEvent::Responded(target, AttemptResponse::Complete(res))
+                    if is_retryable_failure(&progress, &res) =>
+                {
+                    (
+                        target,
+                        (AttemptEnd::Failed, "the upstream answered with a server error"),
+                        Some(res),
+                    )
+                }
+                AttemptEvent::Responded(target, AttemptResponse::Complete(res)) => {
+                    attempts.drop_all(node, &progress.request.id);
+                    finish_response(node, &progress, &target, res.status());
+                    return res;
+                }
+                AttemptEvent::Responded(_, AttemptResponse::Stream(started)) => {
+                    progress.used.sent += attempts.drop_all(node, &progress.request.id);
+                    let (head, event_stream) = *started;
+                    return ProxiedStream::response(
+                        Arc::clone(node),
+                        progress,
+                        guard,
+                        head,
+                        event_stream,
+                    );
+                }
+                AttemptEvent::Failed(target, failure) => (target, failure, None),
+                AttemptEvent::Suspected(reason) => {
+                    progress.start_hedge(node, &mut attempts, last, reason);
+                    continue;
+                }
+                // No attempt has a stream yet.
+                AttemptEvent::Events(_) => continue,
+            };
+        record_failure(node, &target, ending);
+        progress.probe_after_break(node, &target, ending).await;
         if !attempts.is_empty() {
-            course.ended_beside(node, &target, (ending, why), attempts.len());
+            progress.record_concurrent_failure(node, &target, (ending, reason), attempts.len());
             continue;
         }
-        match (course.after(node, &target, ending, why), res) {
+        match (progress.next_step(node, &target, ending, reason), res) {
             (NextStep::Again, _) => {}
             (NextStep::PassOn, Some(res)) => {
-                log_end(node, &course, &target, res.status());
+                finish_response(node, &progress, &target, res.status());
                 return res;
             }
-            (next, _) => return give_up(node, &course, next),
+            (next, _) => return give_up(node, &progress, next),
         }
     }
 }
 
 /// Counts a failure against an instance for outlier detection, unless the instance only stated
 /// how many requests it takes.
-pub fn note_failure(node: &Node, target: &Target, ending: AttemptEnd) {
+pub fn record_failure(node: &Node, target: &Target, ending: AttemptEnd) {
     let now = node.now();
-    let has_said = ending == AttemptEnd::Refused
+    let is_restricted = ending == AttemptEnd::Refused
         && node.instance_limits.lock().restricts_sending(&target.id, now);
-    if ending != AttemptEnd::Withheld && !has_said {
+    if ending != AttemptEnd::Withheld && !is_restricted {
         node.outliers.lock().on_failure(&target.id, now);
     }
 }
 
 /// How long to wait for the newest attempt while none has responded yet.
-fn opening_patience(node: &Node, course: &Course, attempts: &mut Attempts) -> Patience {
+fn opening_wait_limits(
+    node: &Node,
+    progress: &RequestProgress,
+    attempts: &mut Attempts,
+) -> WaitLimits {
     let under_way = attempts.len();
-    let newest = attempts.newest().expect("one was begun");
-    let mean_ms = node.gaps.lock().mean_ms(&newest.target.id).unwrap_or(newest.target.quiet_gap_ms);
-    let patience = course.patience(newest.since, first_patience(course, mean_ms), under_way);
-    Patience { waiting: Some(course.job.fingerprint), ..patience }
+    let newest = attempts.newest().expect("an attempt is under way");
+    let mean_ms =
+        node.gaps.lock().mean_ms(&newest.target.id).unwrap_or(newest.target.idle_event_gap_ms);
+    let limits = progress.wait_limits(
+        newest.last_data_at,
+        first_response_limits(progress, mean_ms),
+        under_way,
+    );
+    WaitLimits { queued_fingerprint: Some(progress.request.fingerprint), ..limits }
 }
 
 /// Counts the request towards its model's demand, whether it can be served or not.
-fn note_demand(node: &Node, job: &AdmittedRequest) {
-    if let Some(model) = &job.model {
-        node.demand.lock().on_request(model, asked(job), node.now());
+fn record_demand(node: &Node, request: &AdmittedRequest) {
+    if let Some(model) = &request.model {
+        node.demand.lock().on_request(model, request_cost(request), node.now());
     }
 }
 
-fn asked(job: &AdmittedRequest) -> RequestCost {
-    RequestCost { prompt_tokens: job.prompt_tokens, pause_goal: job.route.pause_goal }
+/// What the request adds to its model's demand.
+fn request_cost(request: &AdmittedRequest) -> RequestCost {
+    RequestCost { prompt_tokens: request.prompt_tokens, pause_goal: request.route.pause_goal }
 }
 
-fn is_worth_repeating(course: &Course, res: &Response<ResponseBody>) -> bool {
-    res.status().is_server_error() && course.job.route.is_repeatable()
+/// Whether the upstream failed (5xx) and the route allows the request to run again.
+fn is_retryable_failure(progress: &RequestProgress, res: &Response<ResponseBody>) -> bool {
+    res.status().is_server_error() && progress.request.route.is_repeatable()
 }
 
-fn log_end(node: &Node, course: &Course, target: &Target, status: StatusCode) {
-    let took = node.now().since(course.job.received_at);
+/// Records a complete response in metrics and logs, and its success in the quarantine.
+fn finish_response(node: &Node, progress: &RequestProgress, target: &Target, status: StatusCode) {
+    let took = node.now().since(progress.request.received_at);
     if status.is_success() {
-        node.note_finished(&course.job);
+        node.note_finished(&progress.request);
     }
     node.metrics.count(Metric::Answered);
     node.metrics.time(Metric::FirstEvent, took);
     emit(
         Event::RequestEnded,
         &[
-            ("request", &course.job.id),
+            ("request", &progress.request.id),
             ("instance", target.id.as_str()),
             ("status", status.as_str()),
             ("ms", &took.0.to_string()),
@@ -430,48 +459,57 @@
 
 /// Refuses a quarantined request. `Retry-After` is long, because a retry is refused as well until
 /// the quarantine ends or an operator releases the request.
-fn refuse_held(node: &Node, job: &AdmittedRequest, until: Millis) -> Response<ResponseBody> {
-    let after = until.since(node.now()).min(COME_BACK_HELD);
-    let fingerprint = job.fingerprint.to_string();
-    let fields = [("request", &*job.id), ("fingerprint", &*fingerprint), ("why", HELD)];
+fn refuse_quarantined(
+    node: &Node,
+    request: &AdmittedRequest,
+    until: Millis,
+) -> Response<ResponseBody> {
+    let after = until.since(node.now()).min(RETRY_AFTER_QUARANTINED_MAX);
+    let fingerprint = request.fingerprint.to_string();
+    let fields = [("request", &*request.id), ("fingerprint", &*fingerprint), ("why", QUARANTINED)];
     emit(Event::RequestNotRun, &fields);
     node.metrics.count(Metric::NotRun);
     node.metrics.count(Metric::RequestsHeld);
-    responses::not_run("it has not run; it ends whoever begins to run it", spread(after))
+    responses::not_run("it has not run; it ends whoever begins to run it", with_jitter(after))
 }
 
 /// The final response to a request that is given up.
-fn give_up(node: &Node, course: &Course, next: NextStep) -> Response<ResponseBody> {
-    let is_time_up = course.left(node) <= LEAST_TIME;
-    let took = node.now().since(course.job.received_at).0.to_string();
-    let sent = course.used.sent.to_string();
-    let fingerprint = course.job.fingerprint.to_string();
+fn give_up(node: &Node, progress: &RequestProgress, next: NextStep) -> Response<ResponseBody> {
+    let is_deadline_passed = progress.left(node) <= MIN_TIME_LEFT;
+    let took = node.now().since(progress.request.received_at).0.to_string();
+    let sent = progress.used.sent.to_string();
+    let fingerprint = progress.request.fingerprint.to_string();
     let fields = [
-        ("request", &*course.job.id),
+        ("request", &*progress.request.id),
         ("fingerprint", &*fingerprint),
-        ("why", course.why),
+        ("why", progress.reason),
         ("ms", &*took),
         ("sent", &*sent),
     ];
     if next == NextStep::NotRun {
         emit(Event::RequestNotRun, &fields);
         node.metrics.count(Metric::NotRun);
-        if let Some(model) = &course.job.model {
-            node.demand.lock().on_refusal(model, asked(&course.job), node.now());
+        if let Some(model) = &progress.request.model {
+            node.demand.lock().on_refusal(model, request_cost(&progress.request), node.now());
         }
-        let none = if course.tried.is_empty() { COME_BACK_NONE } else { COME_BACK_FULL };
-        let free_in = |at: Millis| at.since(node.now()).min(COME_BACK_LONGEST);
-        let after = course.free_at.map_or(Millis::ZERO, free_in);
-        return responses::not_run("it has not run; come back later", after + spread(none));
+        let retry_after =
+            if progress.tried.is_empty() { RETRY_AFTER_NO_TARGET } else { RETRY_AFTER_FULL };
+        let wait_for = |at: Millis| at.since(node.now()).min(RETRY_AFTER_WITHHELD_MAX);
+        let after = progress.available_at.map_or(Millis::ZERO, wait_for);
+        return responses::not_run(
+            "it has not run; come back later",
+            after + with_jitter(retry_after),
+        );
     }
     emit(Event::RequestUnknown, &fields);
     node.metrics.count(Metric::Unknown);
-    let status = if is_time_up { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-    responses::own(status, "nobody knows whether it has run")
+    let status =
+        if is_deadline_passed { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
+    responses::plain_text(status, "nobody knows whether it has run")
 }
 
 /// Adds jitter: one to two times `after`, so that callers do not all retry at the same time.
-fn spread(after: Millis) -> Millis {
+fn with_jitter(after: Millis) -> Millis {
     Millis(after.0 + rand::rng().random_range(0..=after.0))
 }
 
@@ -480,25 +518,26 @@
 pub struct NoTarget {
     /// When the first instance takes requests again, if all that serve the request have asked for
     /// none now.
-    pub free_at: Option<Millis>,
+    pub available_at: Option<Millis>,
 }
 
 /// Waits a little for a target: a moment without any is often shorter than the caller's round
 /// trip for a retry.
-async fn wait_for_target(node: &Node, course: &Course) -> Result<Arc<Target>, NoTarget> {
-    let patience = Millis(course.job.route.latency_goal.0 / WAIT_PART);
-    let until = node.now() + patience;
+async fn wait_for_target(node: &Node, progress: &RequestProgress) -> Result<Arc<Target>, NoTarget> {
+    let max_wait = Millis(progress.request.route.latency_goal.0 / TARGET_WAIT_DIVISOR);
+    let until = node.now() + max_wait;
     loop {
-        let none = match pick(node, course) {
+        let no_target = match choose_target(node, progress) {
             Ok(target) => return Ok(target),
-            Err(none) => none,
+            Err(no_target) => no_target,
         };
-        let is_late = none.free_at.is_some_and(|at| at > until);
-        let is_over = node.now() + WAIT_STEP > until || course.left(node) <= LEAST_TIME;
-        if is_late || is_over {
-            return Err(none);
+        let is_late = no_target.available_at.is_some_and(|at| at > until);
+        let is_timed_out =
+            node.now() + TARGET_POLL_INTERVAL > until || progress.left(node) <= MIN_TIME_LEFT;
+        if is_late || is_timed_out {
+            return Err(no_target);
         }
-        tokio::time::sleep(WAIT_STEP.to_duration()).await;
+        tokio::time::sleep(TARGET_POLL_INTERVAL.to_duration()).await;
     }
 }
 
@@ -507,68 +546,68 @@
 /// # Errors
 ///
 /// [`NoTarget`] if there is none, or none with a free slot.
-pub fn pick(node: &Node, course: &Course) -> Result<Arc<Target>, NoTarget> {
+pub fn choose_target(node: &Node, progress: &RequestProgress) -> Result<Arc<Target>, NoTarget> {
     let routing_table = node.routing_table();
-    let job = &course.job;
-    let fits = routing_table
-        .of(&job.service)
+    let request = &progress.request;
+    let targets = routing_table
+        .of(&request.service)
         .iter()
-        .filter(|target| target.model.is_none() || target.model == job.model)
-        .filter(|target| !course.tried.contains(&target.id));
-    let (fits, free_at) = taking(node, fits);
+        .filter(|target| target.model.is_none() || target.model == request.model)
+        .filter(|target| !progress.tried.contains(&target.id));
+    let (targets, available_at) = accepting(node, targets);
     let settings = node.settings();
     let now = node.now();
     let gaps = node.gaps.lock();
     let outliers = node.outliers.lock();
-    let candidates: Vec<Candidate> = fits
+    let candidates: Vec<Candidate> = targets
         .iter()
         .map(|target| (target, node.loads.of(&target.id)))
         .map(|(target, load)| Candidate {
             load: load.requests,
-            queued_prefill_ms: f64::from(load.unread) * target.read_ms,
+            queued_prefill_ms: f64::from(load.unread) * target.prefill_ms_per_token,
             slots: target.slots,
-            event_ms: gaps.mean_ms(&target.id).unwrap_or(target.quiet_gap_ms),
+            event_ms: gaps.mean_ms(&target.id).unwrap_or(target.idle_event_gap_ms),
             is_near: target.data_centre == settings.node.data_centre,
             is_deprioritized: outliers.is_ejected(&target.id, now) || node.is_suspected(target),
         })
         .collect();
-    if course.is_new() && placement::are_full(&candidates, MAY_WAIT) {
-        return Err(NoTarget { free_at: None });
+    if progress.is_new() && placement::are_full(&candidates, QUEUED_MAX) {
+        return Err(NoTarget { available_at: None });
     }
     let chosen = placement::choose(&candidates, rand::rng().random());
-    chosen.map(|chosen| Arc::clone(fits[chosen])).ok_or(NoTarget { free_at })
+    chosen.map(|chosen| Arc::clone(targets[chosen])).ok_or(NoTarget { available_at })
 }
 
 /// The targets that take a request from this node now, and when the first of the others does.
-fn taking<'a>(
+fn accepting<'a>(
     node: &Node,
-    fits: impl Iterator<Item = &'a Arc<Target>>,
+    targets: impl Iterator<Item = &'a Arc<Target>>,
 ) -> (Vec<&'a Arc<Target>>, Option<Millis>) {
     if node.instance_limits.lock().is_empty() {
-        return (fits.collect(), None);
+        return (targets.collect(), None);
     }
-    let mut free_at: Option<Millis> = None;
-    let taking = fits.filter(|target| match node.check_instance_limits(&target.id) {
+    let mut available_at: Option<Millis> = None;
+    let accepting = targets.filter(|target| match node.check_instance_limits(&target.id) {
         Ok(()) => true,
         Err(Withheld { until, .. }) => {
-            free_at = free_at.into_iter().chain(until).min();
+            available_at = available_at.into_iter().chain(until).min();
             false
         }
     });
-    (taking.collect(), free_at)
+    (accepting.collect(), available_at)
 }
 
 /// How long the first event or the answer may take before the instance is probed, and before
 /// another attempt starts elsewhere.
-pub fn first_patience(course: &Course, usual_gap_ms: f64) -> (Millis, Millis) {
-    let latency_goal = course.job.route.latency_goal;
-    match course.job.route.kind {
+pub fn first_response_limits(progress: &RequestProgress, usual_gap_ms: f64) -> (Millis, Millis) {
+    let latency_goal = progress.request.route.latency_goal;
+    match progress.request.route.kind {
         RequestKind::Stream => {
-            let look = Millis((latency_goal.0 * 4 / 5).max((usual_gap_ms * 3.0) as u64));
-            (look, Millis(latency_goal.0 * 4).max(LEAST_FIRST_MOVE))
+            let probe_after = Millis((latency_goal.0 * 4 / 5).max((usual_gap_ms * 3.0) as u64));
+            (probe_after, Millis(latency_goal.0 * 4).max(FIRST_EVENT_FAILOVER_MIN))
         }
         RequestKind::Idempotent | RequestKind::AtMostOnce => {
-            let half = Millis(course.job.deadline.since(course.job.received_at).0 / 2);
+            let half = Millis(progress.request.deadline.since(progress.request.received_at).0 / 2);
             (Millis(latency_goal.0 * 2 / 3), Millis(latency_goal.0 * 3).min(half))
         }
     }
@@ -576,4 +615,4 @@
 
 /// Shortest wait for a stream's first event before another attempt starts: longer than a request
 /// queues at a busy engine.
-const LEAST_FIRST_MOVE: Millis = Millis(1_200);
+const FIRST_EVENT_FAILOVER_MIN: Millis = Millis(1_200);
--- a/crates/workshold-gateway/src/proxy/attempt.rs
+++ b/crates/workshold-gateway/src/proxy/attempt.rs
@@ -33,25 +33,25 @@
 use crate::loads::InFlight;
 use crate::node::Node;
 use crate::node::ProbeTask;
-use crate::proxy::LEAST_TIME;
+use crate::proxy::MIN_TIME_LEFT;
 use crate::proxy::framing::Framer;
 use crate::routing_table::Target;
 
 /// Longest wait for a connection to an instance.
-const CONNECT_TIME: Millis = Millis(40);
+const CONNECT_TIMEOUT: Millis = Millis(40);
 /// Longest response body that is buffered until it is complete, in bytes.
-const MOST_HELD: usize = 4 * 1024 * 1024;
+const BUFFERED_LEN_MAX: usize = 4 * 1024 * 1024;
 
 /// A response that has begun.
-pub enum Opened {
+pub enum AttemptResponse {
     /// The complete response.
-    Whole(Response<ResponseBody>),
+    Complete(Response<ResponseBody>),
     /// The head of a stream, and its body with the first events.
-    Stream(Box<(Parts, Current)>),
+    Stream(Box<(Parts, EventStream)>),
 }
 
 /// A stream of events from an instance.
-pub struct Current {
+pub struct EventStream {
     /// The instance that sends it.
     pub target: Arc<Target>,
     /// The rest of the body.
@@ -61,27 +61,27 @@
     /// Splits the body into events.
     pub framer: Framer,
     /// When the request was sent.
-    pub since: Millis,
+    pub sent_at: Millis,
     /// Whether the body has ended.
-    pub is_over: bool,
+    pub is_complete: bool,
     _driver: Driver,
     in_flight: InFlight,
 }
 
 /// Logged reason of an attempt that the deadline ended.
-pub const TIME_UP: &str = "the request's deadline passed";
+pub const DEADLINE_PASSED: &str = "the request's deadline passed";
 
 /// Logged reason why a quarantined request is not sent.
-pub const HELD: &str = "instances ended when they began to run it";
+pub const QUARANTINED: &str = "instances ended when they began to run it";
 
 /// How an attempt failed, and the reason for logs.
 pub type Failure = (AttemptEnd, &'static str);
 
-/// What [`open`] sends, and where to.
+/// What [`send_request`] sends, and where to.
 #[derive(Debug, Clone)]
-pub struct Dispatch {
+pub struct AttemptParams {
     /// The request that is sent.
-    pub job: Arc<AdmittedRequest>,
+    pub request: Arc<AdmittedRequest>,
     /// The instance that it is sent to.
     pub target: Arc<Target>,
     /// The last event that the caller has; a stream continues after it.
@@ -96,74 +96,79 @@
 /// # Errors
 ///
 /// How the attempt ended without a response.
-pub async fn open(node: Arc<Node>, dispatch: Dispatch) -> Result<Opened, Failure> {
-    let Dispatch { job, target, last, is_sent } = dispatch;
-    let in_flight = node.loads.begin(&target.id, job.prompt_tokens as u32);
-    let connected = client::connect(&target.address, CONNECT_TIME.to_duration()).await;
+pub async fn send_request(
+    node: Arc<Node>,
+    params: AttemptParams,
+) -> Result<AttemptResponse, Failure> {
+    let AttemptParams { request, target, last, is_sent } = params;
+    let in_flight = node.loads.begin(&target.id, request.prompt_tokens as u32);
+    let connected = client::connect(&target.address, CONNECT_TIMEOUT.to_duration()).await;
     let connected = connected.map_err(|_| {
         node.probe(&target.id, &target.address, ProbeTask::Look);
         (AttemptEnd::NotSent, "could not connect")
     })?;
-    let left = job.left(node.now());
-    if left <= LEAST_TIME {
+    let left = request.left(node.now());
+    if left <= MIN_TIME_LEFT {
         return Err((AttemptEnd::NotSent, "too little time left before the deadline"));
     }
     let permit =
         node.permit(&target.id).map_err(|withheld| (AttemptEnd::Withheld, withheld.why.text()))?;
-    let sent = node.now();
+    let sent_at = node.now();
     is_sent.store(true, Ordering::Relaxed);
-    let req = request(&job, &target, last, left);
+    let req = upstream_request(&request, &target, last, left);
     let sending = permit.send(connected, req, left.to_duration());
     let (res, driver) = match sending.await {
         Ok(got) => got,
-        Err(CallError::TimedOut { .. }) => return Err((AttemptEnd::Unknown, TIME_UP)),
+        Err(CallError::TimedOut { .. }) => return Err((AttemptEnd::Unknown, DEADLINE_PASSED)),
         Err(_) => return Err((AttemptEnd::Broken, "the connection broke before the response")),
     };
-    if is_of(&job, &res) {
-        node.on_rate_limit(&target.id, words::limit(res.headers()), sent);
+    if is_from_target(&request, &res) {
+        node.on_rate_limit(&target.id, words::limit(res.headers()), sent_at);
         node.on_backoff(&target.id, words::rest(res.status(), res.headers(), node.wall()));
         node.on_leaving(&target.id, words::leaves(res.headers()));
     }
-    check_head(&job, &res)?;
-    let is_stream = job.route.kind == RequestKind::Stream && res.status().is_success();
+    check_head(&request, &res)?;
+    let is_stream = request.route.kind == RequestKind::Stream && res.status().is_success();
     if !is_stream {
-        let whole = read_whole(res).await?;
-        let took = node.now().since(sent);
+        let complete = read_complete(res).await?;
+        let took = node.now().since(sent_at);
         node.gaps.lock().on_gap(&target.id, took);
         node.outliers.lock().on_answer(&target.id, took, node.now());
-        return Ok(Opened::Whole(whole));
+        return Ok(AttemptResponse::Complete(complete));
     }
     let (parts, body) = res.into_parts();
-    let mut current = Current {
+    let mut event_stream = EventStream {
         target: Arc::clone(&target),
         body,
         ready: Bytes::new(),
         framer: Framer::after(last),
-        since: sent,
-        is_over: false,
+        sent_at,
+        is_complete: false,
         _driver: driver,
         in_flight,
     };
-    while current.ready.is_empty() && !current.is_over {
-        current
+    while event_stream.ready.is_empty() && !event_stream.is_complete {
+        event_stream
             .read()
             .await
             .map_err(|(ending, _)| (ending, "the stream broke off before its first event"))?;
     }
-    current.in_flight.on_read();
-    Ok(Opened::Stream(Box::new((parts, current))))
+    event_stream.in_flight.on_first_event();
+    Ok(AttemptResponse::Stream(Box::new((parts, event_stream))))
 }
 
-fn request(
-    job: &AdmittedRequest,
+/// Builds the request for one attempt: adds the time left, the only instance that may run it, and
+/// the last event that the caller has.
+fn upstream_request(
+    request: &AdmittedRequest,
     target: &Target,
     last: Option<u64>,
     left: Millis,
 ) -> Request<Body> {
-    let mut req = Request::new(full(job.body.clone()));
-    *req.method_mut() = job.method.clone();
-    *req.uri_mut() = job.path.parse().expect("the path was one when it came");
-    *req.headers_mut() = job.headers.clone();
+    let mut req = Request::new(full(request.body.clone()));
+    *req.method_mut() = request.method.clone();
+    *req.uri_mut() = request.path.parse().expect("the caller's path was parsed before");
+    *req.headers_mut() = request.headers.clone();
     let headers = req.headers_mut();
     headers.insert(names::TIME_LEFT, HeaderValue::from(left.0));
     if let Ok(id) = HeaderValue::from_str(target.id.as_str()) {
@@ -176,12 +181,12 @@
 }
 
 /// Whether a response comes from the instance that was addressed, and belongs to this request.
-fn is_of(job: &AdmittedRequest, res: &Response<Incoming>) -> bool {
-    res.status() != StatusCode::MISDIRECTED_REQUEST && !is_foreign(job, res.headers())
+fn is_from_target(request: &AdmittedRequest, res: &Response<Incoming>) -> bool {
+    res.status() != StatusCode::MISDIRECTED_REQUEST && !is_for_other_request(request, res.headers())
 }
 
 /// Checks that a response belongs to this request and proves that it has run.
-fn check_head(job: &AdmittedRequest, res: &Response<Incoming>) -> Result<(), Failure> {
+fn check_head(request: &AdmittedRequest, res: &Response<Incoming>) -> Result<(), Failure> {
     let (status, headers) = (res.status(), res.headers());
     if headers.contains_key(names::NOT_RUN) {
         return Err((AttemptEnd::Refused, "the upstream refused it without running it"));
@@ -189,7 +194,7 @@
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Err((AttemptEnd::Refused, "another instance has this address"));
     }
-    if is_foreign(job, headers) {
+    if is_for_other_request(request, headers) {
         return Err((AttemptEnd::Unknown, "the response belongs to another request"));
     }
     if headers.contains_key(header::CONTENT_ENCODING) {
@@ -203,12 +208,12 @@
     }
     // The caller would take these to mean that the request has not run. Only the upstream's
     // `x-not-executed` header says so.
-    let promises = [
+    let refusals = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::REQUEST_TIMEOUT,
     ];
-    if promises.contains(&status) {
+    if refusals.contains(&status) {
         return Err((
             AttemptEnd::Unknown,
             "a refusal that does not state that the request has not run",
@@ -217,20 +222,22 @@
     Ok(())
 }
 
-fn is_foreign(job: &AdmittedRequest, headers: &HeaderMap) -> bool {
+/// Whether the response names the id of another request.
+fn is_for_other_request(request: &AdmittedRequest, headers: &HeaderMap) -> bool {
     let echoed = headers.get(names::REQUEST_ID);
-    echoed.is_some_and(|echoed| echoed.as_bytes() != job.id.as_bytes())
+    echoed.is_some_and(|echoed| echoed.as_bytes() != request.id.as_bytes())
 }
 
-async fn read_whole(res: Response<Incoming>) -> Result<Response<ResponseBody>, Failure> {
+/// Reads the whole body, up to [`BUFFERED_LEN_MAX`] bytes.
+async fn read_complete(res: Response<Incoming>) -> Result<Response<ResponseBody>, Failure> {
     let (mut parts, body) = res.into_parts();
-    let collected = Limited::new(body, MOST_HELD).collect().await;
+    let collected = Limited::new(body, BUFFERED_LEN_MAX).collect().await;
     let bytes = collected.map_err(|_| (AttemptEnd::Broken, "the response broke off"))?.to_bytes();
-    responses::strip(&mut parts.headers);
-    Ok(Response::from_parts(parts, responses::whole(bytes)))
+    responses::remove_hop_by_hop(&mut parts.headers);
+    Ok(Response::from_parts(parts, responses::full_body(bytes)))
 }
 
-impl Current {
+impl EventStream {
     /// Reads the next bytes; whole events are then in `ready`. Cancel safe: no bytes are lost if
     /// the future is dropped.
     ///
@@ -252,7 +259,7 @@
                 Err((AttemptEnd::Broken, "the stream ended in the middle of an event"))
             }
             None => {
-                self.is_over = true;
+                self.is_complete = true;
                 Ok(())
             }
         }
--- a/crates/workshold-gateway/src/proxy/attempts.rs
+++ b/crates/workshold-gateway/src/proxy/attempts.rs
@@ -1,9 +1,9 @@
 //! The concurrent attempts of one request.
 //!
 //! Only an instance's response, the end of its connection and the request's deadline end an
-//! attempt, never what is inferred about the instance. If it is suspected, another attempt starts
-//! concurrently, and the one that responds first wins. So a wrong suspicion, or another
-//! instance that fails, never costs the caller a response that was under way.
+//! attempt, never what is inferred about the instance. If it is suspected, a hedge starts, which is
+//! a concurrent attempt, and the one that responds first wins. So a wrong suspicion, or a hedge
+//! that fails, never costs the caller a response that was under way.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -22,24 +22,24 @@
 use crate::metrics::Metric;
 use crate::node::Node;
 use crate::proxy::attempt;
-use crate::proxy::attempt::Current;
-use crate::proxy::attempt::Dispatch;
+use crate::proxy::attempt::AttemptParams;
+use crate::proxy::attempt::AttemptResponse;
+use crate::proxy::attempt::DEADLINE_PASSED;
+use crate::proxy::attempt::EventStream;
 use crate::proxy::attempt::Failure;
-use crate::proxy::attempt::HELD;
-use crate::proxy::attempt::Opened;
-use crate::proxy::attempt::TIME_UP;
+use crate::proxy::attempt::QUARANTINED;
 use crate::proxy::wait;
-use crate::proxy::wait::Patience;
+use crate::proxy::wait::WaitLimits;
 use crate::proxy::wait::WaitOver;
 use crate::routing_table::Target;
 
 /// A response whose head or first event has not come.
-type Opening = Pin<Box<dyn Future<Output = Result<Opened, Failure>> + Send>>;
+type PendingResponse = Pin<Box<dyn Future<Output = Result<AttemptResponse, Failure>> + Send>>;
 
 /// How far an attempt has come.
 enum Stage {
-    Opening(Opening),
-    Streaming(Current),
+    Pending(PendingResponse),
+    Streaming(EventStream),
 }
 
 /// An attempt under way.
@@ -47,9 +47,9 @@
     /// The instance that it was sent to.
     pub target: Arc<Target>,
     /// When data last came from it, or when it started.
-    pub since: Millis,
+    pub last_data_at: Millis,
     /// When its first event came.
-    spoke: Option<Millis>,
+    first_event_at: Option<Millis>,
     /// Whether a byte of the request may have been sent.
     is_sent: Arc<AtomicBool>,
     stage: Stage,
@@ -57,68 +57,82 @@
 
 impl Attempt {
     /// Starts an attempt; a stream continues after event `last`.
-    pub fn begin(
+    pub fn start(
         node: &Arc<Node>,
-        job: &Arc<AdmittedRequest>,
+        request: &Arc<AdmittedRequest>,
         target: Arc<Target>,
         last: Option<u64>,
     ) -> Self {
         let is_sent = Arc::new(AtomicBool::new(false));
-        let dispatch = Dispatch {
-            job: Arc::clone(job),
+        let params = AttemptParams {
+            request: Arc::clone(request),
             target: Arc::clone(&target),
             last,
             is_sent: Arc::clone(&is_sent),
         };
-        let opening = Box::pin(attempt::open(Arc::clone(node), dispatch));
-        Self { target, since: node.now(), spoke: None, is_sent, stage: Stage::Opening(opening) }
+        let pending = Box::pin(attempt::send_request(Arc::clone(node), params));
+        Self {
+            target,
+            last_data_at: node.now(),
+            first_event_at: None,
+            is_sent,
+            stage: Stage::Pending(pending),
+        }
     }
 
     /// An attempt whose first events have come.
-    pub fn streaming(current: Current, now: Millis) -> Self {
-        let target = Arc::clone(&current.target);
+    pub fn streaming(event_stream: EventStream, now: Millis) -> Self {
+        let target = Arc::clone(&event_stream.target);
         let is_sent = Arc::new(AtomicBool::new(true));
-        Self { target, since: now, spoke: Some(now), is_sent, stage: Stage::Streaming(current) }
+        Self {
+            target,
+            last_data_at: now,
+            first_event_at: Some(now),
+            is_sent,
+            stage: Stage::Streaming(event_stream),
+        }
     }
 
     /// The stream, if its first events have come.
-    pub fn current(&mut self) -> Option<&mut Current> {
+    pub fn event_stream(&mut self) -> Option<&mut EventStream> {
         match &mut self.stage {
-            Stage::Opening(_) => None,
-            Stage::Streaming(current) => Some(current),
+            Stage::Pending(_) => None,
+            Stage::Streaming(event_stream) => Some(event_stream),
         }
     }
 
     /// Whether no response has come yet.
-    pub fn is_opening(&self) -> bool {
-        matches!(self.stage, Stage::Opening(_))
+    pub fn is_pending(&self) -> bool {
+        matches!(self.stage, Stage::Pending(_))
     }
 
     /// Waits for the response, or for more events (`None`). Cancel safe.
-    async fn speak(&mut self) -> Result<Option<Opened>, Failure> {
-        let current = match &mut self.stage {
-            Stage::Opening(opening) => return opening.await.map(Some),
-            Stage::Streaming(current) => current,
+    async fn next_data(&mut self) -> Result<Option<AttemptResponse>, Failure> {
+        let event_stream = match &mut self.stage {
+            Stage::Pending(pending) => return pending.await.map(Some),
+            Stage::Streaming(event_stream) => event_stream,
         };
-        while current.ready.is_empty() && !current.is_over {
-            current.read().await?;
+        while event_stream.ready.is_empty() && !event_stream.is_complete {
+            event_stream.read().await?;
         }
         Ok(None)
     }
 
     /// How the attempt has failed. If it had been streaming for longer than [`START_WINDOW`], a
     /// broken connection is no sign that the request crashed the instance when it began to run.
-    fn failed(&self, (ending, why): Failure, now: Millis) -> Failure {
-        let is_through = self.spoke.is_some_and(|spoke| now.since(spoke) > START_WINDOW);
-        if ending == AttemptEnd::Broken && is_through {
-            (AttemptEnd::Unknown, why)
+    fn classify_failure(&self, (ending, reason): Failure, now: Millis) -> Failure {
+        let is_past_start = self
+            .first_event_at
+            .is_some_and(|first_event_at| now.since(first_event_at) > START_WINDOW);
+        if ending == AttemptEnd::Broken && is_past_start {
+            (AttemptEnd::Unknown, reason)
         } else {
-            (ending, why)
+            (ending, reason)
         }
     }
 
     /// How the attempt ends if it is dropped now.
-    fn given_up(&self) -> AttemptEnd {
+    fn end_if_dropped(&self) -> AttemptEnd {
         if self.is_sent.load(Ordering::Relaxed) { AttemptEnd::Unknown } else { AttemptEnd::NotSent }
     }
 }
@@ -126,43 +140,43 @@
 /// What [`Attempts::next`] waits for.
 pub enum AttemptEvent {
     /// An attempt has a complete response, or the first events of a stream.
-    Opened(Arc<Target>, Opened),
+    Responded(Arc<Target>, AttemptResponse),
     /// A stream has more events. Its attempt is the only one now; the number is how many others
     /// had been sent and were dropped.
     Events(u32),
     /// An attempt has failed.
     Failed(Arc<Target>, Failure),
     /// The newest attempt is suspected, for this reason, to get no response.
-    Suspect(&'static str),
+    Suspected(&'static str),
 }
 
 /// The attempts of a request that have not ended, the newest last.
 #[derive(Default)]
 pub struct Attempts {
-    live: Vec<Attempt>,
+    running: Vec<Attempt>,
     /// How many of them started before the one that responded last.
-    older: usize,
+    started_before_winner: usize,
 }
 
 impl Attempts {
     /// Adds an attempt as the newest one.
     pub fn push(&mut self, attempt: Attempt) {
-        self.live.push(attempt);
+        self.running.push(attempt);
     }
 
     /// How many attempts are under way.
     pub fn len(&self) -> u32 {
-        self.live.len() as u32
+        self.running.len() as u32
     }
 
     /// Whether no attempt is under way.
     pub fn is_empty(&self) -> bool {
-        self.live.is_empty()
+        self.running.is_empty()
     }
 
     /// The attempt that started last.
     pub fn newest(&mut self) -> Option<&mut Attempt> {
-        self.live.last_mut()
+        self.running.last_mut()
     }
 
     /// Waits until an attempt responds or fails, or the newest is suspected.
@@ -170,66 +184,76 @@
     /// # Panics
     ///
     /// If no attempt is under way.
-    pub async fn next(&mut self, node: &Node, request: &str, patience: Patience) -> AttemptEvent {
-        let newest = Arc::clone(&self.live.last().expect("an attempt is under way").target);
-        let words = self.live.iter_mut().map(|attempt| Box::pin(attempt.speak()));
+    pub async fn next(
+        &mut self,
+        node: &Node,
+        request_id: &str,
+        limits: WaitLimits,
+    ) -> AttemptEvent {
+        let newest = Arc::clone(&self.running.last().expect("an attempt is under way").target);
+        let outcomes = self.running.iter_mut().map(|attempt| Box::pin(attempt.next_data()));
         let first = tokio::select! {
             biased;
-            (word, place, _) = select_all(words) => Ok((word, place)),
-            doubt = wait::doubt(node, &newest, patience) => Err(doubt),
+            (outcome, index, _) = select_all(outcomes) => Ok((outcome, index)),
+            wait_over = wait::until_over(node, &newest, limits) => Err(wait_over),
         };
-        let (word, place) = match first {
+        let (outcome, index) = match first {
             Ok(first) => first,
-            Err(doubt) => return self.on_doubt(doubt, node.now()),
+            Err(wait_over) => return self.on_wait_over(wait_over, node.now()),
         };
-        match word {
+        match outcome {
             Ok(None) => {
-                self.older = place;
-                let speaker = self.live.remove(place);
-                let ended = self.drop_all(node, request);
-                self.live.push(speaker);
-                AttemptEvent::Events(ended)
+                self.started_before_winner = index;
+                let winner = self.running.remove(index);
+                let dropped = self.drop_all(node, request_id);
+                self.running.push(winner);
+                AttemptEvent::Events(dropped)
             }
-            Ok(Some(opened)) => {
-                self.older = place;
-                AttemptEvent::Opened(self.live.remove(place).target, opened)
+            Ok(Some(response)) => {
+                self.started_before_winner = index;
+                AttemptEvent::Responded(self.running.remove(index).target, response)
             }
             Err(failure) => {
-                let failed = self.live.remove(place);
-                let failure = failed.failed(failure, node.now());
+                let failed = self.running.remove(index);
+                let failure = failed.classify_failure(failure, node.now());
                 AttemptEvent::Failed(failed.target, failure)
             }
         }
     }
 
-    fn on_doubt(&mut self, doubt: WaitOver, now: Millis) -> AttemptEvent {
-        let (why, is_broken) = match doubt {
-            WaitOver::Suspect(why) => return AttemptEvent::Suspect(why),
-            WaitOver::TimeUp => (TIME_UP, false),
-            WaitOver::Held => (HELD, false),
-            WaitOver::Ended => ("its instance has restarted", true),
+    /// Ends the newest attempt because the wait for it is over; only reports it if it is suspected.
+    fn on_wait_over(&mut self, wait_over: WaitOver, now: Millis) -> AttemptEvent {
+        let (reason, is_broken) = match wait_over {
+            WaitOver::Suspected(reason) => return AttemptEvent::Suspected(reason),
+            WaitOver::DeadlinePassed => (DEADLINE_PASSED, false),
+            WaitOver::Quarantined => (QUARANTINED, false),
+            WaitOver::Restarted => ("its instance has restarted", true),
         };
-        let newest = self.live.pop().expect("an attempt is under way");
-        let ending = match newest.given_up() {
-            AttemptEnd::Unknown if is_broken => newest.failed((AttemptEnd::Broken, why), now).0,
+        let newest = self.running.pop().expect("an attempt is under way");
+        let ending = match newest.end_if_dropped() {
+            AttemptEnd::Unknown if is_broken => {
+                newest.classify_failure((AttemptEnd::Broken, reason), now).0
+            }
             ending => ending,
         };
-        AttemptEvent::Failed(newest.target, (ending, why))
+        AttemptEvent::Failed(newest.target, (ending, reason))
     }
 
     /// Drops all attempts, because another one has responded. Returns how many of them had been
     /// sent. Only those that started before that one count as failed: the others had less time.
-    pub fn drop_all(&mut self, node: &Node, request: &str) -> u32 {
-        let sent = self.live.iter().filter(|attempt| attempt.given_up() == AttemptEnd::Unknown);
+    pub fn drop_all(&mut self, node: &Node, request_id: &str) -> u32 {
+        let sent =
+            self.running.iter().filter(|attempt| attempt.end_if_dropped() == AttemptEnd::Unknown);
         let sent = sent.count() as u32;
-        for (place, attempt) in self.live.drain(..).enumerate() {
-            if place < self.older {
+        for (index, attempt) in self.running.drain(..).enumerate() {
+            if index < self.started_before_winner {
                 node.outliers.lock().on_failure(&attempt.target.id, node.now());
             }
             node.metrics.count(Metric::AttemptsNotNeeded);
             let instance = attempt.target.id.as_str();
-            let silent_ms = node.now().since(attempt.since).0.to_string();
-            let fields = [("request", request), ("instance", instance), ("silent_ms", &*silent_ms)];
+            let silent_ms = node.now().since(attempt.last_data_at).0.to_string();
+            let fields =
+                [("request", request_id), ("instance", instance), ("silent_ms", &*silent_ms)];
             emit(Event::AttemptNotNeeded, &fields);
         }
         sent
--- a/crates/workshold-gateway/src/proxy/framing.rs
+++ b/crates/workshold-gateway/src/proxy/framing.rs
@@ -14,16 +14,16 @@
     /// The id of the last event that was returned, or that the caller already has.
     last: Option<u64>,
     /// Events that were returned.
-    taken: u64,
+    event_count: u64,
 }
 
 /// Longest event, in bytes.
-const MOST_BYTES: usize = 1024 * 1024;
+const EVENT_LEN_MAX: usize = 1024 * 1024;
 
 impl Framer {
     /// A framer for a stream of which the caller already has the events up to `last`.
     pub fn after(last: Option<u64>) -> Self {
-        Self { buf: BytesMut::new(), scanned: 0, last, taken: 0 }
+        Self { buf: BytesMut::new(), scanned: 0, last, event_count: 0 }
     }
 
     /// The id of the last event that was returned, or that the caller already has.
@@ -32,8 +32,8 @@
     }
 
     /// How many events were returned.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    pub fn event_count(&self) -> u64 {
+        self.event_count
     }
 
     /// Whether the buffer holds the beginning of an unfinished event.
@@ -47,19 +47,19 @@
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.buf.extend_from_slice(bytes);
         let mut out = BytesMut::new();
-        while let Some(end) = self.next_end() {
+        while let Some(end) = self.next_event_end() {
             let event = self.buf.split_to(end);
             self.scanned = 0;
             if self.is_new(&event) {
-                self.taken += 1;
+                self.event_count += 1;
                 out.unsplit(event);
             }
         }
-        (self.buf.len() <= MOST_BYTES).then(|| out.freeze())
+        (self.buf.len() <= EVENT_LEN_MAX).then(|| out.freeze())
     }
 
     /// The offset after the empty line that ends the first event, if it is complete.
-    fn next_end(&mut self) -> Option<usize> {
+    fn next_event_end(&mut self) -> Option<usize> {
         let from = self.scanned.saturating_sub(3);
         let bytes = &self.buf[from..];
         let end = (0..bytes.len()).find_map(|i| {
@@ -75,8 +75,9 @@
         end.map(|end| from + end)
     }
 
+    /// Whether the caller does not have this event yet; one without an id always counts as new.
     fn is_new(&mut self, event: &[u8]) -> bool {
-        let Some(id) = id_of(event) else { return true };
+        let Some(id) = event_id(event) else { return true };
         if self.last.is_some_and(|last| id <= last) {
             return false;
         }
@@ -86,7 +87,7 @@
 }
 
 /// The numeric id of an event, if it has one.
-fn id_of(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let line = event.split(|byte| *byte == b'\n').find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
 }
--- a/crates/workshold-gateway/src/proxy/stream.rs
+++ b/crates/workshold-gateway/src/proxy/stream.rs
@@ -15,7 +15,7 @@
 use workshold_protocol::Millis;
 
 use crate::callers::responses;
-use crate::callers::responses::Cut;
+use crate::callers::responses::BodyCut;
 use crate::callers::responses::ResponseBody;
 use crate::events::Event;
 use crate::events::emit;
@@ -23,181 +23,188 @@
 use crate::node::Node;
 use crate::node::RequestGuard;
 use crate::proxy;
-use crate::proxy::Course;
-use crate::proxy::LEAST_TIME;
-use crate::proxy::attempt::Current;
+use crate::proxy::MIN_TIME_LEFT;
+use crate::proxy::RequestProgress;
+use crate::proxy::attempt::AttemptResponse;
+use crate::proxy::attempt::EventStream;
 use crate::proxy::attempt::Failure;
-use crate::proxy::attempt::Opened;
 use crate::proxy::attempts::Attempt;
 use crate::proxy::attempts::AttemptEvent;
 use crate::proxy::attempts::Attempts;
-use crate::proxy::wait::Patience;
+use crate::proxy::wait::WaitLimits;
 use crate::routing_table::Target;
 
 /// A stream that is being forwarded to its caller.
-pub struct StreamRelay {
+pub struct ProxiedStream {
     node: Arc<Node>,
-    course: Course,
+    progress: RequestProgress,
     attempts: Attempts,
     /// The instance that sent the latest events.
-    speaker: Arc<Target>,
+    source: Arc<Target>,
     /// Whole events that are not forwarded yet.
     ready: Bytes,
     /// The id of the last event in `ready` or already forwarded.
     last: Option<u64>,
-    /// When it came.
-    since: Millis,
+    /// When the latest events came.
+    last_event_at: Millis,
     /// When the first events came.
-    first_at: Millis,
+    first_event_at: Millis,
     /// The longest time between two events, over all instances.
     longest_gap: Millis,
-    /// Events of the current instance, and of those before it.
+    /// Events of the current instance.
     events: u64,
+    /// Events of the instances before it.
     events_before: u64,
     /// Whether the upstream's stream has ended.
-    is_over: bool,
+    is_complete: bool,
     /// Whether the end was reported to the caller, as complete or cut.
-    has_ended: bool,
+    is_closed: bool,
     _guard: RequestGuard,
 }
 
-impl StreamRelay {
+impl ProxiedStream {
     /// Builds the caller's response from a head and its first events; the body forwards the rest.
-    pub fn answer(
+    pub fn response(
         node: Arc<Node>,
-        course: Course,
+        progress: RequestProgress,
         guard: RequestGuard,
         mut head: Parts,
-        current: Current,
+        event_stream: EventStream,
     ) -> Response<ResponseBody> {
-        responses::strip(&mut head.headers);
+        responses::remove_hop_by_hop(&mut head.headers);
         let now = node.now();
-        let speaker = Arc::clone(&current.target);
-        node.outliers.lock().on_answer(&speaker.id, now.since(current.since), now);
-        node.metrics.time(Metric::FirstEvent, now.since(course.job.received_at));
-        let last = course.job.last_event_id;
-        let mut proxy = Self {
+        let source = Arc::clone(&event_stream.target);
+        node.outliers.lock().on_answer(&source.id, now.since(event_stream.sent_at), now);
+        node.metrics.time(Metric::FirstEvent, now.since(progress.request.received_at));
+        let last = progress.request.last_event_id;
+        let mut proxied = Self {
             node,
-            course,
+            progress,
             attempts: Attempts::default(),
-            speaker,
+            source,
             ready: Bytes::new(),
             last,
-            since: now,
-            first_at: now,
+            last_event_at: now,
+            first_event_at: now,
             longest_gap: Millis::ZERO,
             events: 0,
             events_before: 0,
-            is_over: false,
-            has_ended: false,
+            is_complete: false,
+            is_closed: false,
             _guard: guard,
         };
-        proxy.attempts.push(Attempt::streaming(current, now));
-        proxy.take_events(true);
-        let events = stream::unfold(proxy, |mut proxy| async move {
-            let next = proxy.next().await?;
-            Some((next.map(Frame::data), proxy))
+        proxied.attempts.push(Attempt::streaming(event_stream, now));
+        proxied.take_ready_events(true);
+        let events = stream::unfold(proxied, |mut proxied| async move {
+            let next = proxied.next().await?;
+            Some((next.map(Frame::data), proxied))
         });
         Response::from_parts(head, BodyExt::boxed_unsync(StreamBody::new(events)))
     }
 
     /// The next events for the caller; `None` at the end.
-    async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn next(&mut self) -> Option<Result<Bytes, BodyCut>> {
         loop {
-            if self.has_ended {
+            if self.is_closed {
                 return None;
             }
             if !self.ready.is_empty() {
                 return Some(Ok(std::mem::take(&mut self.ready)));
             }
-            if self.is_over {
-                self.end();
+            if self.is_complete {
+                self.finish();
                 return None;
             }
-            if let Err(cut) = self.listen().await {
-                self.has_ended = true;
+            if let Err(cut) = self.handle_next_event().await {
+                self.is_closed = true;
                 return Some(Err(cut));
             }
         }
     }
 
     /// Waits for the next event of the attempts, and handles it.
-    async fn listen(&mut self) -> Result<(), Cut> {
-        let patience = self.patience();
-        match self.attempts.next(&self.node, &self.course.job.id, patience).await {
-            AttemptEvent::Events(ended) => {
-                self.course.used.sent += ended;
-                self.take_events(false);
+    async fn handle_next_event(&mut self) -> Result<(), BodyCut> {
+        let limits = self.wait_limits();
+        match self.attempts.next(&self.node, &self.progress.request.id, limits).await {
+            AttemptEvent::Events(dropped) => {
+                self.progress.used.sent += dropped;
+                self.take_ready_events(false);
             }
-            AttemptEvent::Opened(_, Opened::Stream(begun)) => self.move_to(begun.1),
-            AttemptEvent::Opened(target, Opened::Whole(_)) => {
+            AttemptEvent::Responded(_, AttemptResponse::Stream(started)) => {
+                self.fail_over_to(started.1)
+            }
+            AttemptEvent::Responded(target, AttemptResponse::Complete(_)) => {
                 let failure = (AttemptEnd::Failed, "the response is not a stream");
                 return self.on_failure(&target, failure).await;
             }
             AttemptEvent::Failed(target, failure) => {
                 return self.on_failure(&target, failure).await;
             }
-            AttemptEvent::Suspect(why) => {
-                self.course.begin_beside(&self.node, &mut self.attempts, self.last, why);
+            AttemptEvent::Suspected(reason) => {
+                self.progress.start_hedge(&self.node, &mut self.attempts, self.last, reason);
             }
         }
         Ok(())
     }
 
-    fn patience(&mut self) -> Patience {
+    /// How long to wait for the newest attempt.
+    fn wait_limits(&mut self) -> WaitLimits {
         let under_way = self.attempts.len();
         let newest = self.attempts.newest().expect("an attempt is under way");
-        let (id, since) = (&newest.target.id, newest.since);
-        let mean_ms = self.node.gaps.lock().mean_ms(id).unwrap_or(newest.target.quiet_gap_ms);
-        let goal = self.course.job.route.pause_goal;
+        let (id, last_data_at) = (&newest.target.id, newest.last_data_at);
+        let mean_ms = self.node.gaps.lock().mean_ms(id).unwrap_or(newest.target.idle_event_gap_ms);
+        let goal = self.progress.request.route.pause_goal;
         let rules = self.node.stall;
-        let after = if newest.is_opening() {
-            proxy::first_patience(&self.course, mean_ms)
+        let after = if newest.is_pending() {
+            proxy::first_response_limits(&self.progress, mean_ms)
         } else {
             (rules.probe_after(mean_ms, goal), rules.failover_after(mean_ms, goal))
         };
-        let waiting = newest.is_opening().then_some(self.course.job.fingerprint);
-        Patience { waiting, ..self.course.patience(since, after, under_way) }
+        let queued_fingerprint = newest.is_pending().then_some(self.progress.request.fingerprint);
+        WaitLimits {
+            queued_fingerprint,
+            ..self.progress.wait_limits(last_data_at, after, under_way)
+        }
     }
 
     /// Takes the events that the only attempt has received. The time to its first events is not
     /// recorded as a gap between events.
-    fn take_events(&mut self, is_first: bool) {
+    fn take_ready_events(&mut self, is_first: bool) {
         let now = self.node.now();
-        let Some(speaker) = self.attempts.newest() else { return };
-        let silent_for = now.since(speaker.since);
-        speaker.since = now;
-        let Some(current) = speaker.current() else { return };
-        self.ready = std::mem::take(&mut current.ready);
-        self.last = current.framer.last();
-        self.events = current.framer.taken();
-        self.is_over = current.is_over;
+        let Some(source) = self.attempts.newest() else { return };
+        let silent_for = now.since(source.last_data_at);
+        source.last_data_at = now;
+        let Some(event_stream) = source.event_stream() else { return };
+        self.ready = std::mem::take(&mut event_stream.ready);
+        self.last = event_stream.framer.last();
+        self.events = event_stream.framer.event_count();
+        self.is_complete = event_stream.is_complete;
         if !self.ready.is_empty() {
             if !is_first {
-                self.node.gaps.lock().on_gap(&self.speaker.id, silent_for);
+                self.node.gaps.lock().on_gap(&self.source.id, silent_for);
             }
-            self.longest_gap = self.longest_gap.max(now.since(self.since));
-            self.since = now;
+            self.longest_gap = self.longest_gap.max(now.since(self.last_event_at));
+            self.last_event_at = now;
         }
     }
 
     /// Continues with the stream of another instance, which has responded; the other attempts are
     /// dropped together with what they may still send.
-    fn move_to(&mut self, current: Current) {
+    fn fail_over_to(&mut self, event_stream: EventStream) {
         let now = self.node.now();
-        self.course.used.sent += self.attempts.drop_all(&self.node, &self.course.job.id);
-        self.speaker = Arc::clone(&current.target);
+        self.progress.used.sent += self.attempts.drop_all(&self.node, &self.progress.request.id);
+        self.source = Arc::clone(&event_stream.target);
         self.events_before += self.events;
         let behind = self.last.map_or_else(|| "none".to_owned(), |last| last.to_string());
-        let gap_ms = now.since(self.since).0.to_string();
-        self.attempts.push(Attempt::streaming(current, now));
-        self.take_events(true);
+        let gap_ms = now.since(self.last_event_at).0.to_string();
+        self.attempts.push(Attempt::streaming(event_stream, now));
+        self.take_ready_events(true);
         self.node.metrics.count(Metric::StreamsMoved);
         emit(
             Event::StreamMoved,
             &[
-                ("request", &self.course.job.id),
-                ("instance", self.speaker.id.as_str()),
+                ("request", &self.progress.request.id),
+                ("instance", self.source.id.as_str()),
                 ("behind", &behind),
                 ("gap_ms", &gap_ms),
             ],
@@ -206,37 +213,42 @@
 
     /// Handles the failure of an attempt: other attempts continue. If there are none, the stream is
     /// retried at another instance, or cut if that is not possible.
-    async fn on_failure(&mut self, target: &Target, (ending, why): Failure) -> Result<(), Cut> {
-        proxy::note_failure(&self.node, target, ending);
-        self.course.look_into(&self.node, target, ending).await;
+    async fn on_failure(
+        &mut self,
+        target: &Target,
+        (ending, reason): Failure,
+    ) -> Result<(), BodyCut> {
+        proxy::record_failure(&self.node, target, ending);
+        self.progress.probe_after_break(&self.node, target, ending).await;
         if !self.attempts.is_empty() {
             let others = self.attempts.len();
-            self.course.ended_beside(&self.node, target, (ending, why), others);
+            self.progress.record_concurrent_failure(&self.node, target, (ending, reason), others);
             return Ok(());
         }
-        if self.course.after(&self.node, target, ending, why) != NextStep::Again {
+        if self.progress.next_step(&self.node, target, ending, reason) != NextStep::Again {
             return Err(self.cut());
         }
-        let Ok(next) = proxy::pick(&self.node, &self.course) else {
-            self.course.give_up_repeat(&self.node);
+        let Ok(next) = proxy::choose_target(&self.node, &self.progress) else {
+            self.progress.return_unused_retry(&self.node);
             return Err(self.cut());
         };
-        self.course.begin(&self.node, &mut self.attempts, next, self.last);
+        self.progress.start_attempt(&self.node, &mut self.attempts, next, self.last);
         Ok(())
     }
 
-    fn cut(&self) -> Cut {
-        let left = self.course.left(&self.node);
+    /// Logs that the stream ends incomplete, and says why.
+    fn cut(&self) -> BodyCut {
+        let left = self.progress.left(&self.node);
         self.node.metrics.count(Metric::StreamsCut);
-        let cut = if left <= LEAST_TIME { Cut::TimeUp } else { Cut::Broken };
+        let cut = if left <= MIN_TIME_LEFT { BodyCut::DeadlinePassed } else { BodyCut::Broken };
         emit(
             Event::StreamCut,
             &[
-                ("request", &self.course.job.id),
-                ("fingerprint", &self.course.job.fingerprint.to_string()),
-                ("instance", self.speaker.id.as_str()),
-                ("why", self.course.why),
-                ("sent", &self.course.used.sent.to_string()),
+                ("request", &self.progress.request.id),
+                ("fingerprint", &self.progress.request.fingerprint.to_string()),
+                ("instance", self.source.id.as_str()),
+                ("why", self.progress.reason),
+                ("sent", &self.progress.used.sent.to_string()),
                 ("left_ms", &left.0.to_string()),
             ],
         );
@@ -245,47 +257,48 @@
 
     /// Records the length of the answer, from which the demand on groups is estimated. Resumed
     /// streams are left out: only a part of the answer was counted.
-    fn note_length(&self, now: Millis) {
-        let job = &self.course.job;
-        let is_whole = job.last_event_id.is_none();
-        if let Some(model) = job.model.as_ref().filter(|_| is_whole) {
+    fn record_length(&self, now: Millis) {
+        let request = &self.progress.request;
+        let is_from_start = request.last_event_id.is_none();
+        if let Some(model) = request.model.as_ref().filter(|_| is_from_start) {
             let events = (self.events_before + self.events) as f64;
-            let mean_ms = self.node.expected_answer_events();
-            self.node.demand.lock().on_answer(model, events, mean_ms, now);
+            let expected_events = self.node.expected_answer_events();
+            self.node.demand.lock().on_answer(model, events, expected_events, now);
         }
     }
 
-    fn end(&mut self) {
-        self.has_ended = true;
+    /// Records that the whole stream was forwarded.
+    fn finish(&mut self) {
+        self.is_closed = true;
         self.node.metrics.count(Metric::Answered);
         self.node.metrics.time(Metric::LongestGap, self.longest_gap);
-        let job = &self.course.job;
+        let request = &self.progress.request;
         let now = self.node.now();
-        self.note_length(now);
+        self.record_length(now);
         if self.events > 0 {
-            self.node.note_finished(job);
+            self.node.note_finished(request);
         }
         emit(
             Event::RequestEnded,
             &[
-                ("request", &job.id),
-                ("instance", self.speaker.id.as_str()),
+                ("request", &request.id),
+                ("instance", self.source.id.as_str()),
                 ("status", "stream"),
-                ("first_ms", &self.first_at.since(job.received_at).0.to_string()),
-                ("first_goal_ms", &job.route.latency_goal.0.to_string()),
+                ("first_ms", &self.first_event_at.since(request.received_at).0.to_string()),
+                ("first_goal_ms", &request.route.latency_goal.0.to_string()),
                 ("gap_ms", &self.longest_gap.0.to_string()),
-                ("gap_goal_ms", &job.route.pause_goal.0.to_string()),
-                ("load", &self.course.load.to_string()),
-                ("ms", &now.since(job.received_at).0.to_string()),
+                ("gap_goal_ms", &request.route.pause_goal.0.to_string()),
+                ("load", &self.progress.first_target_load.to_string()),
+                ("ms", &now.since(request.received_at).0.to_string()),
             ],
         );
     }
 }
 
-impl Drop for StreamRelay {
+impl Drop for ProxiedStream {
     fn drop(&mut self) {
-        if !self.has_ended {
-            let fields = [("request", self.course.job.id.as_str())];
+        if !self.is_closed {
+            let fields = [("request", self.progress.request.id.as_str())];
             self.node.metrics.count(Metric::CallersGone);
             emit(Event::CallerGone, &fields);
         }
--- a/crates/workshold-gateway/src/routing_table.rs
+++ b/crates/workshold-gateway/src/routing_table.rs
@@ -34,9 +34,9 @@
     pub model: Option<SmolStr>,
     /// Expected time between two events of a stream that runs alone, in milliseconds; for a service
     /// without groups, of one answer.
-    pub quiet_gap_ms: f64,
+    pub idle_event_gap_ms: f64,
     /// Time to process (prefill) one prompt token, in milliseconds.
-    pub read_ms: f64,
+    pub prefill_ms_per_token: f64,
     /// All members of its group, itself included.
     pub members: Vec<Arc<Instance>>,
 }
@@ -49,7 +49,7 @@
 
 /// Expected time of one answer at a service without groups, in milliseconds. Only its ratio to the
 /// other targets matters.
-const PLAIN_PACE_MS: f64 = 30.0;
+const UNGROUPED_ANSWER_MS: f64 = 30.0;
 
 impl RoutingTable {
     /// Builds the table from the instance list and the configuration in force.
@@ -67,12 +67,13 @@
             let targets: Vec<Arc<Target>> = match &upstream.engine {
                 Some(engine) if !engine.models.is_empty() => {
                     let groups = groups::collate(entries.filter(serving));
-                    let head = |group| head_of(group, engine);
+                    let head = |group| head_target(group, engine);
                     groups.iter().filter_map(head).map(Arc::new).collect()
                 }
                 _ => {
-                    let plain = entries.filter(serving).map(|entry| plain(&entry.instance));
-                    plain.map(Arc::new).collect()
+                    let ungrouped =
+                        entries.filter(serving).map(|entry| ungrouped_target(&entry.instance));
+                    ungrouped.map(Arc::new).collect()
                 }
             };
             by_service.insert(upstream.name.clone(), targets);
@@ -107,7 +108,8 @@
     }
 }
 
-fn plain(instance: &Arc<Instance>) -> Target {
+/// The target of an instance that serves without a group.
+fn ungrouped_target(instance: &Arc<Instance>) -> Target {
     Target {
         id: instance.identity.clone(),
         service: instance.service.clone(),
@@ -115,13 +117,14 @@
         data_centre: instance.data_centre.clone(),
         slots: instance.slots,
         model: None,
-        quiet_gap_ms: PLAIN_PACE_MS,
-        read_ms: 0.0,
+        idle_event_gap_ms: UNGROUPED_ANSWER_MS,
+        prefill_ms_per_token: 0.0,
         members: vec![Arc::clone(instance)],
     }
 }
 
-fn head_of(
+/// The target of a group, which is its head; `None` if the group is incomplete or does not serve.
+fn head_target(
     group: &Group,
     engine: &workshold_core::hosted::serving_config::Engine,
 ) -> Option<Target> {
@@ -140,8 +143,8 @@
         data_centre: head.data_centre.clone(),
         slots: engine.slots,
         model: Some(SmolStr::new(group.model())),
-        quiet_gap_ms: engine.event_gap_ms(spec),
-        read_ms: spec.pace / engine.prefill_tokens_per_ms,
+        idle_event_gap_ms: engine.event_gap_ms(spec),
+        prefill_ms_per_token: spec.pace / engine.prefill_tokens_per_ms,
         members: group.members.values().cloned().collect(),
     })
 }
--- a/crates/workshold-gateway/src/settings.rs
+++ b/crates/workshold-gateway/src/settings.rs
@@ -161,28 +161,28 @@
 
 /// Time to live, in seconds, of the addresses that callers are given. Short, so that callers soon
 /// stop using a node that is gone, and so that three times as long fits into a planned stop.
-const ADDRESSES_GOOD_S: f64 = 2.0;
+const ADDRESS_TTL_S: f64 = 2.0;
 /// Part of [`Bounds::keys_believed_ms`] that a node uses. The rest covers the time that a request
 /// takes to reach its upstream.
-const KEYS_BELIEVED_PART: f64 = 0.92;
+const KEY_AGE_FACTOR: f64 = 0.92;
 /// Longest wait of a long poll for a newer configuration. Longer means fewer polls, each of which
 /// has a cost, but an answer counts as fresh only from when the poll was sent.
-const CONFIG_WAIT_MOST: Millis = Millis(1_500);
+const CONFIG_WAIT_MAX: Millis = Millis(1_500);
 /// Shortest wait of a long poll, whatever the bound: the store has other readers to serve.
-const WAIT_LEAST: Millis = Millis(200);
+const WAIT_MIN: Millis = Millis(200);
 /// Longest wait of a long poll for a change of the instance list.
-const LIST_WAIT_MOST: Millis = Millis(2_000);
+const LIST_WAIT_MAX: Millis = Millis(2_000);
 /// A poll counts as late when its answer is this much later than its wait: many times what the
 /// store takes to answer.
-const ANSWER_LATE: Millis = Millis(250);
+const ANSWER_LATE_AFTER: Millis = Millis(250);
 /// Time allowed for an answer to arrive and for its content to be put in force.
-const ANSWER_ROOM: Millis = Millis(300);
+const ANSWER_ALLOWANCE: Millis = Millis(300);
 /// Longest interval between two requests to a store that does not answer.
-const ASK_EVERY: Millis = Millis(1_300);
+const RETRY_INTERVAL_MAX: Millis = Millis(1_300);
 /// Time allowed for the store's answer and for passing on what another node has read.
-const CONFIG_ON_THE_WAY: Millis = Millis(700);
+const CONFIG_FORWARDING_ALLOWANCE: Millis = Millis(700);
 /// File descriptors reserved for the store, probes of suspected instances, peers and files.
-const DESCRIPTORS_KEPT: usize = 300;
+const RESERVED_DESCRIPTORS: usize = 300;
 /// Time to live of a lease. The partitions of a node that dies have no holder for this long.
 const LEASE_TTL: Millis = Millis(1_500);
 
@@ -202,27 +202,27 @@
     }
 
     /// Time to live of the addresses that callers are given, in seconds.
-    pub fn addresses_good_s(&self) -> f64 {
-        ADDRESSES_GOOD_S.min(self.bounds.addresses_good_at_most_s)
+    pub fn address_ttl_s(&self) -> f64 {
+        ADDRESS_TTL_S.min(self.bounds.addresses_good_at_most_s)
     }
 
     /// How old a configuration may be for API keys to be accepted by it.
     pub fn max_key_age(&self) -> Millis {
-        Millis((self.bounds.keys_believed_ms as f64 * KEYS_BELIEVED_PART) as u64)
+        Millis((self.bounds.keys_believed_ms as f64 * KEY_AGE_FACTOR) as u64)
     }
 
     /// Timing of the long polls for a newer configuration. Just before the next answer, the
     /// configuration in use is as old as two waits; keys must still be accepted then.
     pub fn config_poll_rules(&self, is_reader: bool) -> LongPollRules {
-        let kept = CONFIG_ON_THE_WAY + CONFIG_ON_THE_WAY;
-        let half = Millis(self.max_key_age().since(kept).0 / 2);
-        long_poll(half.min(CONFIG_WAIT_MOST), self.bounds.config_in_force_ms, is_reader)
+        let allowance = CONFIG_FORWARDING_ALLOWANCE + CONFIG_FORWARDING_ALLOWANCE;
+        let half = Millis(self.max_key_age().since(allowance).0 / 2);
+        poll_rules(half.min(CONFIG_WAIT_MAX), self.bounds.config_in_force_ms, is_reader)
     }
 
     /// Timing of the long polls for changes of the instance list. A poll that waits brings a change
     /// at once, unless the poll was lost in a disturbance.
     pub fn list_poll_rules(&self, is_reader: bool) -> LongPollRules {
-        long_poll(LIST_WAIT_MOST, self.bounds.undisturbed_after_ms, is_reader)
+        poll_rules(LIST_WAIT_MAX, self.bounds.undisturbed_after_ms, is_reader)
     }
 
     /// Up to this age, a configuration that a peer has read counts as current: as old as it
@@ -230,7 +230,7 @@
     /// for long enough that this node can read the configuration itself.
     pub fn max_shared_config_age(&self) -> Millis {
         let wait = self.config_poll_rules(true).wait;
-        wait + wait + CONFIG_ON_THE_WAY
+        wait + wait + CONFIG_FORWARDING_ALLOWANCE
     }
 
     /// Time to live of a lease.
@@ -250,7 +250,7 @@
     /// Most connections that callers may have open. Each may need a second descriptor, for an
     /// upstream.
     pub fn caller_connections(&self) -> usize {
-        (self.limits.descriptors.saturating_sub(DESCRIPTORS_KEPT) / 2).max(64)
+        (self.limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(64)
     }
 }
 
@@ -258,13 +258,13 @@
 /// is lost at any moment. A node that is no reader polls as rarely as the bound allows: readers
 /// tell it when the store is back, and the polls of hundreds of nodes to a store that does not
 /// answer would burden it once it is back.
-fn long_poll(wait_most: Millis, bound: u64, is_reader: bool) -> LongPollRules {
-    let asked_within = Millis(bound).since(ANSWER_ROOM);
-    let retry_interval = if is_reader { asked_within.min(ASK_EVERY) } else { asked_within };
+fn poll_rules(wait_max: Millis, bound: u64, is_reader: bool) -> LongPollRules {
+    let poll_within = Millis(bound).since(ANSWER_ALLOWANCE);
+    let retry_interval = if is_reader { poll_within.min(RETRY_INTERVAL_MAX) } else { poll_within };
     LongPollRules {
-        wait: asked_within.since(ANSWER_LATE).min(wait_most).max(WAIT_LEAST),
-        late_after: ANSWER_LATE,
-        retry_interval: retry_interval.max(WAIT_LEAST),
+        wait: poll_within.since(ANSWER_LATE_AFTER).min(wait_max).max(WAIT_MIN),
+        late_after: ANSWER_LATE_AFTER,
+        retry_interval: retry_interval.max(WAIT_MIN),
     }
 }
 
