--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -58,7 +58,8 @@
 
 impl std::error::Error for DaemonError {}
 
-/// Longest head of a request, in bytes.
+/// Longest head of a request, in bytes. Servers start with it before the operator's configuration
+/// is known.
 const HEAD_LEN_MAX: usize = 16 * 1024;
 /// How long a connection may stay idle or take to send a request head. Longer than callers keep
 /// idle connections, so that the caller closes first.
--- a/crates/workshold-gateway/src/metrics.rs
+++ b/crates/workshold-gateway/src/metrics.rs
@@ -42,11 +42,11 @@
 }
 
 metrics! {
-    Requests = "requests", "counter", "requests that passed routing and authorization and are not held";
+    Requests = "requests", "counter", "requests that passed routing, authorization and the quarantine";
     Answered = "answered", "counter", "requests whose complete answer went to the caller";
     NotRun = "not_run", "counter", "requests refused without having run";
     RequestsHeld = "requests_held", "counter", "requests refused because their content is quarantined: instances ended when they began to run it; counted in not_run too";
-    Unknown = "unknown", "counter", "requests that ended without it being known whether they ran";
+    Unknown = "unknown", "counter", "requests of which it is unknown whether they ran";
     AttemptsFailed = "attempts_failed", "counter", "attempts at an instance that failed";
     Withheld = "withheld", "counter", "sends withheld because the instance had asked for none now";
     AttemptsNotNeeded = "attempts_not_needed", "counter", "attempts dropped because another attempt of the request answered first";
--- a/crates/workshold-gateway/src/proxy/attempt.rs
+++ b/crates/workshold-gateway/src/proxy/attempt.rs
@@ -113,7 +113,7 @@
     }
     let permit =
         node.permit(&target.id).map_err(|withheld| (AttemptEnd::Withheld, withheld.why.text()))?;
-    let sent_at = node.now();
+    let sent = node.now();
     is_sent.store(true, Ordering::Relaxed);
     let req = upstream_request(&request, &target, last, left);
     let sending = permit.send(connected, req, left.to_duration());
@@ -123,7 +123,7 @@
         Err(_) => return Err((AttemptEnd::Broken, "the connection broke before the response")),
     };
     if is_from_target(&request, &res) {
-        node.on_rate_limit(&target.id, words::limit(res.headers()), sent_at);
+        node.on_rate_limit(&target.id, words::limit(res.headers()), sent);
         node.on_backoff(&target.id, words::rest(res.status(), res.headers(), node.wall()));
         node.on_leaving(&target.id, words::leaves(res.headers()));
     }
@@ -131,7 +131,7 @@
     let is_stream = request.route.kind == RequestKind::Stream && res.status().is_success();
     if !is_stream {
         let complete = read_complete(res).await?;
-        let took = node.now().since(sent_at);
+        let took = node.now().since(sent);
         node.gaps.lock().on_gap(&target.id, took);
         node.outliers.lock().on_answer(&target.id, took, node.now());
         return Ok(AttemptResponse::Complete(complete));
@@ -142,7 +142,7 @@
         body,
         ready: Bytes::new(),
         framer: Framer::after(last),
-        sent_at,
+        sent_at: sent,
         is_complete: false,
         _driver: driver,
         in_flight,
