--- a/crates/workshold-gateway/src/loads.rs
+++ b/crates/workshold-gateway/src/loads.rs
@@ -72,7 +72,7 @@
 pub struct Loads {
     own: Mutex<HashMap<Identity, Arc<OwnLoad>>>,
     /// Sums of the peers' loads by [`instance_hash`], and when they were computed.
-    others: Mutex<(HashMap<u32, Load>, Millis)>,
+    peers: Mutex<(HashMap<u32, Load>, Millis)>,
 }
 
 /// Counts one request at an instance until it is dropped.
@@ -112,8 +112,8 @@
 
     /// The load of all nodes at `id`, as far as known.
     pub fn of(&self, id: &Identity) -> Load {
-        let others = self.others.lock().0.get(&instance_hash(id)).copied().unwrap_or_default();
-        self.own(id).plus(others)
+        let peers = self.peers.lock().0.get(&instance_hash(id)).copied().unwrap_or_default();
+        self.own(id).plus(peers)
     }
 
     /// This node's load at every instance where it has requests in flight.
@@ -124,13 +124,13 @@
     }
 
     /// Replaces the sums of the peers' loads, computed at `now`; the keys are [`instance_hash`]s.
-    pub fn set_peer_loads(&self, others: HashMap<u32, Load>, now: Millis) {
-        *self.others.lock() = (others, now);
+    pub fn set_peer_loads(&self, peers: HashMap<u32, Load>, now: Millis) {
+        *self.peers.lock() = (peers, now);
     }
 
     /// Whether the sums of the peers' loads are at least `age` old.
     pub fn are_peer_loads_stale(&self, now: Millis, age: Millis) -> bool {
-        now.since(self.others.lock().1) >= age
+        now.since(self.peers.lock().1) >= age
     }
 
     /// Removes the counters of instances where this node has no request in flight.
--- a/crates/workshold-gateway/src/settings.rs
+++ b/crates/workshold-gateway/src/settings.rs
@@ -117,8 +117,8 @@
     /// A configuration is in force at the latest this long after the store acknowledged it, in
     /// milliseconds.
     pub config_in_force_ms: u64,
-    /// A node keeps its promises again this long after the end of a disturbance of the node or the
-    /// store, in milliseconds.
+    /// A node keeps its promises again this long after the end of a disturbance, such as an outage,
+    /// of the node or the store, in milliseconds.
     pub undisturbed_after_ms: u64,
     /// The longest that a planned stop may take, in seconds.
     pub stop_within_s: f64,
@@ -213,16 +213,16 @@
 
     /// Timing of the long polls for a newer configuration. Just before the next answer, the
     /// configuration in use is as old as two waits; keys must still be accepted then.
-    pub fn config_poll_rules(&self, is_reader: bool) -> LongPollRules {
+    pub fn config_poll_rules(&self, is_store_reader: bool) -> LongPollRules {
         let allowance = CONFIG_FORWARDING_ALLOWANCE + CONFIG_FORWARDING_ALLOWANCE;
         let half = Millis(self.max_key_age().since(allowance).0 / 2);
-        poll_rules(half.min(CONFIG_WAIT_MAX), self.bounds.config_in_force_ms, is_reader)
+        poll_rules(half.min(CONFIG_WAIT_MAX), self.bounds.config_in_force_ms, is_store_reader)
     }
 
     /// Timing of the long polls for changes of the instance list. A poll that waits brings a change
     /// at once, unless the poll was lost in a disturbance.
-    pub fn list_poll_rules(&self, is_reader: bool) -> LongPollRules {
-        poll_rules(LIST_WAIT_MAX, self.bounds.undisturbed_after_ms, is_reader)
+    pub fn list_poll_rules(&self, is_store_reader: bool) -> LongPollRules {
+        poll_rules(LIST_WAIT_MAX, self.bounds.undisturbed_after_ms, is_store_reader)
     }
 
     /// Up to this age, a configuration that a peer has read counts as current: as old as it
@@ -255,12 +255,13 @@
 }
 
 /// Timing of the long polls for what has to be in force within `bound` milliseconds, even if a poll
-/// is lost at any moment. A node that is no reader polls as rarely as the bound allows: readers
-/// tell it when the store is back, and the polls of hundreds of nodes to a store that does not
-/// answer would burden it once it is back.
-fn poll_rules(wait_max: Millis, bound: u64, is_reader: bool) -> LongPollRules {
+/// is lost at any moment. A node that is no store reader, because it goes by what peers read, polls
+/// as rarely as the bound allows: readers tell it when the store is back, and the polls of hundreds
+/// of nodes to a store that does not answer would burden it once it is back.
+fn poll_rules(wait_max: Millis, bound: u64, is_store_reader: bool) -> LongPollRules {
     let poll_within = Millis(bound).since(ANSWER_ALLOWANCE);
-    let retry_interval = if is_reader { poll_within.min(RETRY_INTERVAL_MAX) } else { poll_within };
+    let retry_interval =
+        if is_store_reader { poll_within.min(RETRY_INTERVAL_MAX) } else { poll_within };
     LongPollRules {
         wait: poll_within.since(ANSWER_LATE_AFTER).min(wait_max).max(WAIT_MIN),
         late_after: ANSWER_LATE_AFTER,
--- a/crates/workshold-gateway/src/store_monitor.rs
+++ b/crates/workshold-gateway/src/store_monitor.rs
@@ -1,7 +1,7 @@
 //! Tracks the era of the store and rejects answers from before its last restore. Every answer
 //! of the store passes through here first.
 //!
-//! The store may be restored from a snapshot, which begins a new era
+//! The store may be restored from a backup, which begins a new era
 //! (`core::hosted::store_era`). An answer of an earlier era is rejected as a whole, because it may
 //! have been on its way for a long time. The first answer of a later era, or a peer's report of
 //! one, means that what this node has read is out of date and has to be read again.
@@ -17,7 +17,7 @@
 /// The store's eras as this process has seen them, and when the store last answered.
 #[derive(Debug, Default)]
 pub struct StoreMonitor {
-    store_era: Mutex<EraTracker>,
+    era_tracker: Mutex<EraTracker>,
     /// The whole system starts for the first time: no store data predates this process and its
     /// peers.
     is_first_start: bool,
@@ -26,13 +26,13 @@
 }
 
 impl StoreMonitor {
-    /// A tracker that has seen no era yet.
+    /// A monitor that has seen no era yet.
     pub fn new(is_first_start: bool) -> Self {
         Self { is_first_start, ..Self::default() }
     }
 
     /// Checks an answer of the store to a request that was sent at `sent`. Returns its content,
-    /// and whether the store was restored from a snapshot since the last answer.
+    /// and whether the store was restored from a backup since the last answer.
     ///
     /// # Errors
     ///
@@ -43,48 +43,48 @@
         sent: Millis,
         now: Millis,
     ) -> Result<(T, bool), StoreError> {
-        let heard = self.observe(answer.era, now);
-        if heard == EraOrder::Older {
+        let order = self.observe(answer.era, now);
+        if order == EraOrder::Older {
             return Err(StoreError::Earlier(self.era().0 - answer.era.0));
         }
         let mut answered = self.answered.lock();
         *answered = (*answered).max(sent);
-        Ok((answer.said, heard == EraOrder::Newer))
+        Ok((answer.said, order == EraOrder::Newer))
     }
 
     /// Records that `era` has been known since `since`, to this node or a peer. Returns how it
     /// compares with the newest era known before.
     pub fn observe(&self, era: Era, since: Millis) -> EraOrder {
-        let mut store_era = self.store_era.lock();
-        let is_first = !store_era.is_known();
-        let heard = store_era.observe(era, since);
+        let mut era_tracker = self.era_tracker.lock();
+        let is_first = !era_tracker.is_known();
+        let order = era_tracker.observe(era, since);
         if is_first && self.is_first_start {
-            store_era.mark_settled(era);
+            era_tracker.mark_settled(era);
         }
-        heard
+        order
     }
 
     /// Records that `era` has lasted long, as data kept in the store shows.
     pub fn mark_settled(&self, era: Era) {
-        self.store_era.lock().mark_settled(era);
+        self.era_tracker.lock().mark_settled(era);
     }
 
     /// The newest era known.
     pub fn era(&self) -> Era {
-        self.store_era.lock().era()
+        self.era_tracker.lock().era()
     }
 
     /// The newest era and for how many milliseconds it has been known, for gossip; `None` before
     /// any is known.
     pub fn told(&self, now: Millis) -> Option<(Era, u64)> {
-        let store_era = *self.store_era.lock();
-        store_era.is_known().then(|| (store_era.era(), store_era.age(now).0))
+        let era_tracker = *self.era_tracker.lock();
+        era_tracker.is_known().then(|| (era_tracker.era(), era_tracker.age(now).0))
     }
 
     /// From when on the store's list matches the instances that exist: after a restore they need
     /// time to register again.
     pub fn trusted_from(&self) -> Millis {
-        self.store_era.lock().trusted_from()
+        self.era_tracker.lock().trusted_from()
     }
 
     /// When the latest request that the store answered was sent.
