--- a/crates/workshold-gateway/src/callers/directory.rs
+++ b/crates/workshold-gateway/src/callers/directory.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers use, and whether this node serves.
+//! Handlers that tell callers which addresses to use, and the platform whether this node is ready.
 
 use bytes::Bytes;
 use hyper::Request;
@@ -16,33 +16,33 @@
 use crate::callers::responses::ResponseBody;
 use crate::node::Node;
 
-/// With fewer nodes than this in a caller's data centre, others are named as well:
-/// the loss of one must not leave a caller without any.
-const LEAST_NEAR: usize = 2;
+/// With fewer ready nodes than this in a caller's data centre, nodes of others are named as well,
+/// so that the loss of one does not leave the caller without any.
+const NEAR_NODES_MIN: usize = 2;
 
-/// Answers callers who ask which addresses to use.
-pub fn answer(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
+/// Handles a caller's request for the addresses to use.
+pub fn handle(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::RESOLVE_PATH {
-        return responses::own(StatusCode::NOT_FOUND, "no such question");
+        return responses::plain_text(StatusCode::NOT_FOUND, "no such question");
     }
     let question = Question::parse(req.uri().query().unwrap_or_default());
     let addresses = addresses(node, question.data_centre);
     if addresses.is_empty() {
-        return responses::own(StatusCode::SERVICE_UNAVAILABLE, "no node serves now");
+        return responses::plain_text(StatusCode::SERVICE_UNAVAILABLE, "no node serves now");
     }
-    let body: Bytes = face::addresses(&addresses, node.settings().addresses_good_s());
-    let mut res = Response::new(responses::whole(body));
+    let body: Bytes = face::addresses(&addresses, node.settings().address_ttl_s());
+    let mut res = Response::new(responses::full_body(body));
     res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     res
 }
 
-/// Nodes that serve: those of the caller's data centre, if there are enough.
+/// The addresses of ready nodes: of the caller's data centre, or of all if it has too few.
 fn addresses(node: &Node, data_centre: Option<&str>) -> Vec<String> {
     let settings = node.settings();
     let mut all = Vec::new();
     if node.readiness().is_ok() {
-        let own = settings.node.data_centre.as_str().to_owned();
-        all.push((own, settings.listen.callers.to_string()));
+        let own_data_centre = settings.node.data_centre.as_str().to_owned();
+        all.push((own_data_centre, settings.listen.callers.to_string()));
     }
     let peers = node.peers.lock();
     for (_, peer) in peers.heard(node.now()) {
@@ -51,27 +51,27 @@
         }
     }
     drop(peers);
-    let near = all.iter().filter(|(place, _)| Some(place.as_str()) == data_centre);
+    let near = all.iter().filter(|(location, _)| Some(location.as_str()) == data_centre);
     let near: Vec<String> = near.map(|(_, address)| address.clone()).collect();
-    let mut chosen = if near.len() >= LEAST_NEAR {
+    let mut chosen = if near.len() >= NEAR_NODES_MIN {
         near
     } else {
         all.into_iter().map(|(_, address)| address).collect()
     };
-    // Each answer names others first, or all callers would go to the same ones.
-    let turn = rand::rng().random_range(0..chosen.len().max(1));
-    chosen.rotate_left(turn);
+    // Each response starts at another node, or all callers would use the same ones first.
+    let start = rand::rng().random_range(0..chosen.len().max(1));
+    chosen.rotate_left(start);
     chosen.truncate(face::MOST_ADDRESSES);
     chosen
 }
 
-/// Answers the platform's question whether this node serves.
+/// Handles the platform's readiness check.
 pub fn readiness(node: &Node, req: &Request<Incoming>) -> Response<ResponseBody> {
     if req.uri().path() != names::READY_PATH {
-        return responses::own(StatusCode::NOT_FOUND, "no such question");
+        return responses::plain_text(StatusCode::NOT_FOUND, "no such question");
     }
     match node.readiness() {
-        Ok(()) => responses::own(StatusCode::OK, "it serves"),
-        Err(_) => responses::own(StatusCode::SERVICE_UNAVAILABLE, "it does not serve"),
+        Ok(()) => responses::plain_text(StatusCode::OK, "it serves"),
+        Err(_) => responses::plain_text(StatusCode::SERVICE_UNAVAILABLE, "it does not serve"),
     }
 }
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -1,4 +1,5 @@
-//! A caller's request, from its head to what is to be done for it.
+//! Handles callers' requests: routing, authorization, reading the body, and the headers for the
+//! upstream. [`proxy`] does the rest.
 
 use std::sync::Arc;
 
@@ -34,67 +35,69 @@
 use crate::node::Node;
 use crate::proxy;
 
-/// A request that is allowed, and all that is needed to carry it to an upstream.
+/// A request that passed routing and authorization, with all that proxying it needs.
 #[derive(Debug)]
 pub struct AdmittedRequest {
-    /// The caller's name for it.
+    /// The id that the caller gave this attempt; empty if it gave none.
     pub id: SmolStr,
-    /// Its route.
+    /// The route that matched its host and path.
     pub route: Arc<Route>,
-    /// The service that takes it.
+    /// The upstream service that was drawn from the route's targets.
     pub service: ServiceName,
-    /// Its method.
+    /// The HTTP method, unchanged.
     pub method: Method,
-    /// Its path and query, unchanged.
+    /// The path and query, unchanged.
     pub path: SmolStr,
-    /// Its headers as upstreams get them, but for those of one attempt.
+    /// The headers for the upstream, except those that differ between attempts.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
-    /// What it asks, whatever its id.
+    /// Identifies its content, whatever its id.
     pub fingerprint: Fingerprint,
-    /// Who asks, as a mark.
+    /// Hash of the team's name, or of the empty string without a team.
     pub caller: u32,
-    /// The model that it is for.
+    /// The model that it names, if any.
     pub model: Option<SmolStr>,
-    /// Tokens of its prompt, by the caller's word.
+    /// Tokens of the prompt, as the caller states them; 0 if it does not.
     pub prompt_tokens: f64,
-    /// The last event that the caller has.
+    /// The last event that the caller already has of the stream that it resumes.
     pub last_event_id: Option<u64>,
-    /// When it came.
+    /// When the request arrived.
     pub received_at: Millis,
-    /// When its time is up.
+    /// The deadline.
     pub deadline: Millis,
 }
 
 impl AdmittedRequest {
-    /// The request as it is told from others.
+    /// The key of this request in the quarantine.
     pub fn request_key(&self) -> RequestKey {
         RequestKey { fingerprint: self.fingerprint, caller: self.caller }
     }
 
-    /// Time that is left at `now`.
+    /// Time left before the deadline at `now`.
     pub fn left(&self, now: Millis) -> Millis {
         self.deadline.since(now)
     }
 }
 
-/// Waits for a caller who names no time of its own.
-const USUAL_TIME: Millis = Millis::from_secs(10);
-/// When to come back if this node lacks what it needs to judge a request.
-const COME_BACK: Millis = Millis(400);
-/// When to come back, to another node.
-const COME_BACK_ELSEWHERE: Millis = Millis(20);
-/// A team's rank goes before a route's: this many ranks of a route are one of a team.
-const ROUTE_RANKS: u8 = 3;
-const LEAST_URGENT: u8 = 9;
-
-/// Answers one request.
-pub async fn answer(node: Arc<Node>, req: Request<Incoming>) -> Response<ResponseBody> {
+/// Timeout of a request whose caller states none.
+const DEFAULT_TIMEOUT: Millis = Millis::from_secs(10);
+/// `Retry-After` if this node lacks what it needs to route or authorize a request.
+const RETRY_AFTER_NOT_READY: Millis = Millis(400);
+/// `Retry-After` while this node is stopping: the caller can retry at another node at once.
+const RETRY_AFTER_STOPPING: Millis = Millis(20);
+/// Urgency orders by the team's rank first, then the route's; each team rank spans this many route
+/// ranks.
+const ROUTE_RANKS_PER_TEAM_RANK: u8 = 3;
+/// The lowest urgency that the header takes; 0 is the highest.
+const LOWEST_URGENCY: u8 = 9;
+
+/// Handles one request of a caller.
+pub async fn handle(node: Arc<Node>, req: Request<Incoming>) -> Response<ResponseBody> {
     let guard = node.begin_request();
     node.note_traffic();
-    let mut res = match prepare(&node, req).await {
-        Ok(job) => proxy::run(&node, job, guard).await,
+    let mut res = match admit(&node, req).await {
+        Ok(request) => proxy::run(&node, request, guard).await,
         Err(res) => *res,
     };
     if node.is_closing() {
@@ -103,7 +106,8 @@
     res
 }
 
-async fn prepare(
+/// Routes, authorizes and reads a request; the error is the response that refuses it.
+async fn admit(
     node: &Node,
     req: Request<Incoming>,
 ) -> Result<AdmittedRequest, Box<Response<ResponseBody>>> {
@@ -112,8 +116,8 @@
     let serving_config = node.serving_config();
     let serving_config =
         serving_config.ok_or_else(|| refuse("this node has no configuration yet"))?;
-    let id = text(&parts.headers, &names::REQUEST_ID).unwrap_or_default();
-    let host = text(&parts.headers, &header::HOST);
+    let id = header_text(&parts.headers, &names::REQUEST_ID).unwrap_or_default();
+    let host = header_text(&parts.headers, &header::HOST);
     let host = host.or_else(|| parts.uri.authority().map(|host| SmolStr::new(host.as_str())));
     let path = parts.uri.path();
     let route = host.as_deref().and_then(|host| serving_config.route(host, path));
@@ -122,21 +126,22 @@
         return Err(refuse_stopping(&id));
     }
     let team = authorize(node, &serving_config, route, &parts.headers, &id)?;
-    let time = time_of(&parts.headers).min(route.timeout);
-    let body = read_body(incoming, &serving_config, time).await.map_err(Box::new)?;
+    let timeout = timeout_of(&parts.headers).min(route.timeout);
+    let body = read_body(incoming, &serving_config, timeout).await.map_err(Box::new)?;
     let draw = xxh3_64(id.as_bytes());
     let service = route.target(draw);
     let service = service.ok_or_else(|| refuse("the route has no service"))?.clone();
     let mut headers = parts.headers;
-    let model = text(&headers, &names::MODEL);
+    let model = header_text(&headers, &names::MODEL);
     let prompt_tokens = prompt_tokens(&headers);
-    let last_event_id = text(&headers, &names::LAST_EVENT).and_then(|text| text.parse().ok());
+    let last_event_id =
+        header_text(&headers, &names::LAST_EVENT).and_then(|text| text.parse().ok());
     let rank = team.as_ref().map_or(0, |(_, rank)| *rank);
     let path = parts.uri.path_and_query().map_or(path, |path| path.as_str());
     let caller = team.as_ref().map(|(name, _)| name.as_str());
     let fingerprint = Fingerprint::of(caller, path, &body);
     let caller = quarantine::name_hash(caller.unwrap_or_default());
-    set_headers(&mut headers, team.map(|(name, _)| name), urgency(rank, route.priority));
+    set_upstream_headers(&mut headers, team.map(|(name, _)| name), urgency(rank, route.priority));
     Ok(AdmittedRequest {
         id,
         route: Arc::clone(route),
@@ -151,30 +156,33 @@
         prompt_tokens,
         last_event_id,
         received_at,
-        deadline: received_at + time,
+        deadline: received_at + timeout,
     })
 }
 
+/// Refuses a request with a `Retry-After`, because this node cannot judge it now.
 fn refuse(text: &'static str) -> Box<Response<ResponseBody>> {
-    Box::new(responses::not_run(text, COME_BACK))
+    Box::new(responses::not_run(text, RETRY_AFTER_NOT_READY))
 }
 
-/// Others serve: the caller need not wait to go there.
+/// Refuses a request because this node is stopping. Others serve, so the caller need not wait.
 fn refuse_stopping(id: &str) -> Box<Response<ResponseBody>> {
     let why = "this node is stopping";
     emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
-    Box::new(responses::not_run(why, COME_BACK_ELSEWHERE))
+    Box::new(responses::not_run(why, RETRY_AFTER_STOPPING))
 }
 
+/// Rejects a request for a reason that a retry does not change.
 fn deny(id: &str, status: StatusCode, text: &'static str) -> Box<Response<ResponseBody>> {
     let fields = [("request", id), ("why", text), ("status", status.as_str())];
     emit(Event::RequestNotRun, &fields);
-    Box::new(responses::own(status, text))
+    Box::new(responses::plain_text(status, text))
 }
 
+/// The name of a team and its rank; 0 goes first.
 type TeamAndRank = (SmolStr, u8);
 
-/// Whose a request is, if it may be believed.
+/// Finds the team of a request by its key; `None` if the route needs no key.
 fn authorize(
     node: &Node,
     serving_config: &ServingConfig,
@@ -187,7 +195,7 @@
         emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
         return Err(refuse(why));
     }
-    let key = text(headers, &names::KEY);
+    let key = header_text(headers, &names::KEY);
     match serving_config.caller(route, key.as_deref()) {
         Caller::Anonymous => Ok(None),
         Caller::Team(team) => Ok(Some((SmolStr::new(team.name.as_str()), team.priority))),
@@ -195,51 +203,57 @@
     }
 }
 
+/// The urgency for the upstream, 0 to [`LOWEST_URGENCY`], from the ranks of team and route.
 fn urgency(team: u8, route: u8) -> u8 {
-    let route = route.min(ROUTE_RANKS - 1);
-    team.saturating_mul(ROUTE_RANKS).saturating_add(route).min(LEAST_URGENT)
+    let route = route.min(ROUTE_RANKS_PER_TEAM_RANK - 1);
+    team.saturating_mul(ROUTE_RANKS_PER_TEAM_RANK).saturating_add(route).min(LOWEST_URGENCY)
 }
 
-fn time_of(headers: &HeaderMap) -> Millis {
-    let time = text(headers, &names::TIME_LEFT).and_then(|text| text.parse::<f64>().ok());
-    time.map_or(USUAL_TIME, |ms| Millis(ms.max(0.0) as u64))
+/// How long the caller waits, as it states in milliseconds, or [`DEFAULT_TIMEOUT`].
+fn timeout_of(headers: &HeaderMap) -> Millis {
+    let timeout = header_text(headers, &names::TIME_LEFT).and_then(|text| text.parse::<f64>().ok());
+    timeout.map_or(DEFAULT_TIMEOUT, |ms| Millis(ms.max(0.0) as u64))
 }
 
-/// The first of the two counts that the caller tells.
+/// The prompt's count of tokens, which is the first of the two that the caller states.
 fn prompt_tokens(headers: &HeaderMap) -> f64 {
-    let counts = text(headers, &names::TOKEN_COUNTS);
+    let counts = header_text(headers, &names::TOKEN_COUNTS);
     let prompt = counts.as_deref().and_then(|counts| counts.split(',').next());
     prompt.and_then(|prompt| prompt.trim().parse().ok()).unwrap_or(0.0)
 }
 
-fn text(headers: &HeaderMap, name: &HeaderName) -> Option<SmolStr> {
+/// The value of a header, if it is there and is visible ASCII.
+fn header_text(headers: &HeaderMap, name: &HeaderName) -> Option<SmolStr> {
     headers.get(name).and_then(|value| value.to_str().ok()).map(SmolStr::new)
 }
 
+/// Reads the body within the limits of the configuration; the error is the response that refuses
+/// it.
 async fn read_body(
     incoming: Incoming,
     serving_config: &ServingConfig,
-    time: Millis,
+    timeout: Millis,
 ) -> Result<Bytes, Response<ResponseBody>> {
-    let within = time.min(serving_config.limits.idle_time).to_duration();
-    // A length that is too long by its own word need not be waited for.
+    let within = timeout.min(serving_config.limits.idle_time).to_duration();
+    // A body whose stated length is too long is refused before it is read.
     if incoming.size_hint().lower() > serving_config.limits.body_len as u64 {
-        return Err(responses::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
+        return Err(responses::plain_text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
     body::read(incoming, serving_config.limits.body_len, within).await.map_err(|err| match err {
         BodyError::TooLarge(_) => {
-            responses::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
+            responses::plain_text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
         }
         BodyError::TooSlow(_) => {
-            responses::own(StatusCode::REQUEST_TIMEOUT, "the body did not come")
+            responses::plain_text(StatusCode::REQUEST_TIMEOUT, "the body did not come")
         }
-        BodyError::Broken => responses::own(StatusCode::BAD_REQUEST, "the body broke off"),
+        BodyError::Broken => responses::plain_text(StatusCode::BAD_REQUEST, "the body broke off"),
     })
 }
 
-/// Sets what upstreams are told beyond the caller's own headers.
-fn set_headers(headers: &mut HeaderMap, team: Option<SmolStr>, urgency: u8) {
-    responses::strip(headers);
+/// Turns the caller's headers into those for the upstream: removes hop-by-hop headers and those
+/// that only the node may set, and adds the team and urgency.
+fn set_upstream_headers(headers: &mut HeaderMap, team: Option<SmolStr>, urgency: u8) {
+    responses::remove_hop_by_hop(headers);
     headers.remove(header::EXPECT);
     headers.remove(names::KEY);
     headers.remove(names::TEAM);
--- a/crates/workshold-gateway/src/proxy/attempt.rs
+++ b/crates/workshold-gateway/src/proxy/attempt.rs
@@ -1,4 +1,5 @@
-//! One send to one instance, up to the head of its answer or its first event.
+//! One attempt: sends a request to one instance and reads the response up to its end or, if it is
+//! a stream, its first event.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -32,137 +33,142 @@
 use crate::loads::InFlight;
 use crate::node::Node;
 use crate::node::ProbeTask;
-use crate::proxy::LEAST_TIME;
+use crate::proxy::MIN_TIME_LEFT;
 use crate::proxy::framing::Framer;
 use crate::routing_table::Target;
 
-/// Time for a connection to come up.
-const CONNECT_TIME: Millis = Millis(40);
-/// The longest answer that is held until it is whole, in bytes.
-const MOST_HELD: usize = 4 * 1024 * 1024;
-
-/// An answer that has begun.
-pub enum Opened {
-    /// It is there as a whole.
-    Whole(Response<ResponseBody>),
-    /// A stream with its first events.
-    Stream(Box<(Parts, Current)>),
+/// Longest wait for a connection to an instance.
+const CONNECT_TIMEOUT: Millis = Millis(40);
+/// Longest response body that is buffered until it is complete, in bytes.
+const BUFFERED_LEN_MAX: usize = 4 * 1024 * 1024;
+
+/// A response that has begun.
+pub enum AttemptResponse {
+    /// The complete response.
+    Complete(Response<ResponseBody>),
+    /// The head of a stream, and its body with the first events.
+    Stream(Box<(Parts, EventStream)>),
 }
 
-/// A stream at an instance.
-pub struct Current {
-    /// Where it runs.
+/// A stream of events from an instance.
+pub struct EventStream {
+    /// The instance that sends it.
     pub target: Arc<Target>,
-    /// Its further events.
+    /// The rest of the body.
     pub body: Incoming,
-    /// Events that are out but not yet passed on.
+    /// Whole events that are not forwarded yet.
     pub ready: Bytes,
-    /// What has been cut into events.
+    /// Splits the body into events.
     pub framer: Framer,
-    /// When its last event came.
-    pub since: Millis,
-    /// Whether nothing more comes.
-    pub is_over: bool,
+    /// When the request was sent.
+    pub sent_at: Millis,
+    /// Whether the body has ended.
+    pub is_complete: bool,
     _driver: Driver,
     in_flight: InFlight,
 }
 
-/// Why an attempt ended whose request's time was up.
-pub const TIME_UP: &str = "its time was up";
+/// Logged reason of an attempt that the deadline ended.
+pub const DEADLINE_PASSED: &str = "the request's deadline passed";
 
-/// Why a request is not sent that is kept from instances.
-pub const HELD: &str = "whoever begins to run it ends";
+/// Logged reason why a quarantined request is not sent.
+pub const QUARANTINED: &str = "instances ended when they began to run it";
 
-/// How an attempt failed, and why.
+/// How an attempt failed, and the reason for logs.
 pub type Failure = (AttemptEnd, &'static str);
 
-/// What is sent, and where.
+/// What [`send_request`] sends, and where to.
 #[derive(Debug, Clone)]
-pub struct Dispatch {
-    /// The request.
-    pub job: Arc<AdmittedRequest>,
-    /// Where it goes.
+pub struct AttemptParams {
+    /// The request that is sent.
+    pub request: Arc<AdmittedRequest>,
+    /// The instance that it is sent to.
     pub target: Arc<Target>,
-    /// The last event that the caller has: a stream goes on behind it.
+    /// The last event that the caller has; a stream continues after it.
     pub last: Option<u64>,
-    /// Set once a byte of it may have left.
+    /// Set once a byte of the request may have been sent.
     pub is_sent: Arc<AtomicBool>,
 }
 
-/// Sends a request, and waits for its whole answer or its first events. Only the
-/// instance's own word, the end of the connection and the request's time end this.
+/// Sends a request, and waits for the complete response or the first events of a stream. Only the
+/// instance's response, the end of the connection and the request's deadline end the wait.
 ///
 /// # Errors
 ///
-/// How the attempt ended without an answer.
-pub async fn open(node: Arc<Node>, dispatch: Dispatch) -> Result<Opened, Failure> {
-    let Dispatch { job, target, last, is_sent } = dispatch;
-    let in_flight = node.loads.begin(&target.id, job.prompt_tokens as u32);
-    let connected = client::connect(&target.address, CONNECT_TIME.to_duration()).await;
+/// How the attempt ended without a response.
+pub async fn send_request(
+    node: Arc<Node>,
+    params: AttemptParams,
+) -> Result<AttemptResponse, Failure> {
+    let AttemptParams { request, target, last, is_sent } = params;
+    let in_flight = node.loads.begin(&target.id, request.prompt_tokens as u32);
+    let connected = client::connect(&target.address, CONNECT_TIMEOUT.to_duration()).await;
     let connected = connected.map_err(|_| {
         node.probe(&target.id, &target.address, ProbeTask::Look);
-        (AttemptEnd::NotSent, "no connection")
+        (AttemptEnd::NotSent, "could not connect")
     })?;
-    let left = job.left(node.now());
-    if left <= LEAST_TIME {
-        return Err((AttemptEnd::NotSent, "no time is left"));
+    let left = request.left(node.now());
+    if left <= MIN_TIME_LEFT {
+        return Err((AttemptEnd::NotSent, "too little time left before the deadline"));
     }
     let permit =
         node.permit(&target.id).map_err(|withheld| (AttemptEnd::Withheld, withheld.why.text()))?;
     let sent = node.now();
     is_sent.store(true, Ordering::Relaxed);
-    let req = request(&job, &target, last, left);
+    let req = upstream_request(&request, &target, last, left);
     let sending = permit.send(connected, req, left.to_duration());
     let (res, driver) = match sending.await {
         Ok(got) => got,
-        Err(CallError::TimedOut { .. }) => return Err((AttemptEnd::Unknown, TIME_UP)),
-        Err(_) => return Err((AttemptEnd::Broken, "the connection broke")),
+        Err(CallError::TimedOut { .. }) => return Err((AttemptEnd::Unknown, DEADLINE_PASSED)),
+        Err(_) => return Err((AttemptEnd::Broken, "the connection broke before the response")),
     };
-    if is_of(&job, &res) {
+    if is_from_target(&request, &res) {
         node.on_rate_limit(&target.id, words::limit(res.headers()), sent);
         node.on_backoff(&target.id, words::rest(res.status(), res.headers(), node.wall()));
         node.on_leaving(&target.id, words::leaves(res.headers()));
     }
-    check_head(&job, &res)?;
-    let is_stream = job.route.kind == RequestKind::Stream && res.status().is_success();
+    check_head(&request, &res)?;
+    let is_stream = request.route.kind == RequestKind::Stream && res.status().is_success();
     if !is_stream {
-        let whole = read_whole(res).await?;
+        let complete = read_complete(res).await?;
         let took = node.now().since(sent);
         node.gaps.lock().on_gap(&target.id, took);
         node.outliers.lock().on_answer(&target.id, took, node.now());
-        return Ok(Opened::Whole(whole));
+        return Ok(AttemptResponse::Complete(complete));
     }
     let (parts, body) = res.into_parts();
-    let mut current = Current {
+    let mut event_stream = EventStream {
         target: Arc::clone(&target),
         body,
         ready: Bytes::new(),
         framer: Framer::after(last),
-        since: sent,
-        is_over: false,
+        sent_at: sent,
+        is_complete: false,
         _driver: driver,
         in_flight,
     };
-    while current.ready.is_empty() && !current.is_over {
-        current
+    while event_stream.ready.is_empty() && !event_stream.is_complete {
+        event_stream
             .read()
             .await
-            .map_err(|(ending, _)| (ending, "it broke off before its first event"))?;
+            .map_err(|(ending, _)| (ending, "the stream broke off before its first event"))?;
     }
-    current.in_flight.on_read();
-    Ok(Opened::Stream(Box::new((parts, current))))
+    event_stream.in_flight.on_first_event();
+    Ok(AttemptResponse::Stream(Box::new((parts, event_stream))))
 }
 
-fn request(
-    job: &AdmittedRequest,
+/// Builds the request for one attempt: adds the time left, the only instance that may run it, and
+/// the last event that the caller has.
+fn upstream_request(
+    request: &AdmittedRequest,
     target: &Target,
     last: Option<u64>,
     left: Millis,
 ) -> Request<Body> {
-    let mut req = Request::new(full(job.body.clone()));
-    *req.method_mut() = job.method.clone();
-    *req.uri_mut() = job.path.parse().expect("the path was one when it came");
-    *req.headers_mut() = job.headers.clone();
+    let mut req = Request::new(full(request.body.clone()));
+    *req.method_mut() = request.method.clone();
+    *req.uri_mut() = request.path.parse().expect("the caller's path was parsed before");
+    *req.headers_mut() = request.headers.clone();
     let headers = req.headers_mut();
     headers.insert(names::TIME_LEFT, HeaderValue::from(left.0));
     if let Ok(id) = HeaderValue::from_str(target.id.as_str()) {
@@ -174,77 +180,86 @@
     req
 }
 
-/// Whether an answer comes from the instance that was asked, and belongs to this request.
-fn is_of(job: &AdmittedRequest, res: &Response<Incoming>) -> bool {
-    res.status() != StatusCode::MISDIRECTED_REQUEST && !is_foreign(job, res.headers())
+/// Whether a response comes from the instance that was addressed, and belongs to this request.
+fn is_from_target(request: &AdmittedRequest, res: &Response<Incoming>) -> bool {
+    res.status() != StatusCode::MISDIRECTED_REQUEST && !is_for_other_request(request, res.headers())
 }
 
-/// Whether an answer is one to this request, and says that it has run.
-fn check_head(job: &AdmittedRequest, res: &Response<Incoming>) -> Result<(), Failure> {
+/// Checks that a response belongs to this request and proves that it has run.
+fn check_head(request: &AdmittedRequest, res: &Response<Incoming>) -> Result<(), Failure> {
     let (status, headers) = (res.status(), res.headers());
     if headers.contains_key(names::NOT_RUN) {
-        return Err((AttemptEnd::Refused, "the upstream has not run it"));
+        return Err((AttemptEnd::Refused, "the upstream refused it without running it"));
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Err((AttemptEnd::Refused, "another instance is there"));
+        return Err((AttemptEnd::Refused, "another instance has this address"));
     }
-    if is_foreign(job, headers) {
-        return Err((AttemptEnd::Unknown, "an answer to another request"));
+    if is_for_other_request(request, headers) {
+        return Err((AttemptEnd::Unknown, "the response belongs to another request"));
     }
     if headers.contains_key(header::CONTENT_ENCODING) {
-        return Err((AttemptEnd::Unknown, "an answer in an encoding that nobody asked for"));
+        return Err((
+            AttemptEnd::Unknown,
+            "the response has a content encoding that was not requested",
+        ));
     }
     if status.is_success() && !headers.contains_key(names::STAMP) {
-        return Err((AttemptEnd::Unknown, "an answer without its proof"));
+        return Err((AttemptEnd::Unknown, "the response has no stamp as proof"));
     }
-    // These would tell the caller that it has not run; only the upstream's own word
-    // says so.
-    let promises = [
+    // The caller would take these to mean that the request has not run. Only the upstream's
+    // `x-not-executed` header says so.
+    let refusals = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::REQUEST_TIMEOUT,
     ];
-    if promises.contains(&status) {
-        return Err((AttemptEnd::Unknown, "a refusal without the word that it has not run"));
+    if refusals.contains(&status) {
+        return Err((
+            AttemptEnd::Unknown,
+            "a refusal that does not state that the request has not run",
+        ));
     }
     Ok(())
 }
 
-fn is_foreign(job: &AdmittedRequest, headers: &HeaderMap) -> bool {
+/// Whether the response names the id of another request.
+fn is_for_other_request(request: &AdmittedRequest, headers: &HeaderMap) -> bool {
     let echoed = headers.get(names::REQUEST_ID);
-    echoed.is_some_and(|echoed| echoed.as_bytes() != job.id.as_bytes())
+    echoed.is_some_and(|echoed| echoed.as_bytes() != request.id.as_bytes())
 }
 
-async fn read_whole(res: Response<Incoming>) -> Result<Response<ResponseBody>, Failure> {
+/// Reads the whole body, up to [`BUFFERED_LEN_MAX`] bytes.
+async fn read_complete(res: Response<Incoming>) -> Result<Response<ResponseBody>, Failure> {
     let (mut parts, body) = res.into_parts();
-    let collected = Limited::new(body, MOST_HELD).collect().await;
-    let bytes = collected.map_err(|_| (AttemptEnd::Broken, "the answer broke off"))?.to_bytes();
-    responses::strip(&mut parts.headers);
-    Ok(Response::from_parts(parts, responses::whole(bytes)))
+    let collected = Limited::new(body, BUFFERED_LEN_MAX).collect().await;
+    let bytes = collected.map_err(|_| (AttemptEnd::Broken, "the response broke off"))?.to_bytes();
+    responses::remove_hop_by_hop(&mut parts.headers);
+    Ok(Response::from_parts(parts, responses::full_body(bytes)))
 }
 
-impl Current {
-    /// Reads on until something comes; whole events are then in `ready`. Nothing is lost
-    /// if this is given up.
+impl EventStream {
+    /// Reads the next bytes; whole events are then in `ready`. Cancel safe: no bytes are lost if
+    /// the future is dropped.
     ///
     /// # Errors
     ///
-    /// Why nothing comes any more.
+    /// Why the stream cannot continue.
     pub async fn read(&mut self) -> Result<(), Failure> {
         match self.body.frame().await {
             Some(Ok(frame)) => {
                 let Ok(data) = frame.into_data() else { return Ok(()) };
                 let ready = self.framer.push(&data);
-                self.ready = ready.ok_or((AttemptEnd::Unknown, "bytes that are no events"))?;
+                self.ready =
+                    ready.ok_or((AttemptEnd::Unknown, "an event is longer than the limit"))?;
                 Ok(())
             }
             Some(Err(_)) => Err((AttemptEnd::Broken, "the stream broke off")),
-            // However its end is told, a stream that is whole ends with an event.
+            // A complete stream ends with a whole event, however the end of the body is marked.
             None if self.framer.has_partial_event() => {
-                Err((AttemptEnd::Broken, "the stream ended within an event"))
+                Err((AttemptEnd::Broken, "the stream ended in the middle of an event"))
             }
             None => {
-                self.is_over = true;
+                self.is_complete = true;
                 Ok(())
             }
         }
