--- a/crates/workshold-core/src/hosted/config_freshness.rs
+++ b/crates/workshold-core/src/hosted/config_freshness.rs
@@ -1,12 +1,12 @@
-//! How fresh the configuration is that a node goes by.
+//! How fresh the configuration is that a node uses.
 //!
-//! What counts is when a question was *sent* that showed this version to be the
-//! newest. Peers pass on what they know with its age, so a node that is cut off
-//! from the store stays current as long as one of its peers is.
+//! What counts is when the poll was *sent* whose answer showed this version to be the newest.
+//! Peers pass on the version that they know with its age, so a node that can't reach the store
+//! stays up to date as long as one of its peers does.
 
 use workshold_protocol::Millis;
 
-/// The newest version that a node holds and since when it is known to be the newest.
+/// The version that a node holds, and when it was last known to be the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ConfigFreshness {
     version: Option<u64>,
@@ -14,12 +14,12 @@
 }
 
 impl ConfigFreshness {
-    /// The version held, if any.
+    /// The version held; `None` before the first one is read.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Takes `version` into force, known to be the newest at `at`.
+    /// Adopts `version`, which was the newest at `at`.
     ///
     /// Returns whether it is newer than the one held. An older one changes nothing.
     pub fn take(&mut self, version: u64, at: Millis) -> bool {
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Somebody saw that `version` was the newest at `at`.
+    /// Records that `version` was the newest at `at`, as this node or a peer saw.
     ///
-    /// Returns whether that is a version that this node lacks.
+    /// Returns whether this node lacks that version.
     pub fn confirm(&mut self, version: u64, at: Millis) -> bool {
         if self.version == Some(version) {
             self.newest_at = self.newest_at.max(at);
@@ -47,12 +47,13 @@
         self.version.is_none_or(|held| version > held)
     }
 
-    /// How long ago the version held was known to be the newest.
+    /// How long ago the version held was last known to be the newest; `None` without a version.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         self.version.map(|_| now.since(self.newest_at))
     }
 
-    /// Whether keys may be believed: nothing older than `bound`.
+    /// Whether the version held was known to be the newest less than `bound` ago. API keys are
+    /// then trusted.
     pub fn is_within(&self, now: Millis, bound: Millis) -> bool {
         self.age(now).is_some_and(|age| age < bound)
     }
--- a/crates/workshold-core/src/hosted/long_poll.rs
+++ b/crates/workshold-core/src/hosted/long_poll.rs
@@ -1,103 +1,107 @@
-//! When a store that holds questions back until there is news is asked again.
+//! Timing of long polls of the store, which holds a poll open until there are changes.
 //!
-//! A question that waits for news looks like one that was lost. So nobody waits for a lost
-//! one's time limit: once its answer is late another is asked beside it, that does not wait,
-//! and one more each [`LongPollRules::retry_interval`] until any of them is answered. What is written after
-//! the store's return is then read within [`LongPollRules::max_delay`], whatever the moment of the
-//! return and however long each question is waited for.
+//! A poll that is held open looks the same as one that was lost. So a node doesn't wait for the
+//! timeout of a lost poll: once the answer is late, it sends another poll in parallel that the
+//! store doesn't hold, then one more every [`LongPollRules::retry_interval`] until any of them is
+//! answered. What is written after an outage of the store is then read within
+//! [`LongPollRules::max_delay`], whenever the outage ends and however long each poll waits.
 
 use workshold_protocol::Millis;
 
-/// The times that whoever asks keeps to.
+/// Times that a node keeps to when it polls the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LongPollRules {
-    /// For how long the store holds the first question if there is no news; none is held while
-    /// the store is in doubt.
+    /// How long the store holds the first poll open if nothing changes. Later polls of the
+    /// round aren't held, since the store may be unavailable.
     pub wait: Millis,
-    /// An answer that is later than its wait by this is late.
+    /// How long after the hold time an answer counts as late.
     pub late_after: Millis,
-    /// The most between two questions while none is answered; drawn from two thirds of it on,
-    /// so that nodes that lost the store at the same moment ask at different ones, and the
-    /// first to hear tells the others.
+    /// Longest time between two polls while none is answered. The actual time is drawn between
+    /// two thirds of this and all of it, so that nodes that lost the store at the same moment
+    /// poll at different moments, and the first one that gets an answer tells the others.
     pub retry_interval: Millis,
 }
 
 impl LongPollRules {
-    /// The longest from the moment at which the store answers again until a question is asked
-    /// that it answers.
+    /// Longest time from the moment at which the store answers again until a poll is sent that
+    /// it answers.
     pub fn max_delay(&self) -> Millis {
         (self.wait + self.late_after).max(self.retry_interval)
     }
 }
 
-/// The pause after the first refusal in a row; it doubles up to half of [`LongPollRules::retry_interval`].
-const PAUSE_LEAST: Millis = Millis(150);
+/// Backoff after the first of several errors in a row; it doubles up to half of
+/// [`LongPollRules::retry_interval`].
+const BACKOFF_MIN: Millis = Millis(150);
 
-/// Questions for one thing, until one of them is answered.
+/// The polls that are sent for one answer.
 #[derive(Debug, Clone)]
 pub struct PollRound {
     rules: LongPollRules,
     asked: u32,
     failed: u32,
-    next: Millis,
-    pause: Millis,
+    next_at: Millis,
+    backoff: Millis,
 }
 
 impl PollRound {
-    /// One whose first question is asked at `now`.
+    /// A round whose first poll is due at `now`.
     pub fn new(rules: LongPollRules, now: Millis) -> Self {
-        Self { rules, asked: 0, failed: 0, next: now, pause: PAUSE_LEAST }
+        Self { rules, asked: 0, failed: 0, next_at: now, backoff: BACKOFF_MIN }
     }
 
-    /// When the next question is asked, unless one is answered before.
+    /// When the next poll is due, unless one is answered before.
     pub fn next_poll_at(&self) -> Millis {
-        self.next
+        self.next_at
     }
 
-    /// Whether the one question asked so far is late, no refusal being the reason for the next.
+    /// Whether one poll was sent and no failure was recorded: then the next poll is due because
+    /// the first one's answer is late.
     pub fn is_first_poll_late(&self) -> bool {
         self.asked == 1 && self.failed == 0
     }
 
-    /// A question is asked; returns for how long the store is to hold it. `draw` is any number.
+    /// Records that a poll is sent, and returns how long the store is to hold it. `draw` is a
+    /// random number that sets when the next poll is due.
     pub fn on_poll_sent(&mut self, now: Millis, draw: u32) -> Millis {
         self.asked += 1;
         if self.asked == 1 && self.rules.wait > Millis::ZERO {
-            self.next = now + self.rules.wait + self.rules.late_after;
+            self.next_at = now + self.rules.wait + self.rules.late_after;
             return self.rules.wait;
         }
-        let third = self.rules.retry_interval.0 / 3;
-        let drawn = (third * u64::from(draw)) >> u32::BITS;
-        self.next = now + Millis(self.rules.retry_interval.0 - third + drawn);
+        let jitter_range = self.rules.retry_interval.0 / 3;
+        let jitter = (jitter_range * u64::from(draw)) >> u32::BITS;
+        self.next_at = now + Millis(self.rules.retry_interval.0 - jitter_range + jitter);
         Millis::ZERO
     }
 
-    /// Part of an answer came: it is on its way, and is not asked for a second time over a
-    /// link that may be small.
+    /// Records that part of an answer came. The rest is on its way, so the next poll is put off:
+    /// the link may be too slow to carry the answer twice.
     pub fn on_partial_answer(&mut self, now: Millis) {
-        self.next = self.next.max(now + self.rules.late_after);
+        self.next_at = self.next_at.max(now + self.rules.late_after);
     }
 
-    /// A question was not answered within its time. The next one does not depend on it.
+    /// Records that a poll timed out. When the next one is due doesn't depend on it.
     pub fn on_timeout(&mut self) {
         self.failed += 1;
     }
 
-    /// A question was refused, or its answer says nothing.
+    /// Records that a poll was refused, or that its answer is unusable: the next one follows
+    /// after a backoff.
     pub fn on_refusal(&mut self, now: Millis) {
         self.failed += 1;
-        self.next = now + self.pause;
-        let most = Millis(self.rules.retry_interval.0 / 2).max(PAUSE_LEAST);
-        self.pause = (self.pause + self.pause).min(most);
+        self.next_at = now + self.backoff;
+        let backoff_max = Millis(self.rules.retry_interval.0 / 2).max(BACKOFF_MIN);
+        self.backoff = (self.backoff + self.backoff).min(backoff_max);
     }
 
-    /// Whether the store may have been away until the question was asked, the `number`th from
-    /// 1 on, that is answered now.
+    /// Whether the store may have been unavailable until the poll was sent that is answered now:
+    /// the `number`th of the round, from 1 on.
     pub fn may_follow_outage(&self, number: u32) -> bool {
         self.failed > 0 || number > 1
     }
 
-    /// Questions that were asked so far.
+    /// Number of polls sent so far.
     pub fn asked(&self) -> u32 {
         self.asked
     }
