--- a/crates/workshold-core/src/hosted/identity.rs
+++ b/crates/workshold-core/src/hosted/identity.rs
@@ -1,30 +1,31 @@
-//! Which life of which instance.
+//! Identifies one incarnation of an instance.
 
 use std::fmt;
 
 use workshold_protocol::ids::Incarnation;
 use workshold_protocol::ids::InstanceId;
 
-/// One life of an instance: what is known of it says nothing about another one.
+/// One incarnation of an instance: what is known of it doesn't apply to any other one.
 ///
-/// The incarnation is when it began, by its own clock in milliseconds, and 0 if it does
-/// not say so. Lives of one instance that say the same cannot be told apart.
+/// The incarnation is the start time of its process by its own clock, in milliseconds, or 0 if
+/// the instance doesn't report it. Incarnations of one instance that report the same time can't
+/// be told apart.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity {
-    /// The instance; a new start may keep it.
+    /// The instance's id, which may stay the same over restarts.
     pub id: InstanceId,
-    /// Which life of it.
+    /// The incarnation of that instance.
     pub incarnation: Incarnation,
 }
 
 impl Identity {
-    /// The id as text.
+    /// The instance's id as text, without the incarnation.
     pub fn as_str(&self) -> &str {
         self.id.as_str()
     }
 }
 
-/// The only life of an instance that does not say when it began.
+/// The identity of an instance that doesn't report its start time.
 impl From<InstanceId> for Identity {
     fn from(id: InstanceId) -> Self {
         Self { id, incarnation: Incarnation::default() }
