--- a/crates/workshold-core/src/hosted/demand.rs
+++ b/crates/workshold-core/src/hosted/demand.rs
@@ -1,4 +1,4 @@
-//! What callers ask of each model, from the requests that come.
+//! Estimates the demand for each model from the requests that arrive at this node.
 
 use std::collections::BTreeMap;
 
@@ -7,110 +7,118 @@
 
 use super::capacity::Workload;
 
-/// A request as far as demand is concerned.
+/// What one request adds to the demand for its model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestCost {
-    /// Tokens of its prompt.
+    /// Number of tokens in its prompt.
     pub prompt_tokens: f64,
-    /// The longest pause that is in time.
+    /// The longest pause between two events of its answer that meets the route's goal.
     pub pause_goal: Millis,
 }
 
-/// How long a request counts: long enough to see what is usual, short enough to
-/// follow a shift within seconds.
-const FADES: Millis = Millis(3_000);
-/// Weight of the newest answer's length.
-const SMOOTHING: f64 = 0.02;
+/// Time constant of the exponential decay by which a request counts less and less: long enough
+/// to even out single arrivals, short enough to follow a shift of demand within seconds.
+const DECAY_TIME: Millis = Millis(3_000);
+/// Weight of the newest answer in the moving average of answer lengths.
+const LENGTH_SMOOTHING: f64 = 0.02;
 
-/// One node's part of what is asked of a model.
+/// The requests for one model that arrived at this node.
 #[derive(Debug, Clone, Default)]
 struct Arrivals {
-    /// Sums that fade: requests, prompt tokens, and goals times requests.
+    /// Decaying sums over requests: their number, their prompt tokens and their pause goals.
     requests: f64,
     prompt_tokens: f64,
-    goals: f64,
-    events_each: Option<f64>,
-    at: Millis,
+    pause_goals: f64,
+    /// Mean number of events in an answer; `None` before the first one.
+    mean_events: Option<f64>,
+    /// When the sums were last decayed.
+    decayed_at: Millis,
 }
 
 impl Arrivals {
-    fn add(&mut self, asked: RequestCost, weight: f64) {
+    /// Adds one request with `weight`, or takes one off if that is negative.
+    fn add_request(&mut self, cost: RequestCost, weight: f64) {
         self.requests = (self.requests + weight).max(0.0);
-        self.prompt_tokens = (self.prompt_tokens + asked.prompt_tokens * weight).max(0.0);
-        self.goals = (self.goals + asked.pause_goal.0 as f64 * weight).max(0.0);
+        self.prompt_tokens = (self.prompt_tokens + cost.prompt_tokens * weight).max(0.0);
+        self.pause_goals = (self.pause_goals + cost.pause_goal.0 as f64 * weight).max(0.0);
     }
 
-    fn fade(&mut self, now: Millis) {
-        let factor = (-(now.since(self.at).0 as f64) / FADES.0 as f64).exp();
+    /// Decays the sums to `now`.
+    fn decay(&mut self, now: Millis) {
+        let factor = (-(now.since(self.decayed_at).0 as f64) / DECAY_TIME.0 as f64).exp();
         self.requests *= factor;
         self.prompt_tokens *= factor;
-        self.goals *= factor;
-        self.at = self.at.max(now);
+        self.pause_goals *= factor;
+        self.decayed_at = self.decayed_at.max(now);
     }
 }
 
-/// How much less a request counts that was refused: about half of them come back.
-const COMES_BACK: f64 = 0.5;
+/// Weight that is taken off for a refused request: about half of them are sent again and would
+/// be counted twice.
+const RETRIED_FRACTION: f64 = 0.5;
 
-/// Requests at this node by model.
+/// Requests that arrived at this node, by model.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
     by_model: BTreeMap<SmolStr, Arrivals>,
+    /// When the first request arrived.
     since: Option<Millis>,
 }
 
 impl Demand {
-    /// A request came, whether it can be served or not.
-    pub fn on_request(&mut self, model: &SmolStr, asked: RequestCost, now: Millis) {
+    /// Counts a request that arrived, whether or not it can be served.
+    pub fn on_request(&mut self, model: &SmolStr, cost: RequestCost, now: Millis) {
         self.since.get_or_insert(now);
         let arrivals = self.arrivals(model, now);
-        arrivals.fade(now);
-        arrivals.add(asked, 1.0);
+        arrivals.decay(now);
+        arrivals.add_request(cost, 1.0);
     }
 
-    /// A request was refused: it comes back, and is counted again.
-    pub fn on_refusal(&mut self, model: &SmolStr, asked: RequestCost, now: Millis) {
+    /// Takes part of a refused request off again: its caller is likely to send it once more, and
+    /// then it is counted again.
+    pub fn on_refusal(&mut self, model: &SmolStr, cost: RequestCost, now: Millis) {
         let arrivals = self.arrivals(model, now);
-        arrivals.fade(now);
-        arrivals.add(asked, -COMES_BACK);
+        arrivals.decay(now);
+        arrivals.add_request(cost, -RETRIED_FRACTION);
     }
 
-    /// An answer of so many events came to its end; `usual_events` is what was expected
-    /// of it before any was seen.
+    /// Records that an answer of `events` events is complete. `usual_events` is the length that
+    /// is assumed before the first answer.
     pub fn on_answer(&mut self, model: &SmolStr, events: f64, usual_events: f64, now: Millis) {
         let arrivals = self.arrivals(model, now);
-        let mean = arrivals.events_each.get_or_insert(usual_events);
-        *mean += SMOOTHING * (events - *mean);
+        let mean = arrivals.mean_events.get_or_insert(usual_events);
+        *mean += LENGTH_SMOOTHING * (events - *mean);
     }
 
-    /// What is asked of each model, a second; answers are as long as those before, or
-    /// `usual_events`.
+    /// Demand for each model per second. Answers are taken to be as long as earlier ones of the
+    /// model, or `usual_events` long if there were none.
     pub fn all(&self, usual_events: f64, now: Millis) -> Vec<(SmolStr, Workload)> {
-        let fades_s = FADES.as_secs_f64();
+        let decay_s = DECAY_TIME.as_secs_f64();
         let work = |arrivals: &Arrivals| {
             let mut arrivals = arrivals.clone();
-            arrivals.fade(now);
-            let requests = arrivals.requests / fades_s;
-            let goal = arrivals.goals / arrivals.requests.max(f64::MIN_POSITIVE);
+            arrivals.decay(now);
+            let requests = arrivals.requests / decay_s;
+            let goal = arrivals.pause_goals / arrivals.requests.max(f64::MIN_POSITIVE);
             Workload {
                 requests,
-                prompt_tokens: arrivals.prompt_tokens / fades_s,
-                events: requests * arrivals.events_each.unwrap_or(usual_events),
+                prompt_tokens: arrivals.prompt_tokens / decay_s,
+                events: requests * arrivals.mean_events.unwrap_or(usual_events),
                 pause_goal: Millis(goal as u64),
             }
         };
         self.by_model.iter().map(|(model, arrivals)| (model.clone(), work(arrivals))).collect()
     }
 
-    /// The part of what is asked that this shows so long after the first request; the
-    /// rest is not seen yet.
+    /// The fraction of the demand that the sums show so long after the first request: they need
+    /// several times `DECAY_TIME` to reach the full rate.
     pub fn observed_fraction(&self, now: Millis) -> f64 {
-        self.since.map_or(0.0, |since| 1.0 - (-(now.since(since).0 as f64) / FADES.0 as f64).exp())
+        self.since
+            .map_or(0.0, |since| 1.0 - (-(now.since(since).0 as f64) / DECAY_TIME.0 as f64).exp())
     }
 
     fn arrivals(&mut self, model: &SmolStr, now: Millis) -> &mut Arrivals {
         self.by_model
             .entry(model.clone())
-            .or_insert_with(|| Arrivals { at: now, ..Arrivals::default() })
+            .or_insert_with(|| Arrivals { decayed_at: now, ..Arrivals::default() })
     }
 }
--- a/crates/workshold-core/src/hosted/fingerprint.rs
+++ b/crates/workshold-core/src/hosted/fingerprint.rs
@@ -1,18 +1,18 @@
-//! What a request asks, apart from its id.
+//! A hash of a request's content, without its id.
 //!
-//! Two requests with one fingerprint ask the same of the same upstreams for the same
-//! caller. The caller belongs to it: what one of them sends can say nothing about the
-//! requests of another.
+//! Two requests with one fingerprint ask the same of the same upstreams for the same caller. The
+//! caller is part of it, so that what one caller sends can't count against another's requests.
 
 use std::fmt;
 
-/// A request's content as a number; so wide that nobody finds two that meet.
+/// A hash of a request's content; 128 bits, so that nobody finds a collision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// Of what `caller`, if requests here have one, asks by `path` and `body`. Each part
-    /// goes in behind its length, so that none can be taken for the beginning of the next.
+    /// The fingerprint of a request by `caller` (`None` if callers aren't identified) for `path`
+    /// with `body`. Each part is hashed after its length, so that moving bytes from one part to
+    /// the next gives another fingerprint.
     pub fn of(caller: Option<&str>, path: &str, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&[u8::from(caller.is_some())]);
@@ -25,11 +25,11 @@
         Self(u128::from_be_bytes(bytes))
     }
 
-    /// Reads what [`fmt::Display`] wrote.
+    /// Parses the text that [`fmt::Display`] writes.
     ///
     /// # Errors
     ///
-    /// If it is no number in base 16.
+    /// If it isn't a hexadecimal number of at most 128 bits.
     pub fn parse(text: &str) -> Result<Self, std::num::ParseIntError> {
         u128::from_str_radix(text, 16).map(Self)
     }
