--- a/crates/workshold-core/src/hosted/instance_limits.rs
+++ b/crates/workshold-core/src/hosted/instance_limits.rs
@@ -1,288 +1,306 @@
-//! What instances take, by their own word: so many requests a second, nothing of this node for a
-//! while, or nothing any more; and who sends how much.
+//! Limits that instances announce in their answers, and how nodes share them.
 //!
-//! A rest is between an instance and the node that it refused; that it leaves and its limit are
-//! for all nodes. All three belong to one life of an instance. The word comes in answers, which
-//! overtake each other, and from other nodes, whose word is older than it looks. What tightens a
-//! limit counts at once; what loosens it counts only if it was certainly said later: its request
-//! left after the word that it replaces had come.
+//! An instance can announce a rate limit, a backoff (it wants nothing from this node for a
+//! while), or that it is shutting down. A backoff concerns only the node whose request was
+//! refused; a rate limit and a shutdown concern all nodes. All three belong to one incarnation of
+//! an instance. Reports of them come in answers, which can overtake each other, and from other
+//! nodes, whose reports may be older than they look. A report that lowers a rate limit counts at
+//! once. One that raises or lifts it counts only if it is certainly the later one: its request
+//! was sent after the report that it replaces had come.
 //!
-//! Nodes keep to a limit together without asking each other. The first few of them, in an order
-//! that all see alike, are its senders; each has an equal part of the limit and of what all of
-//! them may save up, so that over any `T` seconds they send no more than the limit times `T` and
-//! that. How many senders there are follows from the limit: with few requests a second one
-//! saved up at each of hundreds of nodes would be more than the limit itself. Whoever becomes a
-//! sender starts with nothing saved up, so that a change of senders adds nothing.
+//! Nodes keep to a rate limit together without coordination. The first few nodes, in an order
+//! that all nodes see alike, are the instance's senders. Each has a token bucket with an equal
+//! share of the rate limit and of the total burst, so that over any `T` seconds all senders send
+//! at most the limit times `T` plus that burst. The number of senders follows from the limit: at
+//! a few requests per second, one saved token at each of hundreds of nodes would be more than the
+//! limit itself. A node that becomes a sender starts with an empty bucket, so that a change of
+//! senders adds nothing.
 
 use std::collections::BTreeMap;
 
 use workshold_protocol::Millis;
 
-/// A number of requests a second, in thousandths.
+/// A rate in thousandths of a request per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rate(pub u32);
 
 impl Rate {
-    /// Of a number that is not negative; what is beyond the thousandth is left out.
+    /// Converts from requests per second, rounded down to a thousandth. `number` isn't negative.
     pub fn per_s(number: f64) -> Self {
         Self((number * 1000.0).floor() as u32)
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn as_per_s(self) -> f64 {
         f64::from(self.0) / 1000.0
     }
 }
 
-/// What an instance said of how much it takes.
+/// An instance's rate limit, with the time span in which the instance reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitReport {
-    /// Its limit, for all nodes together; `None` for none.
+    /// The limit for all nodes together; `None` if there is none.
     pub limit: Option<Rate>,
-    /// When the request left whose answer said so: it was said later.
+    /// When the request was sent whose answer reported the limit, which was after this.
     pub asked: Millis,
-    /// When that answer came: it was said earlier.
+    /// When that answer came: the limit was reported before this.
     pub heard: Millis,
 }
 
-/// How words are weighed.
+/// Parameters of [`InstanceLimits`].
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct IntakeRules {
-    /// Times of other nodes' words may be off by so much.
+pub struct LimitRules {
+    /// How far the times in reports from other nodes may be off.
     pub slack: Millis,
-    /// Requests that a node has saved up when it becomes a sender.
-    pub saved_at_first: f64,
+    /// Tokens in the bucket of a node that becomes a sender.
+    pub initial_tokens: f64,
 }
 
-impl Default for IntakeRules {
+impl Default for LimitRules {
     fn default() -> Self {
-        Self { slack: Millis(500), saved_at_first: 0.0 }
+        Self { slack: Millis(500), initial_tokens: 0.0 }
     }
 }
 
-/// Whether a node is one of an instance's senders, and how many there are.
+/// A node's share of an instance's rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SenderShare {
-    /// Whether it is one of them.
+    /// Whether the node is one of the instance's senders.
     pub is_sender: bool,
-    /// How many there are.
+    /// The number of senders.
     pub senders: usize,
 }
 
-/// An instance takes nothing from this node for now, by its own word.
+/// A request may not be sent to an instance now, because of a limit that it announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Withheld {
-    /// When it may take the next request, if nothing else is said; `None` for never.
+    /// When the next request may be sent, unless the limit changes; `None` for never.
     pub until: Option<Millis>,
-    /// What it said.
+    /// Which limit it is.
     pub why: WithheldReason,
 }
 
-/// What an instance said that keeps requests from it.
+/// A limit that an instance announced and that holds requests back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WithheldReason {
-    /// How many requests a second it takes.
+    /// Its rate limit.
     Limit,
-    /// That it wants nothing from this node for a while.
-    Rest,
-    /// That it leaves.
+    /// A backoff: it wants nothing from this node for a while.
+    Backoff,
+    /// It is shutting down.
     Leaving,
 }
 
 impl WithheldReason {
-    /// The same for logs.
+    /// The reason as text, for logs.
     pub const fn text(self) -> &'static str {
         match self {
-            Self::Limit => "its instance takes no more by the limit that it names",
-            Self::Rest => "its instance has asked this node for rest",
-            Self::Leaving => "its instance leaves",
+            Self::Limit => "the instance's rate limit is reached",
+            Self::Backoff => "the instance has asked this node to back off",
+            Self::Leaving => "the instance is shutting down",
         }
     }
 }
 
-/// So many are sent a second however low the limit is, or nobody would hear of its end.
-const LEAST: Rate = Rate(250);
-/// Requests that all senders together may have saved up: so many, and this part of a second's.
-/// Over four seconds they then send less than one and a half times the limit and five more, by
-/// half a second's and two requests: for those that are late on the way, and for nodes that
-/// differ in who sends.
-const MOST_SAVED: f64 = 3.0;
-const MOST_SAVED_PART: f64 = 1.5;
-/// A word that nobody confirmed for this long is forgotten; whoever sends confirms it every few
-/// seconds.
-const FORGET_AFTER: Millis = Millis::from_secs(60);
-/// What a life said is kept for so long after it is known no more: its entry may come back.
-const LIFE_KEPT: Millis = Millis::from_secs(600);
-/// So often what is news is told.
-const TELLS: u8 = 3;
-/// Of a whole request; what is missing beyond it is rounding.
-const ROUNDING: f64 = 1e-6;
-
-/// How many of `nodes` send to an instance with this limit.
+/// Rate at which requests are sent however low the limit is: the end of a limit is reported only
+/// in an answer.
+const RATE_MIN: Rate = Rate(250);
+/// Burst of all senders together: this many requests, plus [`BURST_SECONDS`] times the requests
+/// of one second at the limit. An instance may get at most one and a half times its limit plus
+/// five requests over four seconds. This burst stays below that by the requests of half a second
+/// plus two, which leaves room for requests that are delayed on the way, and for nodes that
+/// disagree about who the senders are.
+const BURST_BASE: f64 = 3.0;
+const BURST_SECONDS: f64 = 1.5;
+/// A limit that no answer has confirmed for this long is dropped. While requests are sent to the
+/// instance, answers confirm it every few seconds.
+const LIMIT_TTL: Millis = Millis::from_secs(60);
+/// How long backoffs and shutdowns are kept of an incarnation that is no longer listed: its entry
+/// may come back.
+const UNLISTED_TTL: Millis = Millis::from_secs(600);
+/// How many times a changed limit is sent to peers ahead of the others: a message may be lost.
+const GOSSIP_REPEATS: u8 = 3;
+/// A bucket that lacks less than this of one request counts as holding it: it is a rounding error.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+
+/// How many of `nodes` are senders to an instance with this limit.
 pub fn senders(limit: Rate, nodes: usize) -> usize {
-    (saved_by_all(limit) as usize).min(nodes.max(1))
+    (total_burst(limit) as usize).min(nodes.max(1))
 }
 
-/// How many requests all senders together may have saved up.
-fn saved_by_all(limit: Rate) -> f64 {
-    MOST_SAVED + MOST_SAVED_PART * limit.as_per_s()
+/// Burst of all senders together, in requests.
+fn total_burst(limit: Rate) -> f64 {
+    BURST_BASE + BURST_SECONDS * limit.as_per_s()
 }
 
-/// Until when an instance wants nothing, and when it said so.
+/// Until when an instance wants nothing from this node, and when it last said so.
 #[derive(Debug, Clone, Copy)]
-struct Resting {
+struct InstanceBackoff {
     until: Millis,
-    said: Millis,
+    reported_at: Millis,
 }
 
+/// An instance's rate limit and the token bucket of this node for it.
 #[derive(Debug, Clone, Copy)]
-struct Taking {
-    word: LimitReport,
-    /// Requests saved up at `at`, if this node was a sender then.
-    saved: f64,
-    at: Millis,
+struct LimitState {
+    report: LimitReport,
+    /// Tokens in the bucket at `refilled_at`, if this node was a sender then.
+    tokens: f64,
+    refilled_at: Millis,
     was_sender: bool,
-    tells: u8,
+    /// How many more times the limit is sent to peers ahead of unchanged ones.
+    gossip_left: u8,
 }
 
-impl Taking {
-    /// Requests that may be sent a second by a sender; `None` for any number.
-    fn share(&self, part: SenderShare) -> Option<f64> {
-        Some(self.word.limit?.max(LEAST).as_per_s() / part.senders.max(1) as f64)
+impl LimitState {
+    /// Rate of one sender in requests per second; `None` for any number.
+    fn sender_rate(&self, share: SenderShare) -> Option<f64> {
+        Some(self.report.limit?.max(RATE_MIN).as_per_s() / share.senders.max(1) as f64)
     }
 
-    /// Adds what has been saved up since it was last asked for.
-    fn refill(&mut self, rules: IntakeRules, share: f64, part: SenderShare, now: Millis) {
-        self.saved = match (part.is_sender, self.was_sender) {
+    /// Adds the tokens that have accrued since the last refill.
+    fn refill(&mut self, rules: LimitRules, sender_rate: f64, share: SenderShare, now: Millis) {
+        self.tokens = match (share.is_sender, self.was_sender) {
             (false, _) => 0.0,
-            (true, false) => rules.saved_at_first,
+            (true, false) => rules.initial_tokens,
             (true, true) => {
-                let limit = self.word.limit.unwrap_or(LEAST);
-                let most = (saved_by_all(limit) / part.senders.max(1) as f64).max(1.0);
-                (self.saved + share * now.since(self.at).as_secs_f64()).min(most)
+                let limit = self.report.limit.unwrap_or(RATE_MIN);
+                let sender_burst = (total_burst(limit) / share.senders.max(1) as f64).max(1.0);
+                (self.tokens + sender_rate * now.since(self.refilled_at).as_secs_f64())
+                    .min(sender_burst)
             }
         };
-        self.at = now;
-        self.was_sender = part.is_sender;
+        self.refilled_at = now;
+        self.was_sender = share.is_sender;
     }
 
-    /// When the next request may be sent, if not now.
-    fn look(&mut self, rules: IntakeRules, part: SenderShare, now: Millis) -> Result<(), Withheld> {
-        let Some(share) = self.share(part) else { return Ok(()) };
-        self.refill(rules, share, part, now);
-        if self.saved >= 1.0 - ROUNDING {
+    /// Whether a request may be sent now, and otherwise when.
+    fn look(&mut self, rules: LimitRules, share: SenderShare, now: Millis) -> Result<(), Withheld> {
+        let Some(sender_rate) = self.sender_rate(share) else { return Ok(()) };
+        self.refill(rules, sender_rate, share, now);
+        if self.tokens >= 1.0 - ROUNDING_TOLERANCE {
             return Ok(());
         }
-        // Whoever does not send points to the next request of all senders.
-        let (missing, rate) = match part.is_sender {
-            true => (1.0 - self.saved, share),
-            false => (1.0, share * part.senders as f64),
+        // A node that isn't a sender names the time of the next request of any sender.
+        let (missing, rate) = match share.is_sender {
+            true => (1.0 - self.tokens, sender_rate),
+            false => (1.0, sender_rate * share.senders as f64),
         };
         let until = now + Millis((missing / rate * 1000.0).ceil() as u64);
         Err(Withheld { until: Some(until), why: WithheldReason::Limit })
     }
 }
 
-/// What instances said of how much they take, and what this node may send them.
+/// The limits that instances have announced, and what this node may send to them.
 #[derive(Debug, Clone)]
 pub struct InstanceLimits<K> {
-    rules: IntakeRules,
-    takings: BTreeMap<K, Taking>,
-    /// Until when instances want nothing from this node, and when they last said so.
-    rests: BTreeMap<K, Resting>,
-    /// Lives that leave, and when that was first heard.
+    rules: LimitRules,
+    rate_limits: BTreeMap<K, LimitState>,
+    backoffs: BTreeMap<K, InstanceBackoff>,
+    /// Incarnations that are shutting down, and when this was first reported.
     leaving: BTreeMap<K, Millis>,
-    /// Who was told of last in turn.
-    turn: Option<K>,
+    /// The last one that was sent to peers in turn.
+    last_in_turn: Option<K>,
 }
 
 impl<K: Ord + Clone> Default for InstanceLimits<K> {
     fn default() -> Self {
-        Self::new(IntakeRules::default())
+        Self::new(LimitRules::default())
     }
 }
 
 impl<K: Ord + Clone> InstanceLimits<K> {
-    /// Nothing was said yet.
-    pub fn new(rules: IntakeRules) -> Self {
-        let (takings, rests, leaving) = Default::default();
-        Self { rules, takings, rests, leaving, turn: None }
+    /// Starts without any limit.
+    pub fn new(rules: LimitRules) -> Self {
+        let (rate_limits, backoffs, leaving) = Default::default();
+        Self { rules, rate_limits, backoffs, leaving, last_in_turn: None }
     }
 
-    /// Whether no instance has said anything.
+    /// Whether no limit is known.
     pub fn is_empty(&self) -> bool {
-        self.takings.is_empty() && self.rests.is_empty() && self.leaving.is_empty()
+        self.rate_limits.is_empty() && self.backoffs.is_empty() && self.leaving.is_empty()
     }
 
-    /// The limit of an instance.
+    /// The rate limit of an instance; `None` if it has none.
     pub fn limit(&self, id: &K) -> Option<Rate> {
-        self.takings.get(id)?.word.limit
+        self.rate_limits.get(id)?.report.limit
     }
 
-    /// All limits.
+    /// All instances with a rate limit.
     pub fn limits(&self) -> impl Iterator<Item = (&K, Rate)> {
-        self.takings.iter().filter_map(|(id, taking)| Some((id, taking.word.limit?)))
+        self.rate_limits.iter().filter_map(|(id, state)| Some((id, state.report.limit?)))
     }
 
-    /// An instance said something, to this node or by another one's word. Returns whether it is
-    /// another limit.
-    pub fn on_limit_report(&mut self, id: &K, word: LimitReport) -> bool {
-        let Some(taking) = self.takings.get_mut(id) else {
-            if word.limit.is_none() {
+    /// Records a rate limit that an instance reported to this node or to a peer. Returns whether
+    /// the limit changed.
+    pub fn on_limit_report(&mut self, id: &K, report: LimitReport) -> bool {
+        let Some(state) = self.rate_limits.get_mut(id) else {
+            if report.limit.is_none() {
                 return false;
             }
-            let (saved, at) = (self.rules.saved_at_first, word.heard);
-            let taking = Taking { word, saved, at, was_sender: false, tells: TELLS };
-            self.takings.insert(id.clone(), taking);
+            let (tokens, refilled_at) = (self.rules.initial_tokens, report.heard);
+            let state = LimitState {
+                report,
+                tokens,
+                refilled_at,
+                was_sender: false,
+                gossip_left: GOSSIP_REPEATS,
+            };
+            self.rate_limits.insert(id.clone(), state);
             return true;
         };
-        let held = taking.word;
-        if word.limit == held.limit {
-            taking.word.asked = held.asked.max(word.asked);
-            taking.word.heard = held.heard.max(word.heard);
+        let known = state.report;
+        if report.limit == known.limit {
+            state.report.asked = known.asked.max(report.asked);
+            state.report.heard = known.heard.max(report.heard);
             return false;
         }
-        let tightens = match (word.limit, held.limit) {
-            (Some(limit), Some(was)) => limit < was,
+        let lowers = match (report.limit, known.limit) {
+            (Some(limit), Some(previous)) => limit < previous,
             (limit, _) => limit.is_some(),
         };
-        let counts = if tightens {
-            word.heard + self.rules.slack > held.asked
+        let is_accepted = if lowers {
+            report.heard + self.rules.slack > known.asked
         } else {
-            word.asked >= held.heard + self.rules.slack
+            report.asked >= known.heard + self.rules.slack
         };
-        if counts {
-            taking.word = word;
-            taking.tells = TELLS;
+        if is_accepted {
+            state.report = report;
+            state.gossip_left = GOSSIP_REPEATS;
         }
-        counts
+        is_accepted
     }
 
-    /// An instance that refuses wants nothing from this node for so long from `now` on; of
-    /// several times the one that ends last counts.
-    pub fn on_backoff(&mut self, id: &K, rest: Millis, now: Millis) {
-        let backing_off = self.rests.entry(id.clone()).or_insert(Resting { until: now, said: now });
-        *backing_off = Resting { until: backing_off.until.max(now + rest), said: now };
+    /// Records that an instance refused a request and wants nothing from this node for `backoff`
+    /// from `now` on. Of several such times the one that ends last counts.
+    pub fn on_backoff(&mut self, id: &K, backoff: Millis, now: Millis) {
+        let backing_off = self
+            .backoffs
+            .entry(id.clone())
+            .or_insert(InstanceBackoff { until: now, reported_at: now });
+        *backing_off =
+            InstanceBackoff { until: backing_off.until.max(now + backoff), reported_at: now };
     }
 
-    /// For how long an instance wants nothing from this node.
+    /// How long an instance still wants nothing from this node; zero if it takes requests.
     pub fn backoff_left(&self, id: &K, now: Millis) -> Millis {
-        self.rests.get(id).map_or(Millis::ZERO, |backing_off| backing_off.until.since(now))
+        self.backoffs.get(id).map_or(Millis::ZERO, |backing_off| backing_off.until.since(now))
     }
 
-    /// How many instances want nothing from this node.
+    /// How many instances want nothing from this node at `now`.
     pub fn backing_off(&self, now: Millis) -> usize {
-        self.rests.values().filter(|backing_off| backing_off.until > now).count()
+        self.backoffs.values().filter(|backing_off| backing_off.until > now).count()
     }
 
-    /// An instance leaves: this life of it takes nothing any more. Returns whether that is news.
+    /// Records that this incarnation of an instance is shutting down and takes no more requests.
+    /// Returns whether that is news.
     pub fn on_leaving(&mut self, id: &K, now: Millis) -> bool {
         let is_news = !self.leaving.contains_key(id);
         self.leaving.entry(id.clone()).or_insert(now);
         is_news
     }
 
-    /// Lives of which it was first heard within `age` that they leave, the last ones first.
+    /// Incarnations whose shutdown was first reported less than `age` ago, the latest ones first.
     pub fn recently_leaving(&self, age: Millis, now: Millis) -> Vec<K> {
         let new = self.leaving.iter().filter(|(_, heard)| now.since(**heard) < age);
         let mut new: Vec<(&K, Millis)> = new.map(|(id, heard)| (id, *heard)).collect();
@@ -290,67 +308,78 @@
         new.into_iter().map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether an instance has said what keeps requests from it, or bounds them.
+    /// Whether an instance has announced a limit that holds now, of any kind.
     pub fn restricts_sending(&self, id: &K, now: Millis) -> bool {
-        let rests = self.rests.get(id).is_some_and(|backing_off| backing_off.until > now);
-        rests || self.limit(id).is_some() || self.leaving.contains_key(id)
+        let is_backing_off =
+            self.backoffs.get(id).is_some_and(|backing_off| backing_off.until > now);
+        is_backing_off || self.limit(id).is_some() || self.leaving.contains_key(id)
     }
 
-    /// Whether a request may be sent to an instance now; `part` is this node's of its limit.
+    /// Checks whether a request may be sent to an instance now, where `share` is this node's share
+    /// of the instance's rate limit.
     ///
     /// # Errors
     ///
     /// [`Withheld`] if not.
-    pub fn look(&mut self, id: &K, part: SenderShare, now: Millis) -> Result<(), Withheld> {
+    pub fn look(&mut self, id: &K, share: SenderShare, now: Millis) -> Result<(), Withheld> {
         if self.leaving.contains_key(id) {
             return Err(Withheld { until: None, why: WithheldReason::Leaving });
         }
-        if let Some(backing_off) = self.rests.get(id).filter(|backing_off| backing_off.until > now)
+        if let Some(backing_off) =
+            self.backoffs.get(id).filter(|backing_off| backing_off.until > now)
         {
-            return Err(Withheld { until: Some(backing_off.until), why: WithheldReason::Rest });
+            return Err(Withheld { until: Some(backing_off.until), why: WithheldReason::Backoff });
         }
         let rules = self.rules;
-        self.takings.get_mut(id).map_or(Ok(()), |taking| taking.look(rules, part, now))
+        self.rate_limits.get_mut(id).map_or(Ok(()), |state| state.look(rules, share, now))
     }
 
-    /// Takes one request out of what may be sent to an instance.
+    /// Takes a token for one request to an instance.
     ///
     /// # Errors
     ///
     /// [`Withheld`] if it may not be sent now.
-    pub fn take(&mut self, id: &K, part: SenderShare, now: Millis) -> Result<(), Withheld> {
-        self.look(id, part, now)?;
-        if let Some(taking) = self.takings.get_mut(id).filter(|taking| taking.word.limit.is_some())
+    pub fn take(&mut self, id: &K, share: SenderShare, now: Millis) -> Result<(), Withheld> {
+        self.look(id, share, now)?;
+        if let Some(state) =
+            self.rate_limits.get_mut(id).filter(|state| state.report.limit.is_some())
         {
-            taking.saved -= 1.0;
+            state.tokens -= 1.0;
         }
         Ok(())
     }
 
-    /// What is to be told to others now, at most so many: news first, then the rest in turn.
-    pub fn next_to_gossip(&mut self, most: usize) -> Vec<(K, LimitReport)> {
-        let news = self.takings.iter().filter(|(_, taking)| taking.tells > 0);
-        let mut told: Vec<K> = news.map(|(id, _)| id.clone()).take(most).collect();
-        let after = self.takings.keys().filter(|id| self.turn.as_ref().is_none_or(|t| *id > t));
-        let before = self.takings.keys().filter(|id| self.turn.as_ref().is_some_and(|t| *id <= t));
-        let in_turn = after.chain(before).filter(|id| self.takings[*id].tells == 0);
-        let in_turn: Vec<K> = in_turn.take(most - told.len()).cloned().collect();
-        self.turn = in_turn.last().cloned().or(self.turn.take());
-        told.extend(in_turn);
-        let tell = |id: K| {
-            let taking = self.takings.get_mut(&id)?;
-            taking.tells = taking.tells.saturating_sub(1);
-            Some((id, taking.word))
+    /// Up to `max_count` rate limits to be sent to peers now: changed ones first, then the others
+    /// in turn.
+    pub fn next_to_gossip(&mut self, max_count: usize) -> Vec<(K, LimitReport)> {
+        let changed = self.rate_limits.iter().filter(|(_, state)| state.gossip_left > 0);
+        let mut chosen: Vec<K> = changed.map(|(id, _)| id.clone()).take(max_count).collect();
+        let rest_of_turn =
+            self.rate_limits.keys().filter(|id| self.last_in_turn.as_ref().is_none_or(|t| *id > t));
+        let start_of_turn = self
+            .rate_limits
+            .keys()
+            .filter(|id| self.last_in_turn.as_ref().is_some_and(|t| *id <= t));
+        let in_turn =
+            rest_of_turn.chain(start_of_turn).filter(|id| self.rate_limits[*id].gossip_left == 0);
+        let in_turn: Vec<K> = in_turn.take(max_count - chosen.len()).cloned().collect();
+        self.last_in_turn = in_turn.last().cloned().or(self.last_in_turn.take());
+        chosen.extend(in_turn);
+        let to_message = |id: K| {
+            let state = self.rate_limits.get_mut(&id)?;
+            state.gossip_left = state.gossip_left.saturating_sub(1);
+            Some((id, state.report))
         };
-        told.into_iter().filter_map(tell).collect()
+        chosen.into_iter().filter_map(to_message).collect()
     }
 
-    /// Forgets limits that nobody has confirmed for long, rests that are over, and what was long
-    /// ago said by lives that are not among those known.
+    /// Drops rate limits that no answer has confirmed for long, backoffs that are over, and what
+    /// incarnations that are no longer known announced long ago.
     pub fn forget(&mut self, now: Millis, is_known: impl Fn(&K) -> bool) {
-        self.takings.retain(|_, taking| now.since(taking.word.heard) < FORGET_AFTER);
-        let is_there = |id: &K, said: Millis| is_known(id) || now.since(said) < LIFE_KEPT;
-        self.rests.retain(|id, rest| rest.until > now && is_there(id, rest.said));
-        self.leaving.retain(|id, said| is_there(id, *said));
+        self.rate_limits.retain(|_, state| now.since(state.report.heard) < LIMIT_TTL);
+        let is_kept =
+            |id: &K, reported_at: Millis| is_known(id) || now.since(reported_at) < UNLISTED_TTL;
+        self.backoffs.retain(|id, backoff| backoff.until > now && is_kept(id, backoff.reported_at));
+        self.leaving.retain(|id, reported_at| is_kept(id, *reported_at));
     }
 }
