--- a/crates/workshold-core/src/hosted/roster.rs
+++ b/crates/workshold-core/src/hosted/roster.rs
@@ -1,4 +1,4 @@
-//! The instances that the platform lists, and what each says of itself.
+//! The instances that the platform lists, and what each one reports of itself.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,127 +18,131 @@
 use super::store_era::LogPosition;
 use super::store_era::RESTORE_SETTLE_TIME;
 
-/// How far a member says its group is.
+/// State of a group, as one of its members reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// It loads weights.
+    /// The member loads weights.
     Joining,
-    /// It could serve.
+    /// The member has loaded and is ready to serve.
     Ready,
-    /// The head serves.
+    /// The group serves; reported by its head.
     Open,
-    /// The head finishes what it has.
+    /// The group takes no new requests and finishes those it has; reported by its head.
     Closing,
-    /// The head gave up after a member was lost.
+    /// The group stopped after it lost a member; reported by its head.
     Broken,
 }
 
-/// An instance's word on the group that it is in.
+/// What an instance reports of the group that it belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Membership {
-    /// The group.
+    /// The group's id, which stays the same when the group is formed again.
     pub group: GroupId,
-    /// Which formation of it.
+    /// The epoch of this formation of the group.
     pub epoch: u64,
-    /// Its place; 0 is the head.
+    /// The member's rank in the group; 0 is the head.
     pub rank: usize,
-    /// How far it is.
+    /// The group's state.
     pub state: MemberState,
 }
 
-/// What an instance says of itself.
+/// What an instance reports of itself in its list entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
-    /// Which life of which instance it is.
+    /// The instance's id and incarnation.
     pub identity: Identity,
     /// The service that it is part of.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SmolStr,
-    /// Where it is.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Its fabric domain, if it has one.
+    /// Its fabric domain; `None` if it has no fast links to other instances.
     pub domain: Option<FabricDomain>,
-    /// Requests that it works on at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it has said that it will end.
+    /// Whether it has announced that it is shutting down.
     pub is_leaving: bool,
-    /// Models whose weights lie on its host.
+    /// Models whose weights are staged on its host, ready to be loaded.
     pub staged: Vec<ModelName>,
     /// Models whose weights it has in memory.
     pub loaded: Vec<ModelName>,
-    /// Its group.
+    /// The group that it belongs to; `None` if it is free.
     pub membership: Option<Membership>,
 }
 
-/// An entry of the list as this node knows it.
+/// A list entry as this node knows it.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// The instance's own words.
+    /// What the instance reports of itself.
     pub instance: Arc<Instance>,
-    /// The record that they stand in.
+    /// Position of the newest record about it.
     pub place: LogPosition,
-    /// Since when the list lacks it, if it does.
+    /// Since when the list lacks the instance; `None` while it is listed.
     pub unlisted_since: Option<Millis>,
-    /// Since when its newest record cannot be read, if that is so: its words are those
-    /// before it.
+    /// Since when its newest record can't be read; `instance` is then from the last record that
+    /// could be.
     pub unreadable_since: Option<Millis>,
-    /// The newest record, if it speaks of an earlier life.
-    earlier: Option<Earlier>,
-    /// Whether this life has said in its answers that it will end; nobody takes that back.
-    says_it_leaves: bool,
+    /// The newest record, if it seems older than what is known.
+    older: Option<OlderRecord>,
+    /// Whether this incarnation has announced in its answers that it is shutting down. This is
+    /// final, whatever its list entry says.
+    announced_leaving: bool,
 }
 
-/// A word that seems to come from an earlier life than the one that is known.
+/// A record that seems to be older than the one that is known: of an earlier incarnation, of an
+/// earlier formation, or from a restored backup.
 #[derive(Debug, Clone)]
-struct Earlier {
+struct OlderRecord {
     instance: Arc<Instance>,
     place: LogPosition,
-    /// When it is believed if nobody has spoken against it.
-    stands_at: Millis,
+    /// When it is accepted unless the instance has written a newer record by then.
+    accept_at: Millis,
 }
 
-/// How long an unlisted instance is remembered, for what it leaves behind.
-const REMEMBER: Millis = Millis::from_secs(20);
-/// A record that speaks of an earlier life is believed once it has been the newest for so
-/// long: an instance that is there checks in every 1.2 s, and would have replaced it by
-/// the second time. Then clocks went back between two lives.
-const EARLIER_STANDS: Millis = Millis(4_000);
-/// What cannot be read may have been written by somebody else: the instance itself
-/// replaces it by its next check-in. After three of them it is taken for leaving.
-const UNREADABLE_STANDS: Millis = Millis(3_600);
-
-/// All entries; the newest record of each instance counts.
+/// How long an unlisted instance is kept, since its group and its requests may outlast it.
+const UNLISTED_TTL: Millis = Millis::from_secs(20);
+/// A record of an earlier incarnation is accepted once it has been the newest one for this long.
+/// An instance that runs checks in every 1.2 s and would have replaced the record by the second
+/// check-in. If it hasn't, the clock was set back between two incarnations.
+const OLDER_RECORD_TIMEOUT: Millis = Millis(4_000);
+/// How long an unreadable record is tolerated, which is three check-ins. It may have been written
+/// by another process, and then the instance replaces it by its next check-in. After this time
+/// the instance counts as shutting down.
+const UNREADABLE_TIMEOUT: Millis = Millis(3_600);
+
+/// All instances; the newest record of each one counts.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     entries: BTreeMap<InstanceId, Entry>,
-    /// Who was seen as the head of a formation, and when last.
+    /// Head of each formation by epoch and group, and when it was last seen as such.
     heads: BTreeMap<(u64, GroupId), (Identity, Millis)>,
-    /// Formations a member of which has begun anew, and when that was seen.
-    broken: BTreeMap<(u64, GroupId), Millis>,
+    /// Formations of which a member has restarted, and when that was seen.
+    restarted: BTreeMap<(u64, GroupId), Millis>,
     last_arrival_at: Millis,
     version: u64,
-    /// The past that the list has changed to, and from when on what it lacks has gone.
+    /// The era that the store was restored to, and from when on an instance that isn't in the
+    /// restored list counts as gone.
     era: Option<(Era, Millis)>,
 }
 
 impl Roster {
-    /// Takes one record. `None` says that the list lacks the instance now. Returns the
-    /// life that has ended with it, if another one begins.
+    /// Applies one record; `None` removes the instance from the list. Returns the previous
+    /// incarnation, which has ended, if the record shows a new one.
     pub fn apply(
         &mut self,
         place: impl Into<LogPosition>,
         id: &InstanceId,
-        word: Option<Instance>,
+        report: Option<Instance>,
         now: Millis,
     ) -> Option<Identity> {
         let place = place.into();
         self.version += 1;
-        if let Some(word) = &word {
-            self.note_head(word, now);
+        if let Some(report) = &report {
+            self.note_head(report, now);
         }
         let Some(known) = self.entries.get_mut(id) else {
-            let instance = Arc::new(word?);
+            let instance = Arc::new(report?);
             self.entries.insert(id.clone(), Entry::new(instance, place));
             self.last_arrival_at = now;
             return None;
@@ -147,34 +151,34 @@
             return None;
         }
         known.place = place;
-        let Some(word) = word else {
-            known.earlier = None;
+        let Some(report) = report else {
+            known.older = None;
             known.unlisted_since = known.unlisted_since.or(Some(now));
             return None;
         };
-        if known.is_later_than(&word) {
-            known.on_earlier(Arc::new(word), place, now + EARLIER_STANDS);
+        if known.is_newer_than(&report) {
+            known.keep_older(Arc::new(report), place, now + OLDER_RECORD_TIMEOUT);
             return None;
         }
-        if known.contradicts(&word) {
+        if known.contradicts(&report) {
             known.unreadable_since = known.unreadable_since.or(Some(now));
             return None;
         }
-        let ended = known.take(Arc::new(word));
+        let ended = known.replace(Arc::new(report));
         self.note_end(ended, now)
     }
 
-    /// A life of an instance has said in its answers that it will end.
+    /// Records that this incarnation has announced in an answer that it is shutting down.
     pub fn on_leaving(&mut self, identity: &Identity) {
         let entry = self.entries.get_mut(&identity.id);
         if let Some(entry) = entry.filter(|entry| entry.instance.identity == *identity) {
-            entry.says_it_leaves = true;
+            entry.announced_leaving = true;
             self.version += 1;
         }
     }
 
-    /// Takes one record that cannot be read: it names nobody to use, but what the instance
-    /// was part of may still stand.
+    /// Applies one record that can't be read. The instance gets no new work then, but the group
+    /// that it belongs to may still be serving.
     pub fn apply_unreadable(
         &mut self,
         place: impl Into<LogPosition>,
@@ -185,25 +189,26 @@
         self.version += 1;
         if let Some(known) = self.entries.get_mut(id).filter(|known| known.place <= place) {
             known.place = place;
-            known.earlier = None;
+            known.older = None;
             known.unreadable_since = known.unreadable_since.or(Some(now));
         }
     }
 
-    /// Takes one record of the copy that the store came back from. What it says was so in
-    /// the past. If this node knows another word, that one stands until the instance has had
-    /// the time to write again: nobody is taken and no head ends by a copy alone.
+    /// Applies one record of the backup that the store was restored from, which shows a past
+    /// state. If this node knows another one, it keeps that until the instance has had the time
+    /// to write again. A restored record alone frees no instance for another group and ends no
+    /// head.
     pub fn apply_restored(
         &mut self,
         place: LogPosition,
         id: &InstanceId,
-        word: Instance,
+        report: Instance,
         now: Millis,
     ) {
         self.version += 1;
-        self.note_head(&word, now);
+        self.note_head(&report, now);
         let Some(known) = self.entries.get_mut(id) else {
-            self.entries.insert(id.clone(), Entry::new(Arc::new(word), place));
+            self.entries.insert(id.clone(), Entry::new(Arc::new(report), place));
             self.last_arrival_at = now;
             return;
         };
@@ -211,24 +216,24 @@
             return;
         }
         known.place = place;
-        if word.is_leaving && word.identity == known.instance.identity {
-            // Nobody takes that back.
+        if report.is_leaving && report.identity == known.instance.identity {
+            // A shutdown is final.
             Arc::make_mut(&mut known.instance).is_leaving = true;
         }
-        if !known.says(&word) {
-            known.on_earlier(Arc::new(word), place, now + RESTORE_SETTLE_TIME);
+        if !known.is_current_report(&report) {
+            known.keep_older(Arc::new(report), place, now + RESTORE_SETTLE_TIME);
         }
     }
 
-    /// The list is that of another past from here on. What it lacks has gone only if it is
-    /// still missing at `true_from`.
+    /// Starts a new era of the list after a restore. What the list lacks counts as gone only if
+    /// it is still missing at `true_from`.
     pub fn begin_era(&mut self, era: Era, true_from: Millis) {
         self.version += 1;
         self.era = Some((era, true_from));
     }
 
-    /// Drops what nobody has written again in the newest past.
-    fn drop_unwritten(&mut self, now: Millis) {
+    /// Marks entries as unlisted that weren't written again in the new era.
+    fn mark_unwritten_unlisted(&mut self, now: Millis) {
         let Some((era, _)) = self.era.filter(|(_, true_from)| now >= *true_from) else { return };
         let unwritten = self.entries.values_mut().filter(|entry| entry.place.era < era);
         unwritten.for_each(|entry| entry.unlisted_since = entry.unlisted_since.or(Some(now)));
@@ -236,41 +241,46 @@
         self.version += 1;
     }
 
-    fn note_head(&mut self, word: &Instance, now: Millis) {
-        if let Some(own) = word.membership.as_ref().filter(|own| own.rank == 0) {
-            let key = (own.epoch, own.group.clone());
-            self.heads.insert(key, (word.identity.clone(), now));
+    /// Keeps the head of the formation that `report` names, if it comes from that head.
+    fn note_head(&mut self, report: &Instance, now: Millis) {
+        if let Some(membership) =
+            report.membership.as_ref().filter(|membership| membership.rank == 0)
+        {
+            let key = (membership.epoch, membership.group.clone());
+            self.heads.insert(key, (report.identity.clone(), now));
         }
     }
 
+    /// Handles the last report of an incarnation that has ended: its formation has a member that
+    /// restarted. Returns that incarnation.
     fn note_end(&mut self, ended: Option<Arc<Instance>>, now: Millis) -> Option<Identity> {
         let ended = ended?;
         self.version += 1;
         self.last_arrival_at = now;
-        if let Some(own) = &ended.membership {
-            self.broken.insert((own.epoch, own.group.clone()), now);
+        if let Some(membership) = &ended.membership {
+            self.restarted.insert((membership.epoch, membership.group.clone()), now);
         }
         Some(ended.identity.clone())
     }
 
-    /// Believes records of earlier lives that nobody has spoken against; returns the lives
-    /// that have ended with them.
-    fn settle(&mut self, now: Millis) -> Vec<Identity> {
-        let stands =
-            |entry: &&mut Entry| entry.earlier.as_ref().is_some_and(|word| now >= word.stands_at);
-        let settled = self.entries.values_mut().filter(stands);
-        let ended: Vec<_> = settled.map(Entry::take_earlier).collect();
+    /// Accepts records that seemed older but that no newer one has replaced in time. Returns the
+    /// incarnations that have ended by that.
+    fn accept_older(&mut self, now: Millis) -> Vec<Identity> {
+        let is_due =
+            |entry: &&mut Entry| entry.older.as_ref().is_some_and(|older| now >= older.accept_at);
+        let accepted = self.entries.values_mut().filter(is_due);
+        let ended: Vec<_> = accepted.map(Entry::take_older).collect();
         ended.into_iter().filter_map(|ended| self.note_end(ended, now)).collect()
     }
 
-    /// Whether a member of a formation has begun anew since it stated that it is in it:
-    /// then the formation stands still for good, whatever the others say.
+    /// Whether a member of a formation has restarted since it reported that it is in it. Then the
+    /// formation can never serve again, whatever its other members report.
     pub fn has_restarted_member(&self, epoch: u64, group: &GroupId) -> bool {
-        !self.broken.is_empty() && self.broken.contains_key(&(epoch, group.clone()))
+        !self.restarted.is_empty() && self.restarted.contains_key(&(epoch, group.clone()))
     }
 
-    /// After a reading of the whole list up to `end`: what is not among `seen`
-    /// has gone, unless a record after `end` speaks of it.
+    /// Completes a full reading of the list up to `end`: an instance that isn't in `seen` has gone,
+    /// unless a record after `end` names it.
     pub fn on_full_list(
         &mut self,
         seen: &BTreeSet<InstanceId>,
@@ -279,103 +289,108 @@
     ) {
         let end = end.into();
         self.version += 1;
-        // Who has not written again since the store came back from a copy may yet do so.
-        let waits = self.era.is_some_and(|(_, true_from)| now < true_from);
+        // An instance that hasn't written again since the store was restored may still do so.
+        let is_settling = self.era.is_some_and(|(_, true_from)| now < true_from);
         for (id, entry) in &mut self.entries {
-            let may_come = waits && entry.place.era < end.era;
-            if !seen.contains(id) && entry.place < end && !may_come {
+            let may_be_rewritten = is_settling && entry.place.era < end.era;
+            if !seen.contains(id) && entry.place < end && !may_be_rewritten {
                 entry.unlisted_since = entry.unlisted_since.or(Some(now));
             }
         }
     }
 
-    /// Who was seen as the head of a formation.
+    /// The head of a formation; `None` if this node hasn't seen it.
     pub fn head_of(&self, epoch: u64, group: &GroupId) -> Option<&Identity> {
         self.heads.get(&(epoch, group.clone())).map(|(head, _)| head)
     }
 
-    /// Forgets what has long been gone, and returns the lives that are found to have ended.
+    /// Drops what has been gone for long. Returns the incarnations that turn out to have ended
+    /// because a record of another one has now been accepted.
     pub fn forget(&mut self, now: Millis) -> Vec<Identity> {
-        self.drop_unwritten(now);
-        let ended = self.settle(now);
-        let stated = |entry: &Entry| {
-            entry.instance.membership.as_ref().map(|own| (own.epoch, own.group.clone()))
+        self.mark_unwritten_unlisted(now);
+        let ended = self.accept_older(now);
+        let formation = |entry: &Entry| {
+            entry
+                .instance
+                .membership
+                .as_ref()
+                .map(|membership| (membership.epoch, membership.group.clone()))
         };
-        let in_use: BTreeSet<_> = self.entries.values().filter_map(stated).collect();
-        self.heads.retain(|key, (_, seen)| in_use.contains(key) || now.since(*seen) < REMEMBER);
-        self.broken.retain(|key, seen| in_use.contains(key) || now.since(*seen) < REMEMBER);
+        let in_use: BTreeSet<_> = self.entries.values().filter_map(formation).collect();
+        self.heads.retain(|key, (_, seen)| in_use.contains(key) || now.since(*seen) < UNLISTED_TTL);
+        self.restarted.retain(|key, seen| in_use.contains(key) || now.since(*seen) < UNLISTED_TTL);
         self.entries.retain(|_, entry| {
-            entry.unlisted_since.is_none_or(|since| now.since(since) < REMEMBER)
+            entry.unlisted_since.is_none_or(|since| now.since(since) < UNLISTED_TTL)
         });
         ended
     }
 
-    /// One entry.
+    /// The entry of an instance, whichever incarnation it is of.
     pub fn get(&self, id: &InstanceId) -> Option<&Entry> {
         self.entries.get(id)
     }
 
-    /// The entry of one life of an instance, if it is the one that is there.
+    /// The entry of an instance, if it is of this incarnation.
     pub fn incarnation(&self, identity: &Identity) -> Option<&Entry> {
         self.get(&identity.id).filter(|entry| entry.instance.identity == *identity)
     }
 
-    /// All entries.
+    /// All entries, those of unlisted instances included.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// Rises whenever anything may have changed.
+    /// A counter that rises whenever anything may have changed.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// When an instance last appeared that was not known before.
+    /// When an unknown instance, or a new incarnation of a known one, last appeared.
     pub fn last_arrival_at(&self) -> Millis {
         self.last_arrival_at
     }
 }
 
-/// Whether the list can be taken at its word.
+/// Tracks whether a missing entry shows that its instance has gone.
 ///
-/// While the store is away entries lapse, and come back within about two seconds
-/// after it. Until then an entry that is missing says nothing.
+/// While the store is unavailable entries expire, and instances write them again within about two
+/// seconds after it is back. Until then a missing entry doesn't show that its instance has gone.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ListTrust {
     last_failure_at: Option<Millis>,
 }
 
-/// Longer than an entry takes to return once the store is back.
-const ENTRIES_RETURN: Millis = Millis(2_300);
+/// Longer than instances take to write their entries again once the store is back.
+const REENTRY_TIME: Millis = Millis(2_300);
 
 impl ListTrust {
-    /// The store did not answer at `at`, this node or one that reads for it.
+    /// Records that the store didn't answer at `at`, this node or a node that reads the list for
+    /// it.
     pub fn on_store_failure(&mut self, at: Millis) {
         self.last_failure_at = self.last_failure_at.max(Some(at));
     }
 
-    /// When the store last did not answer.
+    /// When the store last failed to answer; `None` if it never did.
     pub fn last_failure_at(&self) -> Option<Millis> {
         self.last_failure_at
     }
 
-    /// Whether the list may have lacked something that was so at `at`: then an instance
-    /// may have been leaving although its entry does not say so.
+    /// Whether the list may be out of date for the state at `at`: then an instance may have been
+    /// shutting down although its entry doesn't say so.
     pub fn may_be_incomplete(&self, at: Millis) -> bool {
-        self.last_failure_at.is_some_and(|last_failure_at| last_failure_at + ENTRIES_RETURN >= at)
+        self.last_failure_at.is_some_and(|last_failure_at| last_failure_at + REENTRY_TIME >= at)
     }
 
-    /// Whether an entry that went missing at `unlisted_since` is still to be
-    /// taken for there.
+    /// Whether an instance whose entry went missing at `unlisted_since` still counts as present.
     pub fn may_still_run(&self, unlisted_since: Millis, now: Millis) -> bool {
         let Some(last_failure_at) = self.last_failure_at else { return false };
-        now.since(last_failure_at) < ENTRIES_RETURN
-            && unlisted_since + ENTRIES_RETURN >= last_failure_at
+        now.since(last_failure_at) < REENTRY_TIME
+            && unlisted_since + REENTRY_TIME >= last_failure_at
     }
 }
 
 impl Entry {
-    /// The entry of an instance that was not known before.
+    /// Creates the entry of an instance that wasn't known before.
     pub fn new(instance: Arc<Instance>, place: impl Into<LogPosition>) -> Self {
         let place = place.into();
         Self {
@@ -383,75 +398,79 @@
             place,
             unlisted_since: None,
             unreadable_since: None,
-            earlier: None,
-            says_it_leaves: false,
+            older: None,
+            announced_leaving: false,
         }
     }
 
-    /// Whether the instance says this anyway.
-    fn says(&self, word: &Instance) -> bool {
+    /// Whether `report` is what is already known.
+    fn is_current_report(&self, report: &Instance) -> bool {
         let is_current = self.unlisted_since.is_none() && self.unreadable_since.is_none();
-        is_current && *self.instance == *word
+        is_current && *self.instance == *report
     }
 
-    /// Takes the instance's word; returns that of the life before if this is another one.
-    fn take(&mut self, word: Arc<Instance>) -> Option<Arc<Instance>> {
-        let is_next = word.identity != self.instance.identity;
-        self.says_it_leaves &= !is_next;
-        let before = std::mem::replace(&mut self.instance, word);
+    /// Replaces the instance's report. Returns the previous one if it is of another incarnation.
+    fn replace(&mut self, report: Arc<Instance>) -> Option<Arc<Instance>> {
+        let is_next = report.identity != self.instance.identity;
+        self.announced_leaving &= !is_next;
+        let before = std::mem::replace(&mut self.instance, report);
         self.unlisted_since = None;
         self.unreadable_since = None;
-        self.earlier = None;
+        self.older = None;
         is_next.then_some(before)
     }
 
-    /// Keeps a word of an earlier life, as long as nobody speaks against it.
-    fn on_earlier(&mut self, instance: Arc<Instance>, place: LogPosition, stands_at: Millis) {
-        if self.earlier.as_ref().is_none_or(|known| known.place < place) {
-            self.earlier = Some(Earlier { instance, place, stands_at });
+    /// Keeps a report that seems older until it is accepted at `accept_at`, or replaced.
+    fn keep_older(&mut self, instance: Arc<Instance>, place: LogPosition, accept_at: Millis) {
+        if self.older.as_ref().is_none_or(|known| known.place < place) {
+            self.older = Some(OlderRecord { instance, place, accept_at });
         }
     }
 
-    fn take_earlier(&mut self) -> Option<Arc<Instance>> {
-        let earlier = self.earlier.take()?;
-        self.take(earlier.instance)
+    /// Accepts the older record; returns the previous report if it is of another incarnation.
+    fn take_older(&mut self) -> Option<Arc<Instance>> {
+        let older = self.older.take()?;
+        self.replace(older.instance)
     }
 
-    /// Whether a word was said before the one that is known: by an earlier life, or by this
-    /// one in an earlier formation, for none takes an epoch below one that it has seen.
-    fn is_later_than(&self, word: &Instance) -> bool {
+    /// Whether what is known is newer than `report`, which is of an earlier incarnation, or of an
+    /// earlier formation of this one: no instance joins with an epoch below one that it has seen.
+    fn is_newer_than(&self, report: &Instance) -> bool {
         let known = &self.instance;
-        if word.identity != known.identity {
-            return word.identity.incarnation < known.identity.incarnation;
+        if report.identity != known.identity {
+            return report.identity.incarnation < known.identity.incarnation;
         }
-        let epoch = |instance: &Instance| instance.membership.as_ref().map(|own| own.epoch);
-        epoch(word).is_some_and(|own| Some(own) < epoch(known))
+        let epoch =
+            |instance: &Instance| instance.membership.as_ref().map(|membership| membership.epoch);
+        epoch(report).is_some_and(|reported| Some(reported) < epoch(known))
     }
 
-    /// Whether a word cannot be this life's own: none changes its service or its domain.
-    fn contradicts(&self, word: &Instance) -> bool {
+    /// Whether `report` can't be from this incarnation, since its service or domain differs:
+    /// neither changes while an instance runs.
+    fn contradicts(&self, report: &Instance) -> bool {
         let known = &self.instance;
-        let is_same = word.identity == known.identity;
-        is_same && (word.service != known.service || word.domain != known.domain)
+        let is_same = report.identity == known.identity;
+        is_same && (report.service != known.service || report.domain != known.domain)
     }
 
-    /// Whether the instance takes new work as far as the list goes.
+    /// Whether the instance takes new work, as far as the list shows.
     pub fn is_in_service(&self, trust: &ListTrust, now: Millis) -> bool {
         let is_readable = self.unreadable_since.is_none();
         is_readable && !self.is_leaving() && self.is_present(trust, now)
     }
 
-    /// Whether the instance has said that it will end, in the list or in its answers.
+    /// Whether the instance has announced that it is shutting down, in the list or in an answer.
     pub fn is_leaving(&self) -> bool {
-        self.instance.is_leaving || self.says_it_leaves
+        self.instance.is_leaving || self.announced_leaving
     }
 
-    /// Whether the instance does not come back to replace a record that cannot be read.
+    /// Whether the instance has failed for three check-ins to replace a record that can't be
+    /// read.
     pub fn is_unreadable_for_long(&self, now: Millis) -> bool {
-        self.unreadable_since.is_some_and(|since| now.since(since) >= UNREADABLE_STANDS)
+        self.unreadable_since.is_some_and(|since| now.since(since) >= UNREADABLE_TIMEOUT)
     }
 
-    /// Whether the instance is listed, or its absence says nothing.
+    /// Whether the instance is listed, or its absence may be due to an outage of the store.
     pub fn is_present(&self, trust: &ListTrust, now: Millis) -> bool {
         self.unlisted_since.is_none_or(|since| trust.may_still_run(since, now))
     }
--- a/crates/workshold-core/src/hosted/suspicion.rs
+++ b/crates/workshold-core/src/hosted/suspicion.rs
@@ -1,10 +1,10 @@
-//! Which instances cannot be reached, by this node's and its peers' own tries.
+//! Suspicions that an instance is unreachable, from connection probes by this node and its peers.
 //!
-//! The list is seconds late. A try to connect is not: an instance that is well
-//! answers within a few milliseconds, one without power says nothing, and where
-//! its process is gone its machine refuses. So may whatever stands on the path to
-//! it, for all nodes at once: requests go elsewhere at once by either sign, but what
-//! an instance holds is given to others only by a proof that it cannot serve.
+//! The instance list is seconds late, but a probe isn't. A healthy instance answers within a few
+//! milliseconds, one without power doesn't answer, and where the process has ended, its host
+//! refuses the connection. A fault on the network path can look the same, for all nodes at once.
+//! So requests go elsewhere at once after either sign, but what an instance holds, such as the
+//! members of its group, is given to others only on proof that it can't serve.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,213 +12,224 @@
 use smol_str::SmolStr;
 use workshold_protocol::Millis;
 
-/// What a try to reach an instance showed.
+/// Result of a connection probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It answered.
+    /// The instance accepted the connection.
     Answers,
-    /// It says nothing.
+    /// There was no answer within the time limit.
     Silent,
-    /// Nothing listens there any more, or its path refuses.
+    /// The connection was refused, by the instance's host or on the network path to it.
     Refused,
 }
 
-/// What others did that were tried at the same moment.
+/// Results of the probes of other instances at the same moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OtherProbes {
-    /// One of them answered.
+    /// At least one of them answered.
     Answer,
-    /// None of them did.
+    /// None of them answered.
     Silent,
-    /// There is nobody else to try.
+    /// There is no other instance to probe.
     Nobody,
 }
 
-/// What a try shows: if others are silent too, it is this node that cannot be reached,
-/// or its link is full, and the instance's silence shows nothing. A refusal is an answer.
-pub fn conclusive(seen: Option<ProbeResult>, others: OtherProbes) -> Option<ProbeResult> {
-    seen.filter(|reach| *reach != ProbeResult::Silent || others != OtherProbes::Silent)
+/// What a probe shows of the instance, if anything. If the others are silent too, this node is cut
+/// off or its link is saturated, and the instance's silence shows nothing. A refusal counts even
+/// then, since something answered.
+pub fn conclusive(result: Option<ProbeResult>, others: OtherProbes) -> Option<ProbeResult> {
+    result.filter(|result| *result != ProbeResult::Silent || others != OtherProbes::Silent)
 }
 
 #[derive(Debug, Clone)]
 struct Suspicion {
-    /// Since when nobody reaches it; of a mere doubt, since when there is one.
+    /// Since when no node reaches the instance, or else since when there is a suspicion.
     since: Millis,
-    seen_by: BTreeSet<SmolStr>,
-    /// Who was asked and reaches it: then only some paths to it are cut.
-    answered: BTreeSet<SmolStr>,
-    own: bool,
-    /// Another life has begun at its id.
-    is_over: bool,
-    /// This node is not one of those that try it, and goes by what they say.
-    by_word: bool,
+    /// Peers that couldn't result it.
+    failed_peers: BTreeSet<SmolStr>,
+    /// Peers that reached it when asked: then only some network paths to it are cut.
+    reached_by: BTreeSet<SmolStr>,
+    /// Whether this node couldn't result it.
+    failed_here: bool,
+    /// Whether another incarnation has started with its id.
+    superseded: bool,
+    /// Whether this node doesn't probe the instance itself and relies on the peers that do.
+    relies_on_peers: bool,
 }
 
 impl Suspicion {
-    /// Takes what one node saw. From the moment on at which nobody reaches it any more,
-    /// it counts anew: until then it may have gone on with whatever it did.
-    fn take(&mut self, now: Millis, seen: impl FnOnce(&mut Self)) {
+    /// Applies what one node saw. If no node reaches the instance from now on, `since` starts
+    /// again: until now the instance may have gone on serving.
+    fn update(&mut self, now: Millis, change: impl FnOnce(&mut Self)) {
         let was_agreed = self.is_agreed();
-        seen(self);
+        change(self);
         if self.is_agreed() && !was_agreed {
             self.since = now;
         }
     }
 
-    /// Whether this node and another do not reach it, and nobody does who was asked.
+    /// Whether this node and at least one peer can't result it, and no peer that was asked can.
     fn is_agreed(&self) -> bool {
-        self.own && !self.seen_by.is_empty() && self.answered.is_empty()
+        self.failed_here && !self.failed_peers.is_empty() && self.reached_by.is_empty()
     }
 }
 
-/// How sure a node is that an instance is lost.
+/// How certain a node is that an instance is lost. A later variant is more certain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Loss {
-    /// Nothing speaks against it.
+    /// There is no suspicion.
     None,
-    /// Somebody could not reach it: it gets no new work while others can.
-    Doubted,
-    /// This node and another, or all that are asked, cannot reach it.
+    /// Some node couldn't result it: it gets no new work while other instances can take it.
+    Suspected,
+    /// This node can't result it, nor can any peer that was asked; at least one was if there are
+    /// peers.
     Confirmed,
-    /// Another life has begun at its id.
+    /// Another incarnation has started with its id.
     Ended,
 }
 
-/// Doubts, each about one life of an instance.
+/// All suspicions, each of one incarnation of an instance.
 #[derive(Debug, Clone)]
 pub struct Suspicions<K> {
-    doubts: BTreeMap<K, Suspicion>,
+    by_instance: BTreeMap<K, Suspicion>,
 }
 
-/// So many others have to agree before a node goes by their word: one of them may itself be
-/// cut off.
-const AGREED_BY: usize = 2;
-/// A doubt that nobody renews is dropped after this: the instance may be back.
-const DOUBT_TTL: Millis = Millis::from_secs(30);
+/// Number of peers that have to agree before a node relies on them: a single one may itself be cut
+/// off.
+const PEERS_NEEDED: usize = 2;
+/// How long a suspicion is kept after its `since`: the instance may be back.
+const SUSPICION_TTL: Millis = Millis::from_secs(30);
 
 impl<K> Default for Suspicions<K> {
     fn default() -> Self {
-        Self { doubts: BTreeMap::new() }
+        Self { by_instance: BTreeMap::new() }
     }
 }
 
 impl<K: Clone + Ord> Suspicions<K> {
-    /// This node tried.
-    pub fn on_own_probe(&mut self, id: &K, reach: ProbeResult, now: Millis) {
+    /// Records the result of a probe by this node.
+    pub fn on_own_probe(&mut self, id: &K, result: ProbeResult, now: Millis) {
         if self.is_superseded(id) {
             return;
         }
-        if reach == ProbeResult::Answers {
-            self.doubts.remove(id);
+        if result == ProbeResult::Answers {
+            self.by_instance.remove(id);
             return;
         }
-        self.entry(id, now).take(now, |doubt| {
-            doubt.own = true;
+        self.entry(id, now).update(now, |suspicion| {
+            suspicion.failed_here = true;
         });
     }
 
-    /// A peer tried.
-    pub fn on_peer(&mut self, id: &K, peer: &str, reach: ProbeResult, now: Millis) {
-        if reach == ProbeResult::Answers {
-            if let Some(doubt) = self.doubts.get_mut(id) {
-                doubt.seen_by.remove(peer);
-                doubt.answered.insert(SmolStr::new(peer));
-                if doubt.seen_by.is_empty() && !doubt.own && !doubt.is_over {
-                    self.doubts.remove(id);
+    /// Records the result of a probe by a peer.
+    pub fn on_peer(&mut self, id: &K, peer: &str, result: ProbeResult, now: Millis) {
+        if result == ProbeResult::Answers {
+            if let Some(suspicion) = self.by_instance.get_mut(id) {
+                suspicion.failed_peers.remove(peer);
+                suspicion.reached_by.insert(SmolStr::new(peer));
+                if suspicion.failed_peers.is_empty()
+                    && !suspicion.failed_here
+                    && !suspicion.superseded
+                {
+                    self.by_instance.remove(id);
                 }
             }
             return;
         }
-        self.entry(id, now).take(now, |doubt| {
-            doubt.seen_by.insert(SmolStr::new(peer));
-            doubt.answered.remove(peer);
+        self.entry(id, now).update(now, |suspicion| {
+            suspicion.failed_peers.insert(SmolStr::new(peer));
+            suspicion.reached_by.remove(peer);
         });
     }
 
-    /// Another life has begun at the instance's id: this one has ended, whatever anybody
-    /// reaches there.
+    /// Records that another incarnation has started with the instance's id. This one has ended,
+    /// whatever a probe reaches at its address.
     pub fn on_superseded(&mut self, id: &K, now: Millis) {
-        self.entry(id, now).take(now, |doubt| {
-            doubt.own = true;
-            doubt.is_over = true;
+        self.entry(id, now).update(now, |suspicion| {
+            suspicion.failed_here = true;
+            suspicion.superseded = true;
         });
     }
 
-    /// Whether another life has begun at the instance's id.
+    /// Whether another incarnation has started with the instance's id.
     pub fn is_superseded(&self, id: &K) -> bool {
-        self.doubts.get(id).is_some_and(|doubt| doubt.is_over)
+        self.by_instance.get(id).is_some_and(|suspicion| suspicion.superseded)
     }
 
-    /// How sure this is; `peers` is how many other nodes could be asked.
+    /// How certain it is that an instance is lost; `peers` is the number of other nodes that could
+    /// be asked.
     pub fn loss(&self, id: &K, peers: usize) -> Loss {
-        let Some(doubt) = self.doubts.get(id) else { return Loss::None };
-        if doubt.is_over {
+        let Some(suspicion) = self.by_instance.get(id) else { return Loss::None };
+        if suspicion.superseded {
             return Loss::Ended;
         }
-        let is_agreed = !doubt.seen_by.is_empty() || peers == 0;
-        if !doubt.own || !is_agreed || !doubt.answered.is_empty() {
-            return Loss::Doubted;
+        let is_agreed = !suspicion.failed_peers.is_empty() || peers == 0;
+        if !suspicion.failed_here || !is_agreed || !suspicion.reached_by.is_empty() {
+            return Loss::Suspected;
         }
-        // A refusal may be the path's, and all nodes may be behind it: it proves no end.
+        // A refusal doesn't prove that the process has ended: it may come from a fault on the
+        // network path that all nodes share.
         Loss::Confirmed
     }
 
-    /// Since when nobody reaches it, or there is doubt whether anybody does.
+    /// Since when no node reaches an instance, or else since when it is suspected; `None` if it
+    /// isn't.
     pub fn since(&self, id: &K) -> Option<Millis> {
-        self.doubts.get(id).map(|doubt| doubt.since)
+        self.by_instance.get(id).map(|suspicion| suspicion.since)
     }
 
-    /// Whether this node itself could not reach it.
+    /// Whether this node itself couldn't result it.
     pub fn is_unreachable_from_here(&self, id: &K) -> bool {
-        self.doubts.get(id).is_some_and(|doubt| doubt.own)
+        self.by_instance.get(id).is_some_and(|suspicion| suspicion.failed_here)
     }
 
-    /// This node is not one of those that try an instance: it goes by what they say.
+    /// Makes this node rely on the peers that probe an instance, because it isn't one of them.
     pub fn rely_on_peers(&mut self, id: &K) {
-        if let Some(doubt) = self.doubts.get_mut(id) {
-            doubt.by_word = true;
+        if let Some(suspicion) = self.by_instance.get_mut(id) {
+            suspicion.relies_on_peers = true;
         }
     }
 
-    /// Whether nothing is to be sent to it for now: this node could not reach it, or none
-    /// of those who try it for all can.
+    /// Whether no request is to be sent to it for now: this node couldn't result it, or none of the
+    /// peers that probe it for all can.
     pub fn is_unreachable(&self, id: &K) -> bool {
-        let Some(doubt) = self.doubts.get(id) else { return false };
-        let by_others = doubt.seen_by.len() >= AGREED_BY && doubt.answered.is_empty();
-        doubt.own || (doubt.by_word && by_others)
+        let Some(suspicion) = self.by_instance.get(id) else { return false };
+        let peers_agree =
+            suspicion.failed_peers.len() >= PEERS_NEEDED && suspicion.reached_by.is_empty();
+        suspicion.failed_here || (suspicion.relies_on_peers && peers_agree)
     }
 
-    /// Whether another node could not reach it: then that one has asked all.
+    /// Whether a peer couldn't result it. That peer has then asked all others already.
     pub fn is_reported_by_peers(&self, id: &K) -> bool {
-        self.doubts.get(id).is_some_and(|doubt| !doubt.seen_by.is_empty())
+        self.by_instance.get(id).is_some_and(|suspicion| !suspicion.failed_peers.is_empty())
     }
 
-    /// All that are doubted.
+    /// All suspected incarnations.
     pub fn iter(&self) -> impl Iterator<Item = &K> {
-        self.doubts.keys()
+        self.by_instance.keys()
     }
 
-    /// The instance said something new: whatever was, it is there.
+    /// Drops the suspicion of an instance that has sent something new.
     pub fn clear(&mut self, id: &K) {
-        self.doubts.remove(id);
+        self.by_instance.remove(id);
     }
 
-    /// Drops old doubts and those of instances that nobody knows any more; that a life has
-    /// ended is kept for whoever still waits for it.
+    /// Drops old suspicions, and those of instances that are no longer known. That an incarnation
+    /// has ended is kept even then, for those who still wait for it.
     pub fn forget(&mut self, now: Millis, is_known: impl Fn(&K) -> bool) {
-        self.doubts.retain(|id, doubt| {
-            now.since(doubt.since) < DOUBT_TTL && (doubt.is_over || is_known(id))
+        self.by_instance.retain(|id, suspicion| {
+            now.since(suspicion.since) < SUSPICION_TTL && (suspicion.superseded || is_known(id))
         });
     }
 
     fn entry(&mut self, id: &K, now: Millis) -> &mut Suspicion {
-        self.doubts.entry(id.clone()).or_insert_with(|| Suspicion {
+        self.by_instance.entry(id.clone()).or_insert_with(|| Suspicion {
             since: now,
-            seen_by: BTreeSet::new(),
-            answered: BTreeSet::new(),
-            own: false,
-            is_over: false,
-            by_word: false,
+            failed_peers: BTreeSet::new(),
+            reached_by: BTreeSet::new(),
+            failed_here: false,
+            superseded: false,
+            relies_on_peers: false,
         })
     }
 }
--- a/crates/workshold-core/tests/hosted/liveness.rs
+++ b/crates/workshold-core/tests/hosted/liveness.rs
@@ -1,4 +1,4 @@
-//! What a node believes of the configuration, the list and who is there.
+//! What a node knows of the configuration, the instance list and unreachable instances.
 
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
     InstanceId::new(name).unwrap()
 }
 
-fn word(name: &str, is_leaving: bool) -> Instance {
+fn report(name: &str, is_leaving: bool) -> Instance {
     Instance {
         identity: id(name).into(),
         service: ServiceName::new("gate").unwrap(),
@@ -38,73 +38,73 @@
 }
 
 #[test]
-fn a_version_never_goes_back() {
-    let mut config_freshness = ConfigFreshness::default();
-    assert!(config_freshness.take(7, Millis(1_000)));
-    assert!(!config_freshness.take(5, Millis(2_000)), "an old copy read late");
-    assert_eq!(config_freshness.version(), Some(7));
+fn the_version_never_decreases() {
+    let mut freshness = ConfigFreshness::default();
+    assert!(freshness.take(7, Millis(1_000)));
+    assert!(!freshness.take(5, Millis(2_000)), "an old version that was read late");
+    assert_eq!(freshness.version(), Some(7));
     assert!(
-        !config_freshness.is_within(Millis(6_000), Millis(4_600)),
-        "nor does it make the new fresh"
+        !freshness.is_within(Millis(6_000), Millis(4_600)),
+        "an old version doesn't renew the newer one"
     );
 }
 
 #[test]
-fn freshness_comes_of_whoever_saw_the_same_version() {
-    let mut config_freshness = ConfigFreshness::default();
-    config_freshness.take(7, Millis(1_000));
-    assert!(!config_freshness.confirm(7, Millis(3_000)));
-    assert!(config_freshness.is_within(Millis(7_000), Millis(4_600)));
-    assert!(config_freshness.confirm(9, Millis(5_000)), "a newer one is wanted");
-    assert!(!config_freshness.is_within(Millis(8_000), Millis(4_600)), "and the old one ages");
+fn any_node_that_saw_the_same_version_keeps_it_fresh() {
+    let mut freshness = ConfigFreshness::default();
+    freshness.take(7, Millis(1_000));
+    assert!(!freshness.confirm(7, Millis(3_000)));
+    assert!(freshness.is_within(Millis(7_000), Millis(4_600)));
+    assert!(freshness.confirm(9, Millis(5_000)), "this node lacks the newer one");
+    assert!(!freshness.is_within(Millis(8_000), Millis(4_600)), "the old one isn't renewed");
 }
 
 #[test]
-fn without_any_version_no_key_is_believed() {
+fn without_a_version_nothing_is_fresh() {
     assert!(!ConfigFreshness::default().is_within(Millis(1), Millis(4_600)));
     assert!(ConfigFreshness::default().confirm(1, Millis(1)));
 }
 
 #[test]
-fn records_read_out_of_order_change_nothing() {
+fn older_records_are_ignored() {
     let mut roster = Roster::default();
-    roster.apply(5, &id("i-1"), Some(word("i-1", true)), Millis(100));
-    roster.apply(3, &id("i-1"), Some(word("i-1", false)), Millis(200));
+    roster.apply(5, &id("i-1"), Some(report("i-1", true)), Millis(100));
+    roster.apply(3, &id("i-1"), Some(report("i-1", false)), Millis(200));
     assert!(roster.get(&id("i-1")).unwrap().instance.is_leaving);
     roster.apply(4, &id("i-1"), None, Millis(300));
     assert_eq!(roster.get(&id("i-1")).unwrap().unlisted_since, None);
 }
 
 #[test]
-fn a_whole_reading_shows_who_has_gone() {
+fn a_full_reading_shows_which_instances_have_gone() {
     let mut roster = Roster::default();
-    roster.apply(1, &id("i-1"), Some(word("i-1", false)), Millis(100));
-    roster.apply(9, &id("i-2"), Some(word("i-2", false)), Millis(100));
-    // Its pages began at record 5: what is newer may be missing in them.
+    roster.apply(1, &id("i-1"), Some(report("i-1", false)), Millis(100));
+    roster.apply(9, &id("i-2"), Some(report("i-2", false)), Millis(100));
+    // The reading began at record 5, so it may lack newer records.
     roster.on_full_list(&BTreeSet::new(), 5, Millis(200));
     let trust = ListTrust::default();
     assert!(!roster.get(&id("i-1")).unwrap().is_present(&trust, Millis(200)));
     assert!(roster.get(&id("i-2")).unwrap().is_present(&trust, Millis(200)));
 }
 
-/// The store came back from a copy of a moment at which the instance had not said that it is
-/// in a group, or that it leaves, or was not there at all.
+/// The store is restored from a backup that was taken before the instance joined a group, before
+/// it announced its shutdown, or before it was listed at all.
 #[test]
-fn a_copy_takes_nobody_away_before_whoever_is_there_has_written_again() {
+fn a_restored_list_removes_no_instance_before_it_could_write_again() {
     let trust = ListTrust::default();
     let mut roster = Roster::default();
     let now = Millis(100_000);
     let true_from = now + RESTORE_SETTLE_TIME;
-    roster.apply(8, &id("i-1"), Some(word("i-1", true)), now);
-    roster.apply(9, &id("i-2"), Some(word("i-2", false)), now);
-    let place = |offset| LogPosition { era: Era(1), offset };
+    roster.apply(8, &id("i-1"), Some(report("i-1", true)), now);
+    roster.apply(9, &id("i-2"), Some(report("i-2", false)), now);
+    let position = |offset| LogPosition { era: Era(1), offset };
     roster.begin_era(Era(1), true_from);
-    roster.apply_restored(place(3), &id("i-1"), word("i-1", false), now);
+    roster.apply_restored(position(3), &id("i-1"), report("i-1", false), now);
     roster.forget(now + Millis(5_000));
-    assert!(roster.get(&id("i-1")).unwrap().instance.is_leaving, "nobody takes that back");
+    assert!(roster.get(&id("i-1")).unwrap().instance.is_leaving, "a shutdown is final");
     assert!(roster.get(&id("i-2")).unwrap().is_present(&trust, now + Millis(5_000)));
-    // One that is there has written again, at a place far below its last one.
-    roster.apply(place(4), &id("i-1"), Some(word("i-1", true)), now + Millis(5_100));
+    // An instance that runs writes again, at an offset far below its last one.
+    roster.apply(position(4), &id("i-1"), Some(report("i-1", true)), now + Millis(5_100));
     roster.forget(true_from + Millis(100));
     assert!(roster.get(&id("i-1")).unwrap().instance.is_leaving);
     assert!(roster.get(&id("i-1")).unwrap().is_present(&trust, true_from + Millis(100)));
@@ -112,13 +112,13 @@
 }
 
 #[test]
-fn a_copied_word_that_nobody_replaces_is_believed_in_the_end() {
+fn a_restored_record_is_accepted_if_none_replaces_it() {
     let mut roster = Roster::default();
     let now = Millis(100_000);
-    roster.apply(8, &id("i-1"), Some(word("i-1", true)), now);
+    roster.apply(8, &id("i-1"), Some(report("i-1", true)), now);
     roster.begin_era(Era(1), now + RESTORE_SETTLE_TIME);
-    let place = LogPosition { era: Era(1), offset: 3 };
-    roster.apply_restored(place, &id("i-1"), word("i-1", false), now);
+    let position = LogPosition { era: Era(1), offset: 3 };
+    roster.apply_restored(position, &id("i-1"), report("i-1", false), now);
     roster.forget(now + RESTORE_SETTLE_TIME - Millis(1));
     assert!(roster.get(&id("i-1")).unwrap().instance.is_leaving);
     roster.forget(now + RESTORE_SETTLE_TIME);
@@ -126,10 +126,10 @@
 }
 
 #[test]
-fn what_lapsed_while_the_store_was_away_is_missing_only_later() {
+fn an_entry_that_expired_in_an_outage_counts_as_missing_only_later() {
     let mut roster = Roster::default();
     let mut trust = ListTrust::default();
-    roster.apply(1, &id("i-1"), Some(word("i-1", false)), Millis(1_000));
+    roster.apply(1, &id("i-1"), Some(report("i-1", false)), Millis(1_000));
     trust.on_store_failure(Millis(10_000));
     roster.apply(2, &id("i-1"), None, Millis(10_100));
     let entry = roster.get(&id("i-1")).unwrap();
@@ -138,69 +138,71 @@
 }
 
 #[test]
-fn an_instance_that_left_long_before_an_outage_is_not_excused() {
+fn an_instance_that_left_long_before_an_outage_is_gone() {
     let mut roster = Roster::default();
     let mut trust = ListTrust::default();
-    roster.apply(1, &id("i-1"), Some(word("i-1", false)), Millis(1_000));
+    roster.apply(1, &id("i-1"), Some(report("i-1", false)), Millis(1_000));
     roster.apply(2, &id("i-1"), None, Millis(2_000));
     trust.on_store_failure(Millis(10_000));
     assert!(!roster.get(&id("i-1")).unwrap().is_in_service(&trust, Millis(10_100)));
 }
 
 #[test]
-fn one_nodes_word_is_not_enough_to_call_an_instance_lost() {
+fn the_probe_of_one_node_does_not_confirm_a_loss() {
     let mut suspicions = Suspicions::default();
     suspicions.on_own_probe(&id("i-1"), ProbeResult::Silent, Millis(1));
-    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Doubted, "this node may be cut off itself");
+    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Suspected, "this node may be cut off itself");
     suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Silent, Millis(2));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Confirmed);
     suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Answers, Millis(3));
-    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Doubted);
+    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Suspected);
     suspicions.on_own_probe(&id("i-1"), ProbeResult::Answers, Millis(4));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::None);
 }
 
 #[test]
-fn a_node_alone_goes_by_its_own_tries() {
+fn a_single_node_relies_on_its_own_probes() {
     let mut suspicions = Suspicions::default();
     suspicions.on_own_probe(&id("i-1"), ProbeResult::Silent, Millis(1));
     assert_eq!(suspicions.loss(&id("i-1"), 0), Loss::Confirmed);
 }
 
-/// Seen: on days on which the paths from all nodes to some instances refuse connections,
-/// members were taken out of groups whose heads were open. How: all nodes were refused, none
-/// reached the head, and half a second later its members joined others, while the list still
-/// had it. Cause: a refusal counted as the word of the instance's machine that its process is
-/// gone; whatever stands on the path can say that too, and to all nodes that are behind it.
-/// What proves it: the same life of that head answered requests again once the paths were
-/// back.
+/// Guards against taking a refused connection as proof that the process has ended. The refusal can
+/// come from the network path, and then to all nodes behind it. Members were taken out of groups
+/// with an open head that way: all nodes were refused, and half a second later the members joined
+/// other groups although the head was still listed. The same incarnation of that head answered
+/// requests again once the network was back.
 #[test]
-fn a_refused_connection_is_no_end_of_a_life_whoever_meets_it() {
+fn a_refused_connection_does_not_prove_that_an_incarnation_ended() {
     let mut suspicions = Suspicions::default();
     suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Refused, Millis(1));
-    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Doubted, "a peer's path may be cut");
+    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Suspected, "a peer's path may be cut");
     suspicions.on_own_probe(&id("i-1"), ProbeResult::Refused, Millis(2));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Confirmed);
-    // Some paths are cut, not all: it lives, and may be the head of an open group.
+    // Only some paths are cut: the instance is running and may be the head of an open group.
     suspicions.on_peer(&id("i-1"), "n-3", ProbeResult::Answers, Millis(3));
-    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Doubted);
+    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Suspected);
     for peer in 2..9 {
         suspicions.on_peer(&id("i-1"), &format!("n-{peer}"), ProbeResult::Refused, Millis(4));
     }
-    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Confirmed, "all are behind the same cut");
+    assert_eq!(
+        suspicions.loss(&id("i-1"), 8),
+        Loss::Confirmed,
+        "all nodes may be behind the same fault"
+    );
     suspicions.on_superseded(&id("i-1"), Millis(5));
-    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Ended, "its next life says so");
+    assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::Ended, "another incarnation has started");
     suspicions.clear(&id("i-1"));
     assert_eq!(suspicions.loss(&id("i-1"), 8), Loss::None);
 }
 
-/// One path to an instance is cut; seconds later it ends, and nobody reaches it.
+/// One path to an instance is cut; seconds later the instance ends, and no node reaches it.
 #[test]
-fn a_loss_is_as_old_as_the_last_who_reached_it() {
+fn a_loss_begins_when_the_last_node_cannot_reach_the_instance() {
     let mut suspicions = Suspicions::default();
     suspicions.on_own_probe(&id("i-1"), ProbeResult::Silent, Millis(1_000));
     suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Answers, Millis(1_040));
-    assert_eq!(suspicions.loss(&id("i-1"), 1), Loss::Doubted);
+    assert_eq!(suspicions.loss(&id("i-1"), 1), Loss::Suspected);
     assert_eq!(suspicions.since(&id("i-1")), Some(Millis(1_000)));
     suspicions.on_own_probe(&id("i-1"), ProbeResult::Refused, Millis(8_000));
     suspicions.on_peer(&id("i-1"), "n-2", ProbeResult::Refused, Millis(8_040));
@@ -208,5 +210,9 @@
     assert_eq!(suspicions.since(&id("i-1")), Some(Millis(8_040)));
     suspicions.on_own_probe(&id("i-1"), ProbeResult::Refused, Millis(9_500));
     suspicions.on_peer(&id("i-1"), "n-3", ProbeResult::Refused, Millis(9_600));
-    assert_eq!(suspicions.since(&id("i-1")), Some(Millis(8_040)), "it grows no younger");
+    assert_eq!(
+        suspicions.since(&id("i-1")),
+        Some(Millis(8_040)),
+        "later reports don't move its start"
+    );
 }
