--- a/crates/workshold-core/src/hosted/retry_policy.rs
+++ b/crates/workshold-core/src/hosted/retry_policy.rs
@@ -1,4 +1,4 @@
-//! What may be tried again, and how often over all nodes together.
+//! Which requests may be retried, and the retry budget that all nodes share.
 
 use std::collections::VecDeque;
 
@@ -6,53 +6,54 @@
 
 use super::serving_config::Route;
 
-/// How one try ended.
+/// How one attempt to run a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No byte of it left this node.
+    /// No byte of the request left this node.
     NotSent,
-    /// The same: its instance takes nothing from this node for now, by its own word.
+    /// No byte left this node, since the instance announced that it takes no request from it now.
     Withheld,
-    /// The upstream says that it has not run it and will not.
+    /// The upstream reported that it hasn't run the request and won't.
     Refused,
-    /// It may have run: the connection broke, or nothing came.
+    /// The request may have run: the connection broke, or no answer came.
     Unknown,
-    /// The same, and its connection broke while it had just begun to run, or waited: its
-    /// instance may have ended by it.
+    /// As [`AttemptEnd::Unknown`], and the connection broke while the request had just started or
+    /// was queued: the request may have crashed its instance.
     Broken,
-    /// It ran and failed, by the upstream's word.
+    /// The request ran and failed, as the upstream reported.
     Failed,
 }
 
-/// What a request has used up.
+/// The attempts of a request so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptsUsed {
-    /// Upstream instances that it was sent to.
+    /// Attempts that were sent to an upstream instance.
     pub sent: u32,
-    /// Tries that never left.
+    /// Attempts that ended before anything was sent.
     pub not_sent: u32,
-    /// Whether one of those sends may have run.
+    /// Whether the request may have run in one of those that were sent.
     pub may_have_run: bool,
 }
 
-/// What follows a try.
+/// What follows after an attempt has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Another try elsewhere.
+    /// Another attempt at another instance.
     Again,
-    /// The caller is told that it has not run.
+    /// The caller is told that the request hasn't run.
     NotRun,
-    /// The caller is told that nobody knows.
+    /// The caller is told that the request may have run.
     Unknown,
-    /// The caller is given the upstream's own failure.
+    /// The caller gets the upstream's own error answer.
     PassOn,
 }
 
-/// Tries that never left, before a request is given up: more instances than are
-/// usually lost at once.
-const MOST_NOT_SENT: u32 = 4;
+/// Number of attempts without anything sent after which a request is given up: more instances than
+/// are usually lost at once.
+const NOT_SENT_MAX: u32 = 4;
 
-/// The one place that says whether a request may be tried again.
+/// Decides what follows after an attempt ended with `ending`. No other code decides whether a
+/// request is retried.
 pub fn next(
     route: &Route,
     ending: AttemptEnd,
@@ -64,7 +65,7 @@
     let again = match ending {
         AttemptEnd::NotSent | AttemptEnd::Withheld => {
             let is_first = used.sent == 0;
-            used.not_sent < MOST_NOT_SENT && may_send && (is_first || route.is_repeatable())
+            used.not_sent < NOT_SENT_MAX && may_send && (is_first || route.is_repeatable())
         }
         AttemptEnd::Refused => may_send && has_budget,
         AttemptEnd::Unknown | AttemptEnd::Broken | AttemptEnd::Failed => {
@@ -80,116 +81,124 @@
     if used.may_have_run { NextStep::Unknown } else { NextStep::NotRun }
 }
 
-/// Whether another try may begin beside `under_way` ones that have not ended: they may
-/// all run, and each may be the one that answers.
+/// Whether another attempt may start in parallel to `under_way` ones that haven't ended. All of
+/// them may run, and any of them may be the one that answers.
 pub fn may_hedge(route: &Route, used: AttemptsUsed, under_way: u32) -> bool {
     let has_attempts = used.sent + under_way < route.attempts.max(1);
-    route.is_repeatable() && has_attempts && used.not_sent < MOST_NOT_SENT
+    route.is_repeatable() && has_attempts && used.not_sent < NOT_SENT_MAX
 }
 
-/// How repeats are bounded over all nodes.
+/// The retry budget of all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetRules {
-    /// Repeats for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// The time over which they count.
+    /// Length of the sliding window in which requests and retries are counted.
     pub window: Millis,
-    /// Repeats that all nodes together may make beyond that.
+    /// Retries in each window that all nodes together may make beyond that.
     pub slack: f64,
 }
 
-/// Part of the allowance that is used; the rest is for nodes whose view is late and for
-/// processes in their first window.
-const USED_PART: f64 = 0.8;
-/// The part that a process uses in its first window, of the ratio only. One that it
-/// replaces may have used its whole part just before, by requests that have left the
-/// window since: what is taken then must come out of what nobody uses.
-const PART_AT_FIRST: f64 = 1.0 - USED_PART;
-/// Steps that a window is counted in.
-const STEPS: u64 = 20;
-
-/// One node's part of the budget for one service.
+/// Fraction of the budget that nodes use. The rest is for nodes that learn late how many share it,
+/// and for processes in their first window.
+const USED_FRACTION: f64 = 0.8;
+/// Fraction that a process uses in its first window, and only of the retries that its own requests
+/// allow. A process that it replaces may have used its whole share just before, on the strength of
+/// requests that have left the window since, so these retries must come out of the unused rest.
+const FIRST_WINDOW_FRACTION: f64 = 1.0 - USED_FRACTION;
+/// Number of buckets that a window is counted in.
+const BUCKETS: u64 = 20;
+
+/// One node's share of the retry budget for one service.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     rules: RetryBudgetRules,
-    whole_from: Millis,
-    steps: VecDeque<(u64, u32, u32)>,
+    /// When the process gets its whole share.
+    full_share_from: Millis,
+    /// Bucket number, requests and retries, oldest bucket first.
+    buckets: VecDeque<(u64, u32, u32)>,
 }
 
-/// How far a budget is used.
+/// How much of a node's share of the retry budget is used.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetUsage {
     /// Requests in the window.
     pub requests: u32,
-    /// Repeats that were taken in it.
+    /// Retries taken in the window.
     pub repeats: u32,
-    /// Repeats that this node may take in it.
+    /// Retries that this node may take in the window.
     pub allowed: f64,
 }
 
 impl RetryBudget {
-    /// Nothing used yet, by nobody.
+    /// A budget of which neither this process nor an earlier one has used anything.
     pub fn new(rules: RetryBudgetRules) -> Self {
-        Self { rules, whole_from: Millis::ZERO, steps: VecDeque::new() }
+        Self { rules, full_share_from: Millis::ZERO, buckets: VecDeque::new() }
     }
 
-    /// Of a process that `began` when the system ran already: it has its whole part once
-    /// all has left the window that another one may have taken in its place, or that
-    /// others took before they heard of a new node.
+    /// The budget of a process that `began` when the fleet was already running. It has its whole
+    /// share once the window no longer holds retries that the process it replaces may have taken,
+    /// or that other nodes took before they knew of a new node.
     pub fn for_restart(rules: RetryBudgetRules, began: Millis) -> Self {
-        let whole_from = began + rules.window + step_len(rules);
-        Self { whole_from, ..Self::new(rules) }
+        let full_share_from = began + rules.window + bucket_len(rules);
+        Self { full_share_from, ..Self::new(rules) }
     }
 
-    /// A request came.
+    /// Counts a request that arrived.
     pub fn on_request(&mut self, now: Millis) {
-        self.step(now).1 += 1;
+        self.bucket(now).1 += 1;
     }
 
-    /// Takes one repeat, if this node's part allows it; `nodes` share the slack.
+    /// Takes one retry if this node's share allows it, and returns whether it did. The slack is
+    /// divided among `nodes`.
     pub fn take(&mut self, now: Millis, nodes: usize) -> bool {
         let usage = self.usage(now, nodes);
         if f64::from(usage.repeats) + 1.0 > usage.allowed {
             return false;
         }
-        self.step(now).2 += 1;
+        self.bucket(now).2 += 1;
         true
     }
 
-    /// How far it is used.
+    /// How much of the share is used in the window up to `now`.
     pub fn usage(&mut self, now: Millis, nodes: usize) -> RetryBudgetUsage {
-        let number = self.step(now).0;
-        let recent = self.steps.iter().filter(|step| step.0 + STEPS > number);
-        let requests = recent.map(|step| step.1).sum();
-        let repeats = self.steps.iter().map(|step| step.2).sum();
+        let number = self.bucket(now).0;
+        let recent = self.buckets.iter().filter(|bucket| bucket.0 + BUCKETS > number);
+        let requests = recent.map(|bucket| bucket.1).sum();
+        let repeats = self.buckets.iter().map(|bucket| bucket.2).sum();
         let earned = self.rules.ratio * f64::from(requests);
-        let own_slack = self.rules.slack / nodes.max(1) as f64;
-        let is_whole = now >= self.whole_from;
-        let allowed =
-            if is_whole { (earned + own_slack) * USED_PART } else { earned * PART_AT_FIRST };
+        let slack_share = self.rules.slack / nodes.max(1) as f64;
+        let has_full_share = now >= self.full_share_from;
+        let allowed = if has_full_share {
+            (earned + slack_share) * USED_FRACTION
+        } else {
+            earned * FIRST_WINDOW_FRACTION
+        };
         RetryBudgetUsage { requests, repeats, allowed }
     }
 
-    /// The step under way. A repeat counts until its whole step is older than a window.
-    /// Gives the last repeat back: it never left.
+    /// Gives the last retry back, since it was never sent.
     pub fn refund(&mut self) {
-        if let Some(step) = self.steps.iter_mut().rev().find(|step| step.2 > 0) {
-            step.2 -= 1;
+        if let Some(bucket) = self.buckets.iter_mut().rev().find(|bucket| bucket.2 > 0) {
+            bucket.2 -= 1;
         }
     }
 
-    fn step(&mut self, now: Millis) -> &mut (u64, u32, u32) {
-        let number = now.0 / step_len(self.rules).0;
-        while self.steps.front().is_some_and(|step| step.0 + STEPS < number) {
-            self.steps.pop_front();
+    /// The current bucket. Drops those that are older than a window: a retry counts until its whole
+    /// bucket is.
+    fn bucket(&mut self, now: Millis) -> &mut (u64, u32, u32) {
+        let number = now.0 / bucket_len(self.rules).0;
+        while self.buckets.front().is_some_and(|bucket| bucket.0 + BUCKETS < number) {
+            self.buckets.pop_front();
         }
-        if self.steps.back().is_none_or(|step| step.0 != number) {
-            self.steps.push_back((number, 0, 0));
+        if self.buckets.back().is_none_or(|bucket| bucket.0 != number) {
+            self.buckets.push_back((number, 0, 0));
         }
-        self.steps.back_mut().expect("one was just pushed")
+        self.buckets.back_mut().expect("one was just pushed")
     }
 }
 
-fn step_len(rules: RetryBudgetRules) -> Millis {
-    Millis(rules.window.0.div_ceil(STEPS).max(1))
+/// Length of a bucket.
+fn bucket_len(rules: RetryBudgetRules) -> Millis {
+    Millis(rules.window.0.div_ceil(BUCKETS).max(1))
 }
--- a/crates/workshold-core/tests/hosted/node_census.rs
+++ b/crates/workshold-core/tests/hosted/node_census.rs
@@ -1,4 +1,5 @@
-//! What is divided among nodes: by whom, and in which window.
+//! The nodes among which the retry budget is divided, and the share of a process that has just
+//! started.
 
 use rstest::rstest;
 use workshold_core::hosted::node_census::NodeCensus;
@@ -10,53 +11,54 @@
     RetryBudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
 const HOUR: Millis = Millis::from_secs(3_600);
 
-fn three() -> NodeCensus<u32> {
-    let mut sharers = NodeCensus::default();
-    (1..=3).for_each(|node| sharers.on_seen(node, Millis::ZERO));
-    sharers
+fn three_nodes() -> NodeCensus<u32> {
+    let mut census = NodeCensus::default();
+    (1..=3).for_each(|node| census.on_seen(node, Millis::ZERO));
+    census
 }
 
 #[test]
-fn who_falls_silent_keeps_its_part_while_the_store_says_nothing() {
-    let mut sharers = three();
-    sharers.on_seen(1, HOUR);
-    assert_eq!(sharers.count(), 3);
+fn a_silent_node_counts_until_the_store_answers() {
+    let mut census = three_nodes();
+    census.on_seen(1, HOUR);
+    assert_eq!(census.count(), 3);
 }
 
 #[test]
-fn who_is_silent_keeps_its_part_as_long_as_the_store_names_it() {
-    let mut sharers = three();
-    sharers.on_listed([2], HOUR);
-    assert_eq!(sharers.count(), 1, "the others are gone by both signs");
-    sharers.on_listed([], HOUR + Millis::from_secs(60));
-    assert_eq!(sharers.count(), 1, "the store names only some of many");
-    sharers.on_listed([], HOUR + HOUR);
-    assert_eq!(sharers.count(), 0);
+fn a_silent_node_counts_as_long_as_the_store_names_it() {
+    let mut census = three_nodes();
+    census.on_listed([2], HOUR);
+    assert_eq!(census.count(), 1, "the others are silent and aren't named");
+    census.on_listed([], HOUR + Millis::from_secs(60));
+    assert_eq!(census.count(), 1, "a node that the store doesn't name may still be running");
+    census.on_listed([], HOUR + HOUR);
+    assert_eq!(census.count(), 0);
 }
 
 #[test]
-fn who_is_new_takes_its_part_at_once() {
-    let mut sharers = three();
-    sharers.on_listed([4, 5], Millis(100));
-    assert_eq!(sharers.count(), 5);
+fn a_new_node_counts_at_once() {
+    let mut census = three_nodes();
+    census.on_listed([4, 5], Millis(100));
+    assert_eq!(census.count(), 5);
 }
 
-/// However often a process is replaced, its place takes no more than one that stays.
+/// However often a process is replaced, its successors together use no more than one that keeps
+/// running.
 #[rstest]
-fn a_place_takes_its_part_once_however_often_its_process_is_replaced(
-    #[values(300, 2_000, 9_000, 10_400, 10_600, 13_000, 19_000)] every: u64,
-    #[values(0, 10_000, 12_900, 17_000)] trouble_from: u64,
+fn restarts_do_not_multiply_a_nodes_share(
+    #[values(300, 2_000, 9_000, 10_400, 10_600, 13_000, 19_000)] restart_interval: u64,
+    #[values(0, 10_000, 12_900, 17_000)] failures_from: u64,
 ) {
     let mut budget = RetryBudget::new(RULES);
     let mut taken = Vec::new();
     for ms in (0..60_000_u64).step_by(20) {
-        if ms > 0 && ms % every < 20 {
+        if ms > 0 && ms % restart_interval < 20 {
             budget = RetryBudget::for_restart(RULES, Millis(ms));
         }
         budget.on_request(Millis(ms));
-        // Everything fails, and bursts of streams move at once.
+        // Every request fails, and every four seconds 200 streams are to be moved at once.
         let wanted = if ms % 4_000 == 0 { 200 } else { 1 };
-        let wanted = if ms < trouble_from { 0 } else { wanted };
+        let wanted = if ms < failures_from { 0 } else { wanted };
         taken.extend((0..wanted).filter(|_| budget.take(Millis(ms), 1)).map(|_| ms));
     }
     for from in (0..50_000_u64).step_by(20) {
@@ -66,7 +68,7 @@
 }
 
 #[test]
-fn a_process_has_its_whole_part_once_a_window_has_passed() {
+fn a_restarted_process_has_its_whole_share_after_a_window() {
     let mut budget = RetryBudget::for_restart(RULES, Millis(5_000));
     let mut taken = |at| (0..200).filter(|_| budget.take(Millis(at), 1)).count();
     assert_eq!(taken(15_400), 0);
--- a/crates/workshold-core/tests/hosted/requests.rs
+++ b/crates/workshold-core/tests/hosted/requests.rs
@@ -1,4 +1,4 @@
-//! Routes, tries, budgets, placement and silence.
+//! Routes, retries, the retry budget, placement and silent streams.
 
 use rstest::rstest;
 use smol_str::SmolStr;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_key_that_nobody_holds_is_unknown() {
+fn an_unassigned_key_is_unknown() {
     let team = Team { name: TeamName::new("night-desk").unwrap(), priority: 1 };
     let serving_config = serving_config(Some(vec![(team.clone(), vec![SmolStr::new("k1")])]));
     let route = serving_config.route("lot.example", "/a/x").unwrap();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_split_gives_each_service_its_weight() {
+fn a_split_follows_the_weights() {
     let route = route("/a/", RequestKind::Stream, true);
     let second = (0..1_000_u64).filter(|draw| route.target(*draw).unwrap().as_str() == "second");
     assert_eq!(second.count(), 100);
@@ -95,23 +95,23 @@
 }
 
 #[rstest]
-// Nothing left this node: anything may be tried elsewhere.
+// Nothing was sent: any request may be tried elsewhere.
 #[case(RequestKind::AtMostOnce, AttemptEnd::NotSent, used(0, 1, false), true, NextStep::Again)]
 #[case(RequestKind::AtMostOnce, AttemptEnd::NotSent, used(0, 4, false), true, NextStep::NotRun)]
-// What must run at most once is never sent again after it may have run.
+// A request that must run at most once is never sent again after it may have run.
 #[case(RequestKind::AtMostOnce, AttemptEnd::Unknown, used(1, 0, true), true, NextStep::Unknown)]
 #[case(RequestKind::AtMostOnce, AttemptEnd::Failed, used(1, 0, true), true, NextStep::PassOn)]
-// The upstream's word that it has not run lets anything be sent again.
+// If the upstream reports that it hasn't run the request, any request may be sent again.
 #[case(RequestKind::AtMostOnce, AttemptEnd::Refused, used(1, 0, false), true, NextStep::Again)]
 #[case(RequestKind::Idempotent, AttemptEnd::Unknown, used(1, 0, true), true, NextStep::Again)]
 #[case(RequestKind::Idempotent, AttemptEnd::Failed, used(1, 0, true), true, NextStep::Again)]
-// Attempts and budget bound all of it, and "not run" stays true.
+// The number of attempts and the budget bound all retries, and "not run" is answered only if true.
 #[case(RequestKind::Idempotent, AttemptEnd::Unknown, used(2, 0, true), true, NextStep::Unknown)]
 #[case(RequestKind::Idempotent, AttemptEnd::Unknown, used(1, 0, true), false, NextStep::Unknown)]
 #[case(RequestKind::Idempotent, AttemptEnd::Refused, used(2, 0, true), true, NextStep::Unknown)]
 #[case(RequestKind::Idempotent, AttemptEnd::Refused, used(2, 0, false), true, NextStep::NotRun)]
 #[case(RequestKind::Idempotent, AttemptEnd::Refused, used(1, 0, false), false, NextStep::NotRun)]
-fn what_may_be_tried_again(
+fn the_next_step_after_an_attempt(
     #[case] kind: RequestKind,
     #[case] ending: AttemptEnd,
     #[case] used: AttemptsUsed,
@@ -123,47 +123,47 @@
 }
 
 #[test]
-fn without_time_nothing_is_tried_again() {
+fn without_time_left_nothing_is_retried() {
     let route = route("/a/", RequestKind::Stream, true);
     let given_up = next(&route, AttemptEnd::Refused, used(1, 0, false), true, false);
     assert_eq!(given_up, NextStep::NotRun);
 }
 
 #[test]
-fn all_nodes_together_keep_to_the_budget_in_every_window() {
+fn all_nodes_together_keep_to_the_retry_budget_in_every_window() {
     let rules = RetryBudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
     let nodes = 9;
     let mut budgets: Vec<RetryBudget> = (0..nodes).map(|_| RetryBudget::new(rules)).collect();
-    let mut taken: Vec<u64> = Vec::new();
-    let mut asked: Vec<u64> = Vec::new();
+    let mut retries: Vec<u64> = Vec::new();
+    let mut requests_at: Vec<u64> = Vec::new();
     for ms in (0..40_000_u64).step_by(10) {
         let node = (ms / 10) as usize % nodes;
         budgets[node].on_request(Millis(ms));
-        asked.push(ms);
-        // Everything fails, and everything would be repeated.
+        requests_at.push(ms);
+        // Every request fails, and would be retried.
         if budgets[node].take(Millis(ms), nodes) {
-            taken.push(ms);
+            retries.push(ms);
         }
     }
     for from in (0..30_000_u64).step_by(250) {
         let within = |at: &&u64| (from..from + 10_000).contains(*at);
-        let repeats = taken.iter().filter(within).count() as f64;
-        let requests = asked.iter().filter(within).count() as f64;
+        let repeats = retries.iter().filter(within).count() as f64;
+        let requests = requests_at.iter().filter(within).count() as f64;
         assert!(repeats <= 0.2 * requests + 100.0, "{repeats} of {requests} from {from}");
     }
-    assert!(taken.len() > 400, "the budget is there to be used: {}", taken.len());
+    assert!(retries.len() > 400, "nodes use the budget: {}", retries.len());
 }
 
-/// Seen on reading: what was taken late in one step was forgotten when its step began to
-/// be the oldest but one, up to a twentieth of the window too early, so that two bursts
-/// just within a window were each given the whole allowance.
+/// Guards against retries that are dropped from the count up to one bucket, a twentieth of the
+/// window, too early. They were when their bucket became the oldest but one, and then two bursts
+/// less than a window apart each got the whole budget.
 #[test]
-fn two_bursts_within_a_window_share_one_allowance() {
+fn two_bursts_within_a_window_share_one_budget() {
     let rules = RetryBudgetRules { ratio: 0.2, window: Millis(10_000), slack: 100.0 };
     for (first, second) in [(499, 10_001), (250, 10_249), (0, 9_999), (499, 10_498)] {
         let mut budget = RetryBudget::new(rules);
-        let mut taken = |at| (0..200).filter(|_| budget.take(Millis(at), 1)).count();
-        let both = taken(first) + taken(second);
+        let mut retries = |at| (0..200).filter(|_| budget.take(Millis(at), 1)).count();
+        let both = retries(first) + retries(second);
         assert!(both <= 100, "{both} at {first} and {second} ms");
     }
 }
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_target_set_aside_is_taken_only_if_there_is_no_other() {
+fn a_deprioritized_target_is_chosen_only_if_there_is_no_other() {
     let both = [candidate(0, 20.0, true), candidate(10, 20.0, false)];
     assert!((0..100).all(|draw| choose(&both, draw << 32 | draw) == Some(1)));
     assert_eq!(choose(&both[..1], 7), Some(0));
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_slow_or_full_target_gets_less() {
+fn a_slow_or_full_target_gets_fewer_requests() {
     let targets = [candidate(3, 200.0, false), candidate(3, 30.0, false)];
     assert!((0..100).all(|draw| choose(&targets, draw << 32 | draw) == Some(1)));
     let full = [candidate(30, 30.0, false), candidate(5, 30.0, false)];
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn draws_spread_requests_over_equal_targets() {
+fn requests_spread_over_equal_targets() {
     let targets = [candidate(3, 30.0, false); 12];
     let mut hits = [0; 12];
     for draw in 0..1_200_u64 {
@@ -200,17 +200,17 @@
 }
 
 #[test]
-fn silence_is_judged_by_the_usual_gap_and_the_goal() {
+fn stall_thresholds_follow_the_mean_gap_and_the_goal() {
     let rules = StallRules::default();
     let quick = rules.probe_after(26.0, Millis(200));
     let slow = rules.probe_after(220.0, Millis(300));
-    assert!(quick < Millis(200), "before the pause is too long: {quick}");
-    assert!(slow >= Millis(220), "a slow engine is not doubted at every event: {slow}");
+    assert!(quick < Millis(200), "the probe comes before the pause goal is missed: {quick}");
+    assert!(slow >= Millis(220), "a slow engine isn't probed at every event: {slow}");
     assert!(rules.failover_after(220.0, Millis(300)) >= Millis(1_500));
 }
 
 #[test]
-fn the_usual_gap_follows_and_a_lost_stream_does_not_spoil_it() {
+fn the_mean_gap_adapts_and_one_long_gap_does_not_distort_it() {
     let head = InstanceId::new("i-1").unwrap();
     let mut gaps = EventGaps::default();
     gaps.on_peer(&head, 50.0);
