--- a/crates/workshold-core/src/hosted.rs
+++ b/crates/workshold-core/src/hosted.rs
@@ -1,20 +1,22 @@
-//! Decisions for a deployment whose platform keeps the state.
+//! Decisions for a deployment in which the platform keeps the state.
 //!
-//! The platform's store holds the newest configuration and what every instance
-//! says of itself, its group included. So nothing of ours is folded or replayed
-//! here: the instances' statements are the state, and what is left is to read
-//! them, to order instances safely, and to place requests.
+//! The platform's store holds the newest configuration and what every instance reports of
+//! itself, including the group that it belongs to. So this crate replays no log here: the
+//! instances' reports are the state, and the modules below read them, order instances safely,
+//! and place requests.
 //!
-//! - What is to be served: [`serving_config`], and how fresh it is: [`config_freshness`]; when the store is
-//!   asked again: [`long_poll`].
-//! - What there is: [`roster`] with [`groups`]; which life of an instance: [`identity`]; who
-//!   cannot be reached: [`suspicion`]; which past of the store says so: [`store_era`].
-//! - What is asked: [`demand`]; what groups make of it: [`capacity`]; which groups there
-//!   should be: [`planner`].
-//! - Who forms them: [`steward`], and when it may order: [`partition_lease`].
-//! - Requests: what they ask: [`fingerprint`]; which of them end whoever runs them:
-//!   [`quarantine`]; what instances take of them: [`instance_limits`]; [`placement`], [`stall`], [`retry_policy`]; among how many nodes what all of them
-//!   may repeat is divided: [`node_census`].
+//! - Configuration: what is served ([`serving_config`]), how fresh that is ([`config_freshness`]), and when the
+//!   store is polled ([`long_poll`]).
+//! - Instances: the list with the groups they form ([`roster`], [`groups`]), one incarnation of
+//!   an instance ([`identity`]), which instances are unreachable ([`suspicion`]), and which era
+//!   of the store an answer belongs to ([`store_era`]).
+//! - Planning: the demand for each model ([`demand`]), the load that a group can take
+//!   ([`capacity`]), and which groups there should be ([`planner`]).
+//! - Forming groups: [`steward`], and when a node may act as one ([`partition_lease`]).
+//! - Requests: their content ([`fingerprint`]), those that crash instances ([`quarantine`]), the
+//!   limits that instances announce ([`instance_limits`]), the choice of an instance ([`placement`]),
+//!   stalled streams ([`stall`]), retries ([`retry_policy`]), and the number of nodes that share the
+//!   retry budget ([`node_census`]).
 
 pub mod capacity;
 pub mod config_freshness;
--- a/crates/workshold-core/tests/hosted/partition_lease.rs
+++ b/crates/workshold-core/tests/hosted/partition_lease.rs
@@ -1,47 +1,48 @@
-//! When the holder of a part that has just come may order.
+//! When a node that has just been granted a partition of the stewards' lease may order instances.
 
 use rstest::rstest;
 use workshold_core::hosted::partition_lease::HandoverTimings;
 use workshold_core::hosted::partition_lease::PartitionLease;
 use workshold_protocol::Millis;
 
-const RULES: HandoverTimings =
+const TIMINGS: HandoverTimings =
     HandoverTimings { max_order_delay: Millis(300), lease_ttl: Millis(1_500) };
-const TAKEN: Millis = Millis(10_000);
+const GRANTED_AT: Millis = Millis(10_000);
 
-/// Looks at `at`, while others act by `others`.
-fn looked(others: &[u64], at: u64) -> PartitionLease {
-    let mut partition_lease = PartitionLease::new(7, TAKEN);
-    partition_lease.observe_holders(others.iter().copied(), RULES, Millis(at));
-    partition_lease
+/// A partition's lease of generation 7 that was granted at [`GRANTED_AT`] and checked at `at`, while
+/// other nodes act by leases of `generations`.
+fn lease_checked_at(generations: &[u64], at: u64) -> PartitionLease {
+    let mut lease = PartitionLease::new(7, GRANTED_AT);
+    lease.observe_holders(generations.iter().copied(), TIMINGS, Millis(at));
+    lease
 }
 
 #[rstest]
-#[case::orders_may_be_on_their_way(&[7, 8], 10_299, false)]
-#[case::all_have_noticed(&[7, 8], 10_300, true)]
-#[case::nobody_else_acts(&[], 10_300, true)]
-#[case::one_has_not_noticed(&[8, 6], 11_799, false)]
-#[case::its_lease_has_run_out(&[8, 6], 11_800, true)]
-fn a_part_settles_when_nobody_else_orders(
-    #[case] others: &[u64],
+#[case::earlier_orders_may_be_under_way(&[7, 8], 10_299, false)]
+#[case::all_others_know_of_the_change(&[7, 8], 10_300, true)]
+#[case::no_other_node_orders(&[], 10_300, true)]
+#[case::one_node_does_not_know_of_the_change(&[8, 6], 11_799, false)]
+#[case::the_lease_of_that_node_has_expired(&[8, 6], 11_800, true)]
+fn a_new_holder_may_order_once_no_other_node_does(
+    #[case] generations: &[u64],
     #[case] at: u64,
     #[case] is_settled: bool,
 ) {
-    assert_eq!(looked(others, at).may_order(Millis(at)), is_settled);
+    assert_eq!(lease_checked_at(generations, at).may_order(Millis(at)), is_settled);
 }
 
 #[test]
-fn a_list_whose_reading_began_earlier_does_not_do() {
-    let partition_lease = looked(&[], 10_400);
-    assert!(!partition_lease.may_order(Millis(10_399)));
-    assert!(partition_lease.needs_list_reread(Millis(10_399)));
-    assert!(partition_lease.may_order(Millis(10_400)));
-    assert!(!partition_lease.needs_list_reread(Millis(10_400)));
+fn a_list_that_was_read_earlier_is_not_used() {
+    let lease = lease_checked_at(&[], 10_400);
+    assert!(!lease.may_order(Millis(10_399)));
+    assert!(lease.needs_list_reread(Millis(10_399)));
+    assert!(lease.may_order(Millis(10_400)));
+    assert!(!lease.needs_list_reread(Millis(10_400)));
 }
 
 #[test]
-fn what_has_settled_stays_so_whoever_is_heard_later() {
-    let mut partition_lease = looked(&[], 10_400);
-    partition_lease.observe_holders([1].into_iter(), RULES, Millis(10_500));
-    assert!(partition_lease.may_order(Millis(10_450)));
+fn a_settled_lease_stays_settled() {
+    let mut lease = lease_checked_at(&[], 10_400);
+    lease.observe_holders([1].into_iter(), TIMINGS, Millis(10_500));
+    assert!(lease.may_order(Millis(10_450)));
 }
