--- a/crates/workshold-core/src/hosted.rs
+++ b/crates/workshold-core/src/hosted.rs
@@ -5,18 +5,19 @@
 //! instances' reports are the state, and the modules below read them, order instances safely,
 //! and place requests.
 //!
-//! - Configuration: what is served ([`serving_config`]), how fresh that is ([`config_freshness`]), and when the
-//!   store is polled ([`long_poll`]).
+//! - Configuration: what is served ([`serving_config`]), how fresh that is
+//!   ([`config_freshness`]), and when the store is polled ([`long_poll`]).
 //! - Instances: the list with the groups they form ([`roster`], [`groups`]), one incarnation of
 //!   an instance ([`identity`]), which instances are unreachable ([`suspicion`]), and which era
 //!   of the store an answer belongs to ([`store_era`]).
 //! - Planning: the demand for each model ([`demand`]), the load that a group can take
 //!   ([`capacity`]), and which groups there should be ([`planner`]).
-//! - Forming groups: [`steward`], and when a node may act as one ([`partition_lease`]).
+//! - Forming groups: [`steward`] plans for a fabric domain and sends orders to its instances;
+//!   [`partition_lease`] says when a node may act as one.
 //! - Requests: their content ([`fingerprint`]), those that crash instances ([`quarantine`]), the
-//!   limits that instances announce ([`instance_limits`]), the choice of an instance ([`placement`]),
-//!   stalled streams ([`stall`]), retries ([`retry_policy`]), and the number of nodes that share the
-//!   retry budget ([`node_census`]).
+//!   limits that instances announce ([`instance_limits`]), the choice of an instance
+//!   ([`placement`]), stalled streams ([`stall`]), retries ([`retry_policy`]), and the number of
+//!   nodes that share the retry budget ([`node_census`]).
 
 pub mod capacity;
 pub mod config_freshness;
--- a/crates/workshold-core/src/hosted/instance_limits.rs
+++ b/crates/workshold-core/src/hosted/instance_limits.rs
@@ -293,7 +293,7 @@
     }
 
     /// Records that this incarnation of an instance is shutting down and takes no more requests.
-    /// Returns whether that is news.
+    /// Returns whether this was unknown before.
     pub fn on_leaving(&mut self, id: &K, now: Millis) -> bool {
         let is_news = !self.leaving.contains_key(id);
         self.leaving.entry(id.clone()).or_insert(now);
--- a/crates/workshold-core/tests/hosted/instance_limits.rs
+++ b/crates/workshold-core/tests/hosted/instance_limits.rs
@@ -405,7 +405,7 @@
 fn an_instance_that_is_leaving_takes_no_more_requests() {
     let mut limits = InstanceLimits::default();
     assert!(limits.on_leaving(&0, Millis(10_000)));
-    assert!(!limits.on_leaving(&0, Millis(11_000)), "the second report is no news");
+    assert!(!limits.on_leaving(&0, Millis(11_000)), "the second report shows nothing new");
     limits.on_limit_report(&0, report(Some(50.0), 11_000, 12_000));
     limits.on_limit_report(&0, report(None, 13_000, 14_000));
     let withheld = Withheld { until: None, why: WithheldReason::Leaving };
--- a/crates/workshold-core/tests/hosted/partition_lease.rs
+++ b/crates/workshold-core/tests/hosted/partition_lease.rs
@@ -9,8 +9,8 @@
     HandoverTimings { max_order_delay: Millis(300), lease_ttl: Millis(1_500) };
 const GRANTED_AT: Millis = Millis(10_000);
 
-/// A partition's lease of generation 7 that was granted at [`GRANTED_AT`] and checked at `at`, while
-/// other nodes act by leases of `generations`.
+/// A partition's lease of generation 7 that was granted at [`GRANTED_AT`] and checked at `at`,
+/// while other nodes act by leases of `generations`.
 fn lease_checked_at(generations: &[u64], at: u64) -> PartitionLease {
     let mut lease = PartitionLease::new(7, GRANTED_AT);
     lease.observe_holders(generations.iter().copied(), TIMINGS, Millis(at));
