--- a/crates/workshold-core/src/hosted/steward.rs
+++ b/crates/workshold-core/src/hosted/steward.rs
@@ -1,17 +1,17 @@
-//! The steward of fabric domains: forms groups, opens them, breaks them up.
+//! The steward: the controller that forms, opens and dissolves the groups of fabric domains.
 //!
-//! A steward has the right to order the instances of the domains in one part of
-//! the store's lease, under a fence that only rises. An order without an answer may
-//! be carried out seconds later, after newer ones. What keeps groups whole all the
-//! same:
+//! A steward holds one partition of the store's lease. It sends orders to the instances of the
+//! domains in that partition, each with the lease's fencing token, which only rises. An order
+//! that got no reply may still be executed seconds later, after newer ones. Groups stay
+//! consistent nevertheless:
 //!
-//! - Epochs rise over all stewards: the fence is their upper half. A late order to
-//!   join meets a newer epoch, or a newer fence, and is refused.
-//! - A group is opened only by the steward that formed it, and only when every
-//!   member states that it is ready in this formation.
-//! - A group is broken up from its head: until the head has stated that it has left,
-//!   nobody is taken, itself included. So a late order to open finds no group to
-//!   open, or one that is whole.
+//! - Epochs rise across all stewards, since their upper bits are the fencing token. An instance
+//!   that has seen a newer epoch or token refuses a late order to join.
+//! - Only the steward that formed a group opens it, and only when every member reports that it
+//!   is ready in this group's epoch.
+//! - A group is dissolved head first: no member, the head included, joins another group before
+//!   the head has reported that it left. So a late order to open finds either no group to open
+//!   or a complete one.
 
 mod orders;
 mod planning;
@@ -53,22 +53,22 @@
     group: GroupId,
     model: ModelName,
     members: Vec<Identity>,
-    /// Who has stated that it is in it. One that no longer does has begun anew, whatever
-    /// its clock says, and is not told to join once more.
+    /// Members that have reported this epoch. One that no longer reports it has restarted, even
+    /// if its incarnation did not change, and is not ordered to join again.
     joined: BTreeSet<Identity>,
     give_up_at: Millis,
 }
 
-/// What a group is to the steward.
+/// Whether the members of a group can be assigned to other groups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Standing {
-    /// It serves, or will, or finishes: its members are taken.
+    /// It serves, is being formed, or drains: its members are in use.
     Held,
-    /// Its head serves nobody: its members can be taken, the head first.
+    /// Its head serves no requests: its members can be reassigned once the head has left.
     Idle,
 }
 
-/// The steward of one part of the lease.
+/// The controller of the domains in one partition of the lease.
 #[derive(Debug)]
 pub struct Steward {
     rules: StewardRules,
@@ -88,11 +88,11 @@
     seen: DomainSummary,
 }
 
-/// Who is free, and by model whether weights are missing or on their way, and whether the
-/// last head has to leave first.
+/// A free instance and, for each model: whether its weights are missing, whether they are being
+/// fetched, and whether the head of its last group has to leave first.
 type FreeHost = (Identity, Vec<(bool, bool, bool)>);
 
-/// What a domain had when all of them were last planned for.
+/// State of a domain at the last plan over all domains.
 #[derive(Debug, Clone)]
 struct Planned {
     at: Millis,
@@ -100,7 +100,7 @@
     standing: Vec<u64>,
 }
 
-/// Groups that are formed as soon as others have finished what they have.
+/// A group to form as soon as the groups that its members are in have drained.
 #[derive(Debug, Clone)]
 struct Intended {
     domain: FabricDomain,
@@ -109,32 +109,32 @@
     until: Millis,
 }
 
-/// What a steward sees in a domain, for logs.
+/// Summary of a domain after a planning round, for logs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DomainSummary {
-    /// Engines that may serve.
+    /// Instances that can be put into a group.
     pub serviceable: usize,
-    /// Of these, engines in no group that serves or is being formed.
+    /// Of these, instances in no group that serves or is being formed.
     pub free: usize,
-    /// Of these, engines that fetch weights.
+    /// Of the free instances, those whose host is fetching weights.
     pub staging: usize,
     /// Groups being formed.
     pub forming: usize,
-    /// Each free engine with what it could serve soon.
+    /// The free instances, each with the models whose weights it holds.
     pub free_instances: String,
-    /// What is to be changed.
+    /// The changes planned for the domain.
     pub planned_changes: String,
 }
 
-/// Bits of an epoch below the fence: those of the part, and of the count.
+/// Low bits of an epoch, below the fencing token: the lease partition, then a counter.
 const PART_BITS: u64 = 10;
 const COUNT_BITS: u64 = 14;
 
 impl Steward {
-    /// The steward of `part` under `fence`.
+    /// Creates the steward of lease partition `part`, with fencing token `fence`.
     ///
-    /// `issued` counts the epochs that this process has issued: a part that is given
-    /// up and taken again under the same fence must not begin anew.
+    /// `issued` counts the epochs issued by this process. It outlives the steward, because a
+    /// partition that is released and acquired again under the same token must not repeat epochs.
     pub fn new(rules: StewardRules, part: u64, fence: u64, issued: Arc<AtomicU64>) -> Self {
         Self {
             rules,
@@ -155,27 +155,28 @@
         }
     }
 
-    /// The lease was renewed under a higher number.
+    /// Adopts the fencing token of a renewed lease.
     pub fn raise_fence(&mut self, fence: u64) {
         self.fence = self.fence.max(fence);
     }
 
-    /// Whether anything is under way that needs a fresh list.
+    /// Whether a group is being formed, which needs a fresh instance list.
     pub fn is_busy(&self) -> bool {
         !self.forming.is_empty()
     }
 
-    /// Groups that are being formed, with their epochs, and those that will be once others
-    /// are closed.
+    /// The models of groups that are being formed, with their epochs, and of groups that wait for
+    /// others to drain, which have no epoch yet.
     pub fn forming(&self) -> impl Iterator<Item = (Option<u64>, &ModelName)> {
         let forming = self.forming.iter().map(|(epoch, forming)| (Some(*epoch), &forming.model));
         forming.chain(self.intended.iter().map(|intended| (None, &intended.model)))
     }
 
-    /// Takes the answer to an order.
+    /// Handles the reply to an order.
     ///
-    /// Returns whether it shows that another steward has a higher fence: a late copy
-    /// of an order that has been overtaken by this steward's own is refused, too.
+    /// Returns `true` if the reply proves that another steward has a higher fencing token. A late
+    /// duplicate that this steward's own newer order has overtaken is also refused, but proves
+    /// nothing.
     pub fn on_reply(&mut self, command: &Command, reply: OrderReply) -> bool {
         let was_current = match &command.order {
             Order::Join { epoch, .. } => self.forming.contains_key(epoch),
@@ -202,7 +203,7 @@
         was_current && reply == OrderReply::Outranked
     }
 
-    /// What is to be ordered in a domain now.
+    /// Runs one planning round for a domain and returns the orders to send now.
     pub fn plan(&mut self, s: &DomainContext<'_>) -> Vec<Command> {
         let mut commands = Vec::new();
         let groups = groups::collate(s.entries.iter().copied());
@@ -231,7 +232,7 @@
         commands
     }
 
-    /// What the last look at a domain showed.
+    /// Summary of the last planning round.
     pub fn summary(&self) -> &DomainSummary {
         &self.seen
     }
@@ -247,7 +248,7 @@
         let here = |id: &Identity| s.entry(id).is_some();
         self.forming.retain(|epoch, forming| {
             if !forming.members.iter().any(here) {
-                // Of another domain, or all of it is gone.
+                // All members belong to another domain, or none is known any more.
                 return s.now < forming.give_up_at;
             }
             let is_fit = |id: &Identity| {
@@ -294,8 +295,8 @@
         }
     }
 
-    /// A group whose head states no membership in it: it has left, or is gone, or the
-    /// list lacks it although it may still serve.
+    /// Judges a group whose head does not report membership in it: the head has left, or is gone,
+    /// or is missing from the instance list although it may still serve.
     fn judge_headless(&mut self, group: &Group, s: &DomainContext<'_>) -> Standing {
         let since = *self.headless.entry(group.epoch).or_insert(s.now);
         let is_over = match (s.head_of)(group) {
@@ -304,7 +305,7 @@
                 let is_listed = entry.is_some_and(|entry| entry.unlisted_since.is_none());
                 is_listed || entry.is_none() || s.is_gone(&head)
             }
-            // This node began after the head was last listed: it may be finishing.
+            // This node started after the head was last listed; the head may still be draining.
             None => s.now.since(since) >= LEAVING_LINGERS,
         };
         if is_over { Standing::Idle } else { Standing::Held }
@@ -342,7 +343,7 @@
         commands: &mut Vec<Command>,
     ) {
         if s.is_lost(&head.identity) {
-            // Nobody hears it; its members wait until it is known to be gone.
+            // The head cannot be reached; its members wait until it is known to be gone.
             return;
         }
         let kind = if is_cut { "cut" } else { "close" };
@@ -371,7 +372,8 @@
         commands.push(Command { to: to.identity.clone(), address, order, fence: self.fence, why });
     }
 
-    /// Goes on with every formation: joins that are due, then opening.
+    /// Advances every group that is being formed: sends the joins that are due, then the order to
+    /// open.
     fn carry_on(&mut self, s: &DomainContext<'_>, groups: &[Group], commands: &mut Vec<Command>) {
         let epochs: Vec<u64> = self.forming.keys().copied().collect();
         for epoch in epochs {
@@ -423,8 +425,8 @@
         self.send(member, epoch, "join", order, "a group is formed", s.now, commands);
     }
 
-    /// The group whose head has to leave before `member`, the head included, can be
-    /// taken out of it: an order to open may be on its way yet.
+    /// Returns the group whose head has to leave before `member`, which may be the head itself,
+    /// can join another one: an order to open that group may still be on its way.
     fn bound_by<'a>(
         &self,
         member: &Instance,
@@ -459,5 +461,5 @@
     }
 }
 
-/// Groups whose end is remembered.
+/// Most closed, released and headless groups to remember, each.
 const MOST_REMEMBERED: usize = 512;
--- a/crates/workshold-core/src/hosted/steward/orders.rs
+++ b/crates/workshold-core/src/hosted/steward/orders.rs
@@ -1,4 +1,4 @@
-//! What stewards tell instances, and what these answer.
+//! Orders from stewards to instances, and the replies.
 
 use smol_str::SmolStr;
 use workshold_protocol::ids::GroupId;
@@ -6,78 +6,78 @@
 
 use crate::hosted::identity::Identity;
 
-/// What an instance is told to do.
+/// An order to an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
-    /// Be a member.
+    /// Join a group.
     Join {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its formation.
+        /// Epoch under which the group is formed.
         epoch: u64,
-        /// What it serves.
+        /// Model to serve.
         model: ModelName,
-        /// All members, the head first.
+        /// All members by rank, the head first.
         members: Vec<Identity>,
     },
-    /// Serve, to a head that is ready.
+    /// Start to serve requests; sent to the head of a group whose members are all ready.
     Open {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its formation.
+        /// Epoch of the group.
         epoch: u64,
     },
-    /// Take nothing new, to a head.
+    /// Accept no new requests; sent to the head.
     Close {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its formation.
+        /// Epoch of the group.
         epoch: u64,
-        /// Whether what runs is cut off.
+        /// Whether running requests are aborted; otherwise they drain.
         is_cut: bool,
     },
-    /// Be in no group.
+    /// Leave the group; sent to its head.
     Leave {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its formation.
+        /// Epoch of the group.
         epoch: u64,
     },
-    /// Fetch weights to the host.
+    /// Fetch a model's weights from the weight store to the instance's host.
     Stage {
-        /// Whose weights.
+        /// Model whose weights are fetched.
         model: ModelName,
     },
 }
 
-/// An order with its addressee.
+/// An order with its recipient and fencing token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
-    /// Who is told.
+    /// Instance that receives the order.
     pub to: Identity,
-    /// Where it listens.
+    /// Network address of the instance.
     pub address: SmolStr,
-    /// What it is told.
+    /// The order.
     pub order: Order,
-    /// The right under which it is told.
+    /// Fencing token of the lease under which the order is sent.
     pub fence: u64,
-    /// Why, for logs.
+    /// Reason for the order, for logs.
     pub why: &'static str,
 }
 
-/// What an instance answered to an order.
+/// An instance's reply to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It has begun.
+    /// Accepted; execution has begun.
     Begun,
-    /// It held already.
+    /// Nothing to do: the instance is already in the requested state.
     Done,
-    /// It does not fit the instance's state.
+    /// Refused: the order is not possible in the instance's current state.
     Unfit,
-    /// A higher fence or epoch was there before.
+    /// Refused: the instance has seen a higher fencing token or epoch.
     Outranked,
-    /// Another instance listens there.
+    /// Refused: another instance listens at this address.
     Elsewhere,
-    /// No answer: it may come about yet.
+    /// No usable reply; the order may still be executed.
     Unknown,
 }
--- a/crates/workshold-core/src/hosted/steward/planning.rs
+++ b/crates/workshold-core/src/hosted/steward/planning.rs
@@ -1,4 +1,4 @@
-//! Carrying out a domain's part of the plan.
+//! Planning and executing the changes of one domain.
 
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
 use super::view::Free;
 
 impl Steward {
-    /// What the plan for all domains says of this one.
+    /// Plans over all domains and returns the changes of this one.
     pub(super) fn changes(
         &mut self,
         s: &DomainContext<'_>,
@@ -70,8 +70,8 @@
         if s.before_traffic { self.not_begun(own, s, groups, pool) } else { own.collect() }
     }
 
-    /// Whether all domains are to be planned for: something of this one has changed, or
-    /// the rest may have. Nearly all looks find neither.
+    /// Whether to plan over all domains: this domain has changed since the last plan, or that plan
+    /// is so old that other domains may have. In most rounds neither is the case.
     fn is_due(&mut self, own: &Domain, now: Millis) -> bool {
         let state = |ready: &Ready| (ready.needs_load, ready.waits, ready.is_bound);
         let host = |host: &Host| (host.id.clone(), host.ready.iter().map(state).collect());
@@ -89,8 +89,8 @@
         is_due
     }
 
-    /// Of the groups that a domain should have, those that nobody has begun to form yet,
-    /// out of instances that are free.
+    /// Of the groups that the domain should have, returns those that are not being formed and do
+    /// not serve yet, with free instances as their members.
     fn not_begun(
         &self,
         changes: impl Iterator<Item = Change>,
@@ -122,7 +122,7 @@
         left
     }
 
-    /// Does what can be done now; the rest is planned again at the next look.
+    /// Executes the changes that are possible now; the next round plans the others again.
     pub(super) fn carry_out(
         &mut self,
         s: &DomainContext<'_>,
@@ -140,7 +140,7 @@
                     self.stage_one(&entry.instance, spec, s, commands);
                 }
             } else if change.waits {
-                // Those that are ready wait for the last one's weights.
+                // Wait until the weights have reached all members.
             } else if change.closes.is_empty() && are_free(&change.members, pool) {
                 for members in change.members.chunks_exact(spec.size) {
                     self.start_forming(spec, members.to_vec(), s.now);
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Forms what groups were closed for, once its members are free.
+    /// Forms the groups that others were closed for, once all members are free.
     pub(super) fn form_intended(&mut self, s: &DomainContext<'_>, pool: &[Free]) {
         let is_fit = |id: &Identity| s.entry(id).is_some_and(|entry| s.can_serve(entry));
         let mut kept = Vec::new();
@@ -183,7 +183,7 @@
                 continue;
             };
             if !intended.members.iter().all(is_fit) {
-                // Whoever is left is planned for anew.
+                // A member was lost; the others are planned for again.
                 continue;
             }
             if are_free(&intended.members, pool) {
@@ -214,7 +214,7 @@
     members.iter().all(|id| pool.iter().any(|free| &free.instance().identity == id))
 }
 
-/// The changes in a few words, for logs.
+/// Describes the changes for logs.
 pub(super) fn describe_changes(s: &DomainContext<'_>, changes: &[Change]) -> String {
     let tell = |change: &Change| {
         let model = &s.engine.models[change.model].name;
--- a/crates/workshold-core/src/hosted/steward/situation.rs
+++ b/crates/workshold-core/src/hosted/steward/situation.rs
@@ -1,4 +1,4 @@
-//! What a steward looks at, and the times that it keeps to.
+//! Input of a steward's planning round, and its timings.
 
 use workshold_protocol::Millis;
 use workshold_protocol::ids::FabricDomain;
@@ -11,21 +11,21 @@
 use crate::hosted::serving_config::Engine;
 use crate::hosted::suspicion::Loss;
 
-/// The times that a steward keeps to.
+/// Timings of a steward.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StewardRules {
-    /// An order that shows no effect is sent again after this.
+    /// Delay before an order that had no effect is sent again.
     pub order_again: Millis,
-    /// An order to load, after this.
+    /// The same for an order to fetch weights.
     pub load_again: Millis,
-    /// All domains are planned for anew after this, if nothing of the steward's own
-    /// changes before.
+    /// Interval between plans over all domains while the steward's own domain does not change.
     pub plan_again: Millis,
-    /// Before traffic, the list must have been quiet for this long.
+    /// How long no instance may have been added to the list before the first groups are formed,
+    /// before traffic.
     pub list_settles: Millis,
-    /// A formation that is not whole after its load and this is given up.
+    /// How long after the model's load time a group that is still not complete is given up.
     pub patience: Millis,
-    /// The window in which loads are counted.
+    /// Sliding window in which weight loads are counted for the rate limit.
     pub load_window: Millis,
 }
 
@@ -42,49 +42,50 @@
     }
 }
 
-/// All that a steward looks at in one domain.
+/// Input of a planning round for one domain.
 #[derive(Clone, Copy)]
 pub struct DomainContext<'a> {
-    /// The domain.
+    /// Name of the domain.
     pub domain: &'a FabricDomain,
-    /// What the operator says of the engines.
+    /// Configured properties of the service's engines.
     pub engine: &'a Engine,
-    /// The domain's engines.
+    /// The domain's instances, as listed.
     pub entries: &'a [&'a Entry],
-    /// Whether entries can be taken at their word.
+    /// How far the instance list can be trusted after store outages.
     pub trust: &'a ListTrust,
-    /// Who cannot be reached.
+    /// How certain it is that an instance cannot be reached.
     pub loss: &'a dyn Fn(&Identity) -> Loss,
-    /// Who was seen as the head of a formation.
+    /// The instance last seen as the head of a group, if any was.
     pub head_of: &'a dyn Fn(&Group) -> Option<Identity>,
-    /// Whether all nodes were asked whether they reach an instance, and had the time to say
-    /// so; asking is begun where it was not.
+    /// Whether all nodes have been asked whether they reach an instance and have had time to
+    /// reply. The call starts asking where this has not happened yet.
     pub all_peers_asked: &'a dyn Fn(&Identity) -> bool,
-    /// Whether a member of a formation has begun anew.
+    /// Whether a member of a group has restarted since the group was formed.
     pub has_restarted_member: &'a dyn Fn(&Group) -> bool,
-    /// Since when somebody could not reach them.
+    /// Since when some node has not reached an instance; `None` if all do.
     pub suspected_since: &'a dyn Fn(&Identity) -> Option<Millis>,
-    /// All other domains, by name; worked out only for a plan over all of them.
+    /// All other domains, ordered by name; computed only for a plan over all of them.
     pub others: &'a dyn Fn() -> Vec<planner::Domain>,
-    /// The models with what groups of them are worth, in the operator's order; likewise.
+    /// The models with the utility of their groups, in the order of the configuration; computed
+    /// on demand, too.
     pub models: &'a dyn Fn() -> Vec<planner::Model>,
-    /// Whether what is asked has been seen for long enough to close groups by it.
+    /// Whether demand has been observed for long enough to close groups because of it.
     pub may_close: bool,
-    /// Whether no request has come yet: loads are quick and free.
+    /// Whether no request has arrived yet: until then, loading weights is fast and costs nothing.
     pub before_traffic: bool,
-    /// This steward's part of all loads, 0 to 1.
+    /// This steward's share of the fleet's weight loads, 0 to 1.
     pub load_share: f64,
-    /// When an instance last appeared.
+    /// When an instance was last added to the list.
     pub last_arrival_at: Millis,
-    /// The clock.
+    /// Current time.
     pub now: Millis,
 }
 
-/// Until all other nodes have been asked whether they reach an instance, and have
-/// answered: one that any of them reaches is not gone.
+/// Time until all other nodes have been asked whether they reach an instance and have replied.
+/// An instance that any of them reaches is not gone.
 const ALL_ARE_ASKED: Millis = Millis(300);
-/// An instance that leaves may finish requests for this long after it has stopped
-/// taking connections: longer than any request may take.
+/// How long a leaving instance may go on with its requests after it has stopped accepting
+/// connections: longer than any request may take.
 pub(super) const LEAVING_LINGERS: Millis = Millis(10_500);
 
 impl<'a> DomainContext<'a> {
@@ -92,20 +93,21 @@
         self.entries.iter().copied().find(|entry| &entry.instance.identity == id)
     }
 
-    /// Whether an instance is known to be gone, or out of reach of several nodes.
+    /// Whether an instance is known to be gone, or several nodes cannot reach it.
     pub(super) fn is_lost(&self, id: &Identity) -> bool {
         (self.loss)(id) >= Loss::Confirmed
     }
 
-    /// The same once all others have had the time to say that they reach it.
+    /// Like [`Self::is_lost`], but only after all other nodes have had time to report that they
+    /// reach it.
     fn is_lost_to_all(&self, id: &Identity) -> bool {
         self.is_lost(id) && self.doubted_for(id) >= ALL_ARE_ASKED
     }
 
-    /// Whether an instance is gone for sure: another life has begun at its id, or neither
-    /// the platform nor any of several nodes hears of it. A head that is only out of our
-    /// reach, silent or refused, may still serve, and its members are not free: its entry
-    /// lapses only once it has missed its check-ins.
+    /// Whether an instance is certainly gone: a newer incarnation has started under its id, or it
+    /// is neither listed by the platform nor reached by any of several nodes. A head that only
+    /// these nodes cannot reach, because it is silent or refuses connections, may still serve,
+    /// and its members are not free: its entry expires only once it has missed its check-ins.
     pub(super) fn is_gone(&self, id: &Identity) -> bool {
         let loss = (self.loss)(id);
         if loss > Loss::None && self.doubted_for(id) < ALL_ARE_ASKED {
@@ -118,23 +120,23 @@
             let is_unlisted = entry.is_none_or(|entry| entry.unlisted_since.is_some());
             loss == Loss::Ended || (loss == Loss::Confirmed && is_unlisted)
         };
-        // A few nodes try an instance for all; one that none of them reaches may serve others.
+        // Only a few nodes probe an instance on behalf of all; it may still serve the others.
         is_gone && (self.all_peers_asked)(id)
     }
 
-    /// Whether an instance that takes no connections may only finish what it has: it was
-    /// leaving before, and has not had the time for it yet.
+    /// Whether an instance that accepts no connections may still be draining: it was leaving
+    /// before, and [`LEAVING_LINGERS`] has not passed yet.
     fn may_finish(&self, id: &Identity) -> bool {
         self.was_leaving(id) && self.doubted_for(id) < LEAVING_LINGERS
     }
 
-    /// Whether an instance was leaving when it was last reached, by its own word or by
-    /// the list, or may have been without the list's saying so.
+    /// Whether an instance was leaving when it was last reached: it reported so, or its list entry
+    /// had been removed, or the list may be missing such a change.
     fn was_leaving(&self, id: &Identity) -> bool {
         let entry = self.entry(id);
         let since = self.suspected_since(id);
         let unlisted = entry.and_then(|entry| entry.unlisted_since);
-        // What is missing after an outage may have gone at any time in it.
+        // An instance missing after a store outage may have left at any time during it.
         let is_unsure = (self.loss)(id) > Loss::None && self.trust.may_be_incomplete(since);
         entry.is_some_and(Entry::is_leaving)
             || unlisted.is_some_and(|unlisted| unlisted < since)
@@ -149,15 +151,18 @@
         self.now.since(self.suspected_since(id))
     }
 
-    /// Whether an instance may be put into a group.
+    /// Whether an instance can be put into a group.
     pub(super) fn can_serve(&self, entry: &Entry) -> bool {
         entry.is_in_service(self.trust, self.now)
             && (self.loss)(&entry.instance.identity) == Loss::None
     }
 
-    /// Whether a group stands still for good, or soon will: then what runs there can be
-    /// cut off. A member that finishes holds nobody up, although nobody can connect to it;
-    /// and two nodes whose own links are full agree sooner than the others can answer.
+    /// Whether a group has lost a member, so that its requests make no progress, or soon will
+    /// not, and can be aborted.
+    ///
+    /// A draining member does not count: it still works for its head, although nobody can connect
+    /// to it. All nodes are asked first, because two nodes whose own links are congested agree on
+    /// a loss sooner than the others can contradict them.
     pub(super) fn has_lost_member(&self, group: &Group) -> bool {
         if (self.has_restarted_member)(group) {
             return true;
@@ -166,9 +171,10 @@
         group.members.values().any(|member| is_lost(&member.identity))
     }
 
-    /// Whether a member will end, or may be about to: the list says nothing of it. One
-    /// that the list lacks, but that answers, may only be cut off from the store; as long
-    /// as it is not the head, nothing goes to it.
+    /// Whether a member is leaving, or may be because the list does not have it.
+    ///
+    /// A member that is not listed but can be reached may only have lost its connection to the
+    /// store. Unless it is the head, it needs no listing, since no requests are routed to it.
     pub(super) fn has_leaving_member(&self, group: &Group) -> bool {
         let size = self.engine.model(group.model()).map_or(1, |model| model.size);
         (0..size).any(|rank| {
--- a/crates/workshold-core/src/hosted/steward/staging.rs
+++ b/crates/workshold-core/src/hosted/steward/staging.rs
@@ -1,4 +1,4 @@
-//! Whose weights are fetched ahead, and how many loads at once.
+//! Fetching weights to hosts ahead of need, and the rate limit on weight loads.
 
 use std::sync::Arc;
 
@@ -17,17 +17,19 @@
 use super::Steward;
 use super::view::Free;
 
-/// Part of the weight store's rate that is used: orders that are carried out late
-/// fall into another window.
+/// Fraction of the weight store's rate limit that is used, since orders that are executed late
+/// count towards another window.
 const LOADS_USED: f64 = 0.8;
-/// An instance that refuses to load is busy with another load; it is asked again
-/// after this.
+/// How long an instance that refused to load gets no further order to: it is busy with another
+/// load.
 const BUSY_FOR: Millis = Millis(3_000);
 
 impl Steward {
-    /// Fetches weights that no change needs yet: to hosts that have none at all; before
-    /// traffic, when that is quick, to all hosts those of another model than they serve,
-    /// so that whoever survives a loss can soon be part of a group of either.
+    /// Fetches weights that no planned change needs yet.
+    ///
+    /// Hosts without any weights get those of the model with the highest gain. Before traffic,
+    /// when loading is fast, every host also gets a model other than the one it serves, so that
+    /// the survivors of a lost group can soon join a group of either model.
     pub(super) fn stage_ahead(
         &mut self,
         s: &DomainContext<'_>,
@@ -62,8 +64,8 @@
         }
     }
 
-    /// Settled members of groups, and free instances, whose host and memory have the
-    /// weights of one model only.
+    /// Free instances, and group members that have joined, whose memory and host hold the weights
+    /// of one model only.
     fn with_one_model(&self, s: &DomainContext<'_>) -> Vec<Arc<Instance>> {
         let is_settled = |instance: &Instance| {
             let own = instance.membership.as_ref();
@@ -101,7 +103,8 @@
         }
     }
 
-    /// What an instance's host is fetching, and since when.
+    /// The model whose weights an instance's host is fetching, and since when. `None` if they have
+    /// arrived or are overdue.
     pub(super) fn staging_since(
         &self,
         instance: &Instance,
@@ -118,7 +121,7 @@
         self.staging_since(instance, s).is_some()
     }
 
-    /// An instance refused to load: another load is under way there.
+    /// Handles a refusal to load: another load is under way on that instance.
     pub(super) fn on_busy(&mut self, id: &Identity) {
         if let Some((_, since)) = self.staging.remove(id) {
             self.busy.insert(id.clone(), since + BUSY_FOR);
@@ -130,7 +133,7 @@
     }
 }
 
-/// The models, the one first whose next group brings most for each instance.
+/// The models in descending order of the gain per instance from one more group.
 fn by_gain<'a>(s: &DomainContext<'a>) -> Vec<&'a ModelSpec> {
     let gain = |model: &planner::Model| model.utility.gain(model.groups, 1.0) / model.size as f64;
     let mut models: Vec<(&ModelSpec, f64)> = s
--- a/crates/workshold-core/src/hosted/steward/view.rs
+++ b/crates/workshold-core/src/hosted/steward/view.rs
@@ -1,4 +1,4 @@
-//! A domain as the planner sees it.
+//! Builds the planner's input for a domain.
 
 use std::sync::Arc;
 
@@ -22,12 +22,13 @@
 use super::DomainContext;
 use super::Steward;
 
-/// Joining again what an instance served last: its memory has the weights.
+/// Time to join a group of a model whose weights are still in the instance's memory.
 const REJOINS: Millis = Millis(200);
-/// Until the first request, weights are fetched in a tenth of their time.
+/// Factor by which fetching weights is faster before the first request.
 const QUICK_LOADS: u64 = 10;
 
-/// An instance that can be taken, and whether its old head has to go first.
+/// An instance that can be put into a new group, and whether its old group's head has to leave
+/// first.
 #[derive(Debug, Clone)]
 pub(super) struct Free {
     pub(super) instance: Arc<Instance>,
@@ -35,7 +36,7 @@
 }
 
 impl Free {
-    /// The instance with what it could serve soon, for logs.
+    /// Describes the instance and the models whose weights it holds, for logs.
     pub(super) fn describe(&self) -> String {
         let names = |models: &[ModelName]| {
             models.iter().map(ModelName::as_str).collect::<Vec<_>>().join("+")
@@ -45,14 +46,14 @@
         format!("{}(loaded:{loaded},staged:{staged}{bound})", self.instance.identity)
     }
 
-    /// The instance.
+    /// The free instance.
     pub(super) fn instance(&self) -> &Instance {
         &self.instance
     }
 }
 
 impl Steward {
-    /// Instances that can be put into a new group.
+    /// Instances that can be put into a new group now.
     pub(super) fn pool(
         &self,
         s: &DomainContext<'_>,
@@ -75,13 +76,13 @@
             .collect()
     }
 
-    /// Whether an instance is to be part of a group that is being formed, or will be.
+    /// Whether an instance is assigned to a group that is being formed or is going to be.
     pub(super) fn is_taken(&self, id: &Identity) -> bool {
         let is_forming = self.forming.values().any(|forming| forming.members.contains(id));
         is_forming || self.intended.iter().any(|intended| intended.members.contains(id))
     }
 
-    /// The steward's own domain.
+    /// The planner's input for the steward's own domain.
     pub(super) fn view(
         &self,
         s: &DomainContext<'_>,
@@ -118,7 +119,7 @@
         let left = load.since(s.now.since(since));
         for (spec, ready) in s.engine.models.iter().zip(&mut host.ready) {
             let is_coming = spec.name == coming;
-            // What its memory has needs nothing of the host; all else comes after the load.
+            // Weights in memory need nothing from the host; other weights wait for this load.
             if !instance.loaded.contains(&spec.name) && (is_coming || !ready.needs_load) {
                 *ready = Ready {
                     needs_load: false,
@@ -132,9 +133,11 @@
     }
 }
 
-/// Any steward's domain, by the list alone: instances of groups that are being closed
-/// count as free, for they soon are. Before traffic all do, so that all stewards come to
-/// the same plan however far each of them is.
+/// The planner's input for any domain, from the instance list alone.
+///
+/// Instances of groups that are closing count as free, since they soon are. Before traffic all
+/// instances count as free, so that all stewards compute the same plan however far each of them
+/// has got with it.
 pub fn listed(
     name: &FabricDomain,
     entries: &[&Entry],
@@ -169,7 +172,7 @@
     domain
 }
 
-/// Whether a group is being formed: some of its members may not have stated so yet.
+/// Whether a group is being formed; some of its members may not have reported it yet.
 pub fn is_forming(group: &Group) -> bool {
     let state = |member: &Arc<Instance>| member.membership.as_ref().map(|own| own.state);
     let is_joined = matches!(group.state(), Some(MemberState::Joining | MemberState::Ready));
