--- a/crates/workshold-core/src/hosted/capacity.rs
+++ b/crates/workshold-core/src/hosted/capacity.rs
@@ -1,39 +1,40 @@
-//! What a number of groups of a model can be expected to make of its work.
+//! Estimates how many requests a number of groups of a model can serve within the latency goals.
 //!
-//! Worked out from the engine's own figures. A group plays passes: `stride` steps for
-//! everybody who writes, and between them the reading of new prompts. With a part `r`
-//! of its time spent on reading and on what each writer adds, a pass takes
-//! `quiet / (1 - r)`; by Little's law the requests under way are the events that are
-//! wanted a second times the time of a pass. Both are exact for means; how much is in
-//! time is an estimate: pauses have an exponential tail, and the requests at a group
-//! vary as those of a Poisson process do.
+//! The estimate comes from the configured timings of the engine. A group works in passes: `stride`
+//! decoding steps for all sequences in its batch, then the prefill of new prompts. If prefill and
+//! the time that each sequence adds take a fraction `r` of its time, a pass takes
+//! `quiet / (1 - r)`, where `quiet` is a pass without load. By Little's law, the number of
+//! requests in progress is the rate of events that are asked for times the time of a pass. Both
+//! are exact for means. The fraction of requests served in time is an approximation: it takes
+//! pauses as exponentially distributed in their tail, and the number of requests at a group as
+//! Poisson distributed.
 
 use workshold_protocol::Millis;
 
 use super::serving_config::Engine;
 use super::serving_config::ModelSpec;
 
-/// What is asked of one model, a second, over all nodes.
+/// Demand for one model over all nodes; all rates are per second.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Workload {
-    /// Requests, those that were refused included.
+    /// Requests, including those that were refused.
     pub requests: f64,
-    /// Tokens of their prompts.
+    /// Prompt tokens of these requests.
     pub prompt_tokens: f64,
-    /// Events of their answers.
+    /// Events of their streamed responses.
     pub events: f64,
-    /// The longest pause that is still in time, a mean over the requests.
+    /// Goal for the longest pause between events, as a mean over the requests.
     pub pause_goal: Millis,
 }
 
-/// How much of a deployment is needed when all is well: the rest is for losses and for
-/// times with more work.
+/// Fraction of a deployment's capacity that the expected demand uses; the rest is reserve for
+/// lost instances and for peaks.
 const EXPECTED_USE: f64 = 0.6;
-/// Where nobody has said how long a pause may be.
+/// Pause goal for requests that come without one.
 const USUAL_PAUSE_GOAL: Millis = Millis(250);
 
 impl Workload {
-    /// The same work, but `factor` times as much of it.
+    /// Scales the rates by `factor`; the pause goal stays.
     pub fn scaled(self, factor: f64) -> Self {
         Self {
             requests: self.requests * factor,
@@ -43,8 +44,8 @@
         }
     }
 
-    /// What the operator expects of a model before any request has come: its part of
-    /// the work, so much of it that [`EXPECTED_USE`] of the instances would be needed.
+    /// Demand for a model that the configuration predicts before any request has arrived: the
+    /// model's share of the demand that would use [`EXPECTED_USE`] of all `instances`.
     pub fn expected(engine: &Engine, spec: &ModelSpec, instances: usize) -> Self {
         let stride = f64::from(engine.stride.max(1));
         let one = Self {
@@ -60,7 +61,7 @@
         one.scaled(groups * EXPECTED_USE / least.max(f64::MIN_POSITIVE))
     }
 
-    /// Both together.
+    /// Adds two demands for the same model.
     pub fn plus(self, other: Self) -> Self {
         let all = self.requests + other.requests;
         let goals =
@@ -75,24 +76,26 @@
     }
 }
 
-/// What the work of a model asks of its groups, in groups.
+/// Queueing estimate for one model: how many groups its demand needs, and how well a number of
+/// groups serves it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CapacityEstimate {
-    /// Time that grows with the work: reading, and what each writer adds.
+    /// Groups that would be fully occupied by prefill and by the time that each sequence adds.
     busy: f64,
-    /// Requests under way if groups were otherwise idle.
+    /// Requests in progress if every pass took as long as one without load.
     writers: f64,
-    /// A pass of a group without work, in milliseconds.
+    /// Time of a pass without load, in milliseconds.
     quiet_pass_ms: f64,
     slots: f64,
     pause_goal_ms: f64,
 }
 
-/// With every place taken, part of what is served is in time.
+/// Fraction of the requests that are in time when all slots are taken, before late pauses are
+/// deducted.
 const FULL_IN_TIME: f64 = 0.8;
 
 impl CapacityEstimate {
-    /// What `work` asks of groups of `spec`.
+    /// Creates the estimate for `work` on groups of `spec`.
     pub fn new(engine: &Engine, spec: &ModelSpec, work: Workload) -> Self {
         let stride = f64::from(engine.stride.max(1));
         let prompt = if work.requests > 0.0 { work.prompt_tokens / work.requests } else { 0.0 };
@@ -112,17 +115,17 @@
         }
     }
 
-    /// The groups at which all of their places are just taken.
+    /// Number of groups at which all slots are just taken: the least that can keep up.
     pub fn least_groups(&self) -> f64 {
         self.busy + self.writers / self.slots
     }
 
-    /// The mean time of a pass with `groups`, if they keep up.
+    /// Mean time of a pass with `groups`, in milliseconds; `None` if they cannot keep up.
     pub fn pass_ms(&self, groups: f64) -> Option<f64> {
         (groups > self.least_groups()).then(|| self.quiet_pass_ms * groups / (groups - self.busy))
     }
 
-    /// The part of the requests that `groups` serve in time.
+    /// Fraction of the requests that `groups` serve in time, 0 to 1.
     pub fn in_time(&self, groups: f64) -> f64 {
         let least = self.least_groups();
         if groups <= 0.0 {
@@ -141,32 +144,35 @@
     }
 }
 
-/// The part of a normal distribution below `z` deviations, to three places.
+/// Normal distribution function at `z` standard deviations, by its logistic approximation, whose
+/// error is below 0.01.
 fn normal(z: f64) -> f64 {
     1.0 / (1.0 + (-1.702 * z).exp())
 }
 
-/// More work than at the moment that is reckoned with.
+/// Factors on the current demand over which utility is averaged.
 const MORE_WORK: [f64; 2] = [1.0, 1.25];
-/// Groups that may be lost before anything is done about it.
+/// Numbers of lost groups over which utility is averaged: a loss lasts until the plan makes up
+/// for it.
 const FEWER_GROUPS: [f64; 2] = [0.0, 1.0];
-/// How much more the first request in time of a model is worth than its last: callers
-/// of one model are not to pay for what another model gains.
+/// Decline of a request's value with the fraction of its model that is already in time: the first
+/// counts 1 + this, the last 1 - this. So callers of one model do not pay for what another gains.
 const FAIRNESS: f64 = 0.5;
 
-/// The work that is done in time, in instances that would just do it, by the number of
-/// groups: a mean over what may come next, more work and the loss of a group.
+/// Utility of a model by its number of groups: the work done in time, measured in the instances
+/// that would just be able to do it, as a mean over possible next cases (more demand, or the loss
+/// of a group).
 ///
-/// Half of what is asked counts by the work that it takes, half by requests: long ones
-/// are worth more to callers, but not as much more as they cost.
+/// Half of the demand counts by the work that it takes, half by the number of requests: long
+/// requests are worth more to callers, but not in proportion to their cost.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Utility {
     by_groups: Vec<f64>,
 }
 
 impl Utility {
-    /// The worth of up to `most` groups of each model of `engine`, for the work that is
-    /// asked of it.
+    /// Utility of up to `most` groups of each model of `engine`, for the demands `works` in the
+    /// same order.
     pub fn of_all(
         engine: &Engine,
         works: &[Workload],
@@ -186,7 +192,8 @@
         pairs().map(utility).collect()
     }
 
-    /// The worth of up to `most` groups of `spec` for `work` that counts as `instances`.
+    /// Utility of up to `most` groups of `spec`, where serving all of `work` in time is worth
+    /// `instances`.
     fn new(engine: &Engine, spec: &ModelSpec, work: Workload, instances: f64, most: usize) -> Self {
         let loads =
             MORE_WORK.map(|factor| CapacityEstimate::new(engine, spec, work.scaled(factor)));
@@ -200,19 +207,20 @@
         Self { by_groups: (0..=most).map(utility).collect() }
     }
 
-    /// What `groups` are worth; beyond what was worked out, no more.
+    /// Utility of `groups`, rounded; constant beyond the largest number that was computed.
     pub fn of(&self, groups: f64) -> f64 {
         let last = self.by_groups.len() - 1;
         self.by_groups[(groups.max(0.0).round() as usize).min(last)]
     }
 
-    /// What `more` groups would add to `groups`; less than nothing if there are fewer.
+    /// Change in utility from adding `more` groups to `groups`; negative if `more` is.
     pub fn gain(&self, groups: f64, more: f64) -> f64 {
         self.of(groups + more) - self.of(groups)
     }
 }
 
-/// The worth of a part that is in time.
+/// Weight of the fraction `part` of a model's requests that is in time; concave, see
+/// [`FAIRNESS`].
 fn fair(part: f64) -> f64 {
     part * (1.0 + FAIRNESS * (1.0 - part))
 }
--- a/crates/workshold-core/src/hosted/planner.rs
+++ b/crates/workshold-core/src/hosted/planner.rs
@@ -1,15 +1,15 @@
-//! Which groups there should be: a plan for all domains, from what groups are worth.
+//! Plans which groups there should be in all domains, by greedy optimisation of utility.
 //!
-//! Groups of each model are worth what they serve in time ([`Utility`]); that grows ever
-//! more slowly with their number. A change brings the difference for as long as the mix
-//! of requests is likely to last, less what it costs: the time until the new groups
-//! serve, the work of groups that are closed meanwhile, and weights that hosts lose. The
-//! change that brings most for each instance is taken, again and again, until none
-//! brings anything. There are no thresholds: what keeps the mix from swinging is that
-//! every change has its cost.
+//! The utility of a model's groups ([`Utility`]) is the work that they complete within its latency
+//! goals; it grows ever more slowly with their number. The net gain of a change is the gain in
+//! utility for as long as the request mix is expected to last, less the change's costs: the time
+//! until the new groups serve, the work lost while old groups drain, and the weights that hosts
+//! lose. The planner repeatedly takes the change with the highest net gain per instance, until no
+//! change has a positive one. There are no thresholds: the plan does not oscillate because every
+//! change has a cost.
 //!
-//! A pure function of what all nodes see alike, so that the stewards of different
-//! domains come to the same plan without asking each other; each carries out its part.
+//! The plan is a pure function of what all nodes see alike. So the stewards of different domains
+//! compute the same plan without communicating, and each executes its own part.
 
 use workshold_protocol::Millis;
 use workshold_protocol::ids::FabricDomain;
@@ -17,117 +17,121 @@
 use super::capacity::Utility;
 use super::identity::Identity;
 
-/// What it takes until an instance can be part of a group of a model.
+/// What an instance needs before it can be a member of a group of one model.
+///
+/// The derived order ranks instances: those that come first are preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ready {
-    /// Whether its weights have to be fetched, and nobody has begun to.
+    /// Whether the model's weights have to be fetched and no fetch has begun.
     pub needs_load: bool,
-    /// Whether its weights are on their way to the host.
+    /// Whether the weights are being fetched to the host.
     pub waits: bool,
-    /// How long until it is ready, from when it is told to join; from now on if it
-    /// fetches weights.
+    /// Time until it is ready, counted from the order to join, or from now if weights are being
+    /// fetched.
     pub after: Millis,
-    /// Whether the head of its last group has to leave first.
+    /// Whether the head of its last group has to leave that group first.
     pub is_bound: bool,
 }
 
-/// An instance that may be used.
+/// An instance that the plan can use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Host {
-    /// Its id.
+    /// Identity of the instance.
     pub id: Identity,
-    /// What it takes, by model.
+    /// What it needs to serve each model, in the order of the models.
     pub ready: Vec<Ready>,
 }
 
-/// A group that serves.
+/// A group that serves requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Standing {
-    /// Its formation.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// Which model it serves.
+    /// Index of the model that it serves.
     pub model: usize,
-    /// Its members, the head first.
+    /// Its members by rank, the head first.
     pub members: Vec<Host>,
 }
 
-/// A fabric domain.
+/// A fabric domain, as input of the plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Domain {
-    /// Its name.
+    /// Name of the domain.
     pub name: FabricDomain,
-    /// Instances in no group.
+    /// Instances that are in no group.
     pub free: Vec<Host>,
-    /// Groups that serve and could be given up.
+    /// Groups that serve and may be closed.
     pub standing: Vec<Standing>,
 }
 
-/// A model as the planner sees it.
+/// A model, as input of the plan.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Model {
-    /// Instances of a group.
+    /// Number of instances in a group.
     pub size: usize,
-    /// What groups of it are worth.
+    /// Utility of its groups at the estimated demand.
     pub utility: Utility,
-    /// The same if less is asked than it seems, and if more is: groups that serve are
-    /// closed only for what pays all the same.
+    /// Utility if the demand is lower than estimated. Together with [`Self::utility_high`] it
+    /// makes sure that a serving group is closed only if that pays off despite the estimate's
+    /// error.
     pub utility_low: Utility,
-    /// See [`Self::utility_low`].
+    /// Utility if the demand is higher than estimated; see [`Self::utility_low`].
     pub utility_high: Utility,
-    /// Groups that serve, or will without anything being done.
+    /// Number of groups that serve or are already being formed.
     pub groups: f64,
-    /// How long a group that is closed takes to finish what it has.
+    /// Time that a closed group takes to drain.
     pub drain_time: Millis,
-    /// Fetching its weights.
+    /// Time to fetch its weights from the weight store.
     pub load: Millis,
 }
 
-/// One change.
+/// A planned change of one domain.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
-    /// Where: the place of the domain among those that were given.
+    /// Index of the domain in the planner's input.
     pub domain: usize,
-    /// Of which model groups are formed.
+    /// Index of the model whose groups are formed.
     pub model: usize,
-    /// Who forms them, in order; as many groups as they make up.
+    /// Members of the new groups, one group after the other, each with its head first.
     pub members: Vec<Identity>,
-    /// Groups that are closed for it, by formation.
+    /// Epochs of the groups that are closed first.
     pub closes: Vec<u64>,
-    /// Who has to fetch weights first; until then nothing else happens.
+    /// Members that have to fetch weights first; nothing else is done before that.
     pub loads: Vec<Identity>,
-    /// Whether weights are on their way that have to come first.
+    /// Whether some member's weights are being fetched and have to arrive first.
     pub waits: bool,
-    /// What it brings, in seconds of an instance.
+    /// Net gain of the change, in instance-seconds.
     pub brings: f64,
 }
 
-/// How long a mix of requests is likely to last.
+/// How long the current request mix is expected to last.
 const LASTS: Millis = Millis::from_secs(30);
-/// What fetching weights costs, and every group that is closed, in seconds of an
-/// instance: orders have their price, and whatever is changed may fail.
+/// Cost of one load of weights, in instance-seconds: every order takes time, and every change
+/// can fail.
 const LOAD_COSTS: f64 = 0.2;
+/// Cost of closing one group, in instance-seconds, for the same reasons.
 const CLOSE_COSTS: f64 = 1.0;
-/// How likely weights that are given up are missed before they can be fetched again.
+/// Probability that discarded weights are needed before they can be fetched again.
 const MISSED: f64 = 0.5;
-/// More changes than this at once are a matter for the next look.
+/// Most changes in one plan; the next plan has the others.
 const MOST_CHANGES: usize = 4_096;
 
-/// What may be changed.
+/// Constraints on a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Whether groups that serve may be closed.
+    /// Whether serving groups may be closed.
     pub may_close: bool,
-    /// Whether weights may be fetched as part of joining: before traffic that is quick.
+    /// Whether members may fetch weights as part of joining, which is fast before traffic.
     pub joins_load: bool,
-    /// Loads that may be wanted in all.
+    /// Most loads of weights in the whole plan.
     pub loads: usize,
 }
 
-/// The changes that bring most, in the order in which they were chosen.
+/// Returns the changes with the highest net gain, in the order in which they were chosen.
 ///
-/// What a change of a domain is made of depends on that domain alone; only its worth
-/// changes with what is done elsewhere. So the ways to change a domain are worked out once,
-/// and anew for the domain whose change was chosen.
+/// Which changes a domain allows depends on that domain alone; only their net gain depends on
+/// the changes chosen elsewhere. So each domain's candidates are computed once, and again only
+/// for the domain whose change was chosen.
 pub fn plan(domains: Vec<Domain>, models: &[Model], limits: Limits) -> Vec<Change> {
     let mut planner = Planner { ways: Vec::new(), domains, models: models.to_vec(), limits };
     planner.ways = (0..planner.domains.len()).map(|domain| planner.ways(domain)).collect();
@@ -140,36 +144,36 @@
     changes
 }
 
-/// A way to change a domain, all but its worth.
+/// A candidate change of a domain, without its net gain.
 #[derive(Debug, Clone)]
 struct Way {
     change: Change,
     kind: WayKind,
-    /// How long until its groups serve.
+    /// Time until its groups serve.
     after: Millis,
-    /// How many of its members lose the weights of each model.
+    /// Number of its members that lose their weights, by model.
     lost: Vec<usize>,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum WayKind {
-    /// One more group.
+    /// Form one more group.
     Form,
-    /// Groups are closed for others.
+    /// Close groups of one model in favour of another.
     Convert {
-        /// Whose groups are closed.
+        /// Index of the model whose groups are closed.
         donor: usize,
-        /// How many.
+        /// Number of groups that are closed.
         closed: usize,
-        /// Groups that are formed instead.
+        /// Number of groups that are formed instead.
         formed: usize,
-        /// How many fewer of the donor's there are then: some of its members return.
+        /// Net loss of the donor's groups: leftover instances can form some of them again.
         fewer: f64,
     },
 }
 
 struct Planner {
-    /// By domain.
+    /// Candidate changes by domain.
     ways: Vec<Vec<Way>>,
     domains: Vec<Domain>,
     models: Vec<Model>,
@@ -189,7 +193,7 @@
         best.map(|(_, brings, way)| Change { brings, ..way.change.clone() })
     }
 
-    /// All ways to change one domain that are weighed.
+    /// All candidate changes of one domain.
     fn ways(&self, domain: usize) -> Vec<Way> {
         let mut ways = Vec::new();
         for model in 0..self.models.len() {
@@ -206,14 +210,14 @@
         ways
     }
 
-    /// One more group out of instances that are free.
+    /// Candidate: one more group of `model` from free instances.
     fn form(&self, domain: usize, model: usize) -> Option<Way> {
         let size = self.models[model].size;
         let members = self.soonest(self.domains[domain].free.iter(), model, size)?;
         self.way(domain, model, &members, &[], WayKind::Form)
     }
 
-    /// Groups of `donor`, `closed` of them, are given up for groups of `model`.
+    /// Candidate: `closed` groups of `donor` are closed in favour of groups of `model`.
     fn convert(&self, domain: usize, model: usize, donor: usize, closed: usize) -> Option<Way> {
         let given = self.given(domain, model, donor, closed)?;
         let (own_size, donor_size) = (self.models[model].size, self.models[donor].size);
@@ -230,7 +234,7 @@
         self.way(domain, model, &members, &given, kind)
     }
 
-    /// The groups whose members are of use soonest.
+    /// The `count` groups whose members need the fewest loads to serve `model`.
     fn given(
         &self,
         domain: usize,
@@ -248,8 +252,8 @@
         (given.len() == count).then_some(given)
     }
 
-    /// The `count` that are ready soonest; heads come first that need not leave another
-    /// group.
+    /// The `count` hosts that are ready for `model` soonest. Those that need not wait for an old
+    /// head come first, so that one of them becomes the new head.
     fn soonest<'a>(
         &self,
         hosts: impl Iterator<Item = &'a Host>,
@@ -290,8 +294,7 @@
         Some(Way { change, kind, after, lost: lost.collect() })
     }
 
-    /// How many hosts that take up `model` no longer have what `other` may need before it
-    /// can be fetched again.
+    /// Number of members that hold the weights of `other` now and lose them by serving `model`.
     fn hosts_lost(&self, members: &[&Host], model: usize, other: usize) -> usize {
         if self.limits.joins_load || other == model {
             return 0;
@@ -301,7 +304,7 @@
         members.iter().filter(has_it).filter(takes_up).count()
     }
 
-    /// What a way brings as things stand, in seconds of an instance.
+    /// Net gain of a candidate given the changes chosen so far, in instance-seconds.
     fn brings(&self, way: &Way) -> f64 {
         let loads = way.change.loads.len();
         if loads > self.limits.loads {
