--- a/crates/workshold-core/src/hosted/groups.rs
+++ b/crates/workshold-core/src/hosted/groups.rs
@@ -1,4 +1,4 @@
-//! Groups as their members state them.
+//! Groups, assembled from what their members report.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,50 +10,52 @@
 use super::roster::Instance;
 use super::roster::MemberState;
 
-/// One formation of a group, put together from its members' statements.
+/// A group under one epoch, assembled from its members' reports.
 #[derive(Debug, Clone)]
 pub struct Group {
-    /// Its name.
+    /// Name of the group.
     pub id: GroupId,
-    /// Its formation.
+    /// Epoch under which it was formed; unique to this group.
     pub epoch: u64,
-    /// Who says to be in it, by rank.
+    /// Instances that report membership, by rank.
     pub members: BTreeMap<usize, Arc<Instance>>,
 }
 
 impl Group {
-    /// The member that takes requests, if it is known.
+    /// The member of rank 0, which takes the group's requests; `None` if it does not report
+    /// membership.
     pub fn head(&self) -> Option<&Arc<Instance>> {
         self.members.get(&0)
     }
 
-    /// What the head says of the group.
+    /// State that the head reports; `None` without a head.
     pub fn state(&self) -> Option<MemberState> {
         self.head().and_then(|head| head.membership.as_ref()).map(|own| own.state)
     }
 
-    /// The model that it serves; part of its name.
+    /// The model that the group serves, which is part of the group's name.
     pub fn model(&self) -> &str {
         model_of(&self.id)
     }
 }
 
-/// The name of a formation.
+/// Name of the group that serves `model` under `epoch`.
 ///
 /// # Panics
 ///
-/// If the model's name leaves no room for a number.
+/// If the model's name is so long that the epoch does not fit into the group's name.
 pub fn group_id(model: &str, epoch: u64) -> GroupId {
     GroupId::new(&format!("{model}.{epoch}")).expect("a model's name and a number are a name")
 }
 
-/// The model in the name of a formation.
+/// The model in a group's name.
 pub fn model_of(id: &GroupId) -> &str {
     let text = id.as_str();
     text.rsplit_once('.').map_or(text, |(model, _)| model)
 }
 
-/// Puts statements together; groups with the same epoch and name are one.
+/// Assembles groups from instance entries: members that report the same epoch and name form one
+/// group.
 pub fn collate<'a>(entries: impl Iterator<Item = &'a Entry>) -> Vec<Group> {
     let mut groups: BTreeMap<(u64, SmolStr), Group> = BTreeMap::new();
     for entry in entries {
--- a/crates/workshold-core/src/hosted/partition_lease.rs
+++ b/crates/workshold-core/src/hosted/partition_lease.rs
@@ -1,49 +1,53 @@
-//! When a node may order the instances of a part that has just come to it.
+//! Handover of a lease partition: when its new holder may order the partition's instances.
 //!
-//! The last holder may not have noticed, and what it ordered may not yet stand in the
-//! list as this node has it. So two things are waited for: that nobody else orders any
-//! more, and a reading of the list that began after that.
+//! The previous holder may not have noticed that it lost the partition, and the effects of its
+//! orders may be missing from this node's copy of the instance list. So the new holder waits
+//! until nobody else sends orders any more, and then for a read of the list that began after that.
 
 use workshold_protocol::Millis;
 
 use super::store_era::Fence;
 
-/// The times that a new holder keeps to.
+/// Waiting times of a new holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HandoverTimings {
-    /// Orders of the last holder are on their way for this long at most.
+    /// Longest time that an order of the previous holder can be on its way.
     pub max_order_delay: Millis,
-    /// The last holder stops by itself after this: the lease's time.
+    /// Time to live of the lease; the previous holder stops by itself once it has passed.
     pub lease_ttl: Millis,
 }
 
-/// A part of the lease as its holder has it.
+/// A lease partition held by this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartitionLease {
-    /// The lease's number when the part came.
+    /// Fencing token under which the partition was acquired.
     fence: Fence,
     since: Millis,
-    /// Nothing is ordered before, whoever has noticed.
+    /// No order is sent before, even if the previous holder has stopped.
     not_before: Millis,
-    /// Since when nobody else orders.
+    /// When it became certain that nobody else sends orders; `None` before that.
     settled_at: Option<Millis>,
 }
 
 impl PartitionLease {
-    /// The part came at `now`, under `fence`.
+    /// Records that the partition was acquired at `now` under `fence`.
     pub fn new(fence: impl Into<Fence>, now: Millis) -> Self {
         Self { fence: fence.into(), since: now, not_before: Millis::ZERO, settled_at: None }
     }
 
-    /// Nothing is ordered before `true_from`: the store came back from a copy a moment ago,
-    /// and what it says of instances, and of who held the part, is of the past. The lease's
-    /// time has run out by then for all who held a part before, heard or not.
+    /// Forbids orders before `true_from`.
+    ///
+    /// Used when the store has just been restored from a backup copy, so that what it says about
+    /// instances and about the partition's previous holder is outdated. By `true_from` the leases
+    /// of all previous holders have expired, including those that this node does not know of.
     pub fn with_earliest_order_at(self, true_from: Millis) -> Self {
         Self { not_before: true_from, ..self }
     }
 
-    /// Looks who else may order: `others` are the numbers by which all those act who
-    /// are heard. One that acts by this number or a later one has noticed.
+    /// Checks whether another node may still send orders.
+    ///
+    /// `others` are the fencing tokens that the reachable nodes act under. A node that acts under
+    /// this partition's token or a later one has noticed the handover.
     pub fn observe_holders(
         &mut self,
         others: impl Iterator<Item = impl Into<Fence>>,
@@ -62,12 +66,13 @@
         }
     }
 
-    /// Whether the list has to be read anew before anything is ordered.
+    /// Whether the instance list has to be read again before the first order; `list_read_at` is
+    /// when its last read began.
     pub fn needs_list_reread(&self, list_read_at: Millis) -> bool {
         self.settled_at.is_some_and(|at| list_read_at < at)
     }
 
-    /// Whether orders may be given, by a list whose reading began at `list_read_at`.
+    /// Whether orders may be sent, based on an instance list whose read began at `list_read_at`.
     pub fn may_order(&self, list_read_at: Millis) -> bool {
         self.settled_at.is_some_and(|at| list_read_at >= at)
     }
--- a/crates/workshold-core/src/hosted/placement.rs
+++ b/crates/workshold-core/src/hosted/placement.rs
@@ -1,27 +1,27 @@
-//! Which group or instance a request goes to.
+//! Load balancing: chooses the group or instance that a request is sent to.
 
-/// One that could take it.
+/// A group or instance that could take the request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Requests there, of all nodes as far as known.
+    /// Requests in progress there, from all nodes as far as known.
     pub load: u32,
-    /// What it takes to read the prompts that wait there, in milliseconds.
+    /// Time to prefill the prompts queued there, in milliseconds.
     pub queued_prefill_ms: f64,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Its usual time for one event or answer, in milliseconds.
+    /// Its usual time for one event or response, in milliseconds.
     pub event_ms: f64,
-    /// Whether it is in this node's data centre.
+    /// Whether it is in this node's own data centre.
     pub is_near: bool,
-    /// Whether it failed of late, so that others go first.
+    /// Whether it failed recently, so that others are preferred.
     pub is_deprioritized: bool,
 }
 
-/// What going to another data centre costs, in milliseconds of an answer.
+/// Cost of sending a request to another data centre, in milliseconds of response time.
 const FAR_MS: f64 = 8.0;
-/// How much a full batch slows an engine down.
+/// Fraction by which a full batch slows an engine down.
 const FULL_BATCH: f64 = 1.0;
-/// How many are compared: few enough that nodes do not all choose the same one.
+/// Number of candidates compared: few enough that nodes do not all choose the same one.
 const COMPARED: usize = 4;
 
 impl Candidate {
@@ -35,7 +35,8 @@
     }
 }
 
-/// The best of a few drawn ones; `draw` is any number.
+/// Returns the index of the cheapest of a few randomly drawn candidates; `draw` is a random
+/// number. Recently failed candidates are drawn only if there are no others.
 pub fn choose(candidates: &[Candidate], draw: u64) -> Option<usize> {
     let good: Vec<usize> = in_order(candidates, false);
     let pool = if good.is_empty() { in_order(candidates, true) } else { good };
@@ -52,8 +53,9 @@
     (0..candidates.len()).filter(|i| candidates[*i].is_deprioritized == aside).collect()
 }
 
-/// Whether all of them are so full that a request would wait past its goal behind
-/// those that wait already; better it is refused at once and comes back.
+/// Whether all candidates have `may_wait` or more requests queued beyond their slots. A further
+/// request would miss its latency goal in the queue, so it is better refused at once and retried
+/// by the caller.
 pub fn are_full(candidates: &[Candidate], may_wait: u32) -> bool {
     let is_full = |candidate: &Candidate| candidate.load >= candidate.slots + may_wait;
     !candidates.is_empty() && candidates.iter().all(is_full)
--- a/crates/workshold-core/src/hosted/serving_config.rs
+++ b/crates/workshold-core/src/hosted/serving_config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, upstream services, teams and bounds.
+//! The configuration in force: routes, upstream services, teams and request limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,48 +9,49 @@
 use workshold_protocol::ids::ServiceName;
 use workshold_protocol::ids::TeamName;
 
-/// What may be done with a request more than once.
+/// Retry semantics of a route's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may run any number of times.
+    /// May run any number of times.
     Idempotent,
-    /// It runs at most once.
+    /// Runs at most once.
     AtMostOnce,
-    /// Its answer is a stream of events; see [`Route::is_resumable`].
+    /// The response is a stream of events; whether it may run again is told by
+    /// [`Route::is_resumable`].
     Stream,
 }
 
-/// Where requests of one host and path go.
+/// How requests for one host and path prefix are handled.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: SmolStr,
-    /// The host that callers name.
+    /// Host in the caller's request, without a port.
     pub host: SmolStr,
-    /// How paths begin that it takes.
+    /// Prefix of the paths that the route matches.
     pub path_prefix: SmolStr,
-    /// What may be repeated.
+    /// Retry semantics of its requests.
     pub kind: RequestKind,
-    /// The longest that the operator wants a request held.
+    /// Configured limit on the time to answer a request.
     pub timeout: Millis,
-    /// The time within which an answer, or its first event, earns its worth.
+    /// Latency goal for the response, or for its first event.
     pub latency_goal: Millis,
-    /// The longest pause between events that is still in time.
+    /// Goal for the longest pause between events.
     pub pause_goal: Millis,
-    /// The most upstream instances that one request may be sent to.
+    /// Most upstream instances that one request may be sent to.
     pub attempts: u32,
-    /// Its rank; 0 goes first.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u8,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_keyless: bool,
-    /// Whether a broken stream may go on at another instance.
+    /// Whether an interrupted stream may be continued on another instance.
     pub is_resumable: bool,
-    /// The services that take its requests, with their weights.
+    /// Services that serve its requests, with their weights.
     pub targets: Vec<(ServiceName, u32)>,
 }
 
 impl Route {
-    /// Whether a request that may have run may be run again.
+    /// Whether a request that may already have run may be sent again.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RequestKind::Idempotent => true,
@@ -59,7 +60,8 @@
         }
     }
 
-    /// The service for a request; `draw` is uniform over all `u64`.
+    /// Chooses the service for a request by weight; `draw` is uniform over all `u64`. `None` if the
+    /// route has no services.
     pub fn target(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
         if total == 0 {
@@ -77,105 +79,105 @@
     }
 }
 
-/// A model that groups of instances serve.
+/// Properties of a model that groups of instances serve.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelSpec {
-    /// Its name.
+    /// Name of the model.
     pub name: ModelName,
-    /// Instances of one group.
+    /// Number of instances in one group.
     pub size: usize,
-    /// Its part of all work, as the operator expects it.
+    /// Its expected share of all work, relative to the shares of the other models.
     pub share: f64,
-    /// Factor on all times of the engine.
+    /// Factor on all of the engine's processing times; below 1 is faster.
     pub pace: f64,
-    /// Loading from the weight store.
+    /// Time to load its weights from the weight store.
     pub load: Millis,
-    /// Loading from the instance's own host.
+    /// Time to load its weights from the instance's own host.
     pub warm_load: Millis,
 }
 
-/// What the operator says of a service's model engines.
+/// Configured properties of a service's inference engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that one group works on at once.
+    /// Requests that one group processes concurrently.
     pub slots: u32,
-    /// Steps that are played between two events.
+    /// Decoding steps between two events of a stream.
     pub stride: u32,
-    /// One step of one token, in milliseconds.
+    /// Time of one decoding step, in milliseconds.
     pub step_ms: f64,
-    /// What each request that writes adds to a step, in milliseconds.
+    /// Time that each decoding request adds to a step, in milliseconds.
     pub per_request_ms: f64,
-    /// What each thousand tokens of its context add to that, in milliseconds.
+    /// Time that each thousand tokens of its context add to that, in milliseconds.
     pub context_ms_per_k: f64,
-    /// Prompt tokens that are read in a millisecond.
+    /// Prefill rate, in prompt tokens per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// What a million pairs of a prompt's tokens add to reading it, in milliseconds.
+    /// Quadratic part of the prefill time, in milliseconds per million pairs of prompt tokens.
     pub attention_ms_per_m_pairs: f64,
-    /// How long a group that is ready takes to open.
+    /// Time that a group needs to open once all members are ready.
     pub group_open_time: Millis,
-    /// Tokens of a usual prompt.
+    /// Tokens in a typical prompt.
     pub typical_prompt_tokens: f64,
-    /// Tokens of a usual answer.
+    /// Tokens in a typical response.
     pub typical_answer_tokens: f64,
-    /// Loads that may begin in a second, over all instances.
+    /// Loads from the weight store that may begin per second, over all instances.
     pub loads_per_s: f64,
-    /// Loads at once that the weight store serves at full speed.
+    /// Concurrent loads that the weight store serves at full speed.
     pub loads_at_once: u32,
-    /// The models, in the operator's order.
+    /// The models, in the order of the configuration.
     pub models: Vec<ModelSpec>,
 }
 
 impl Engine {
-    /// The shape of `model`.
+    /// The model called `name`, if it is configured.
     pub fn model(&self, name: &str) -> Option<&ModelSpec> {
         self.models.iter().find(|model| model.name.as_str() == name)
     }
 
-    /// The usual time between two events of a stream that runs alone.
+    /// Time between two events of a stream in a group without other load, in milliseconds.
     pub fn event_gap_ms(&self, model: &ModelSpec) -> f64 {
         self.step_ms * f64::from(self.stride.max(1)) * model.pace
     }
 }
 
-/// A service that routes point to.
+/// An upstream service that routes refer to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Upstream {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Its engines, if it serves models.
+    /// Properties of its engines; `None` if it does not serve models.
     pub engine: Option<Engine>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Most bytes in a request's line and headers.
     pub head_len: usize,
-    /// Bytes of a request's body.
+    /// Most bytes in a request's body.
     pub body_len: usize,
-    /// Time for a request's head to come.
+    /// Time limit for receiving a request's headers.
     pub head_time: Millis,
-    /// How long a connection may rest.
+    /// How long a connection may be idle.
     pub idle_time: Millis,
 }
 
-/// A team and its rank.
+/// A team, as the owner of API keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Team {
-    /// Its name, which upstreams are told.
+    /// Name of the team; forwarded to upstreams.
     pub name: TeamName,
-    /// Its rank, which goes before the route's.
+    /// Priority of its requests; compared before the route's priority.
     pub priority: u8,
 }
 
-/// One version of the configuration, in whole.
+/// One complete version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServingConfig {
-    /// Its number; only rises.
+    /// Version number; only rises.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on callers' requests.
     pub limits: Limits,
-    /// The services by name.
+    /// The upstream services by name.
     pub upstreams: HashMap<ServiceName, Upstream>,
     routes: HashMap<SmolStr, Vec<Arc<Route>>>,
     teams: Vec<Team>,
@@ -183,19 +185,19 @@
     asks_for_keys: bool,
 }
 
-/// What a key says of a request.
+/// The caller of a request, as identified by its API key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller<'a> {
-    /// No key is asked for.
+    /// No key is required.
     Anonymous,
-    /// The key's team.
+    /// The team that owns the key.
     Team(&'a Team),
-    /// The key is missing or not known.
+    /// A key is required, but is missing or unknown.
     Unknown,
 }
 
 impl ServingConfig {
-    /// Puts a version together; `teams` is `None` where no keys are in use.
+    /// Builds a version; `teams` with their API keys, or `None` if no keys are in use.
     pub fn new(
         version: u64,
         limits: Limits,
@@ -221,14 +223,14 @@
         Self { version, limits, upstreams, routes: by_host, teams: names, keys, asks_for_keys }
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// The route of `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(route.path_prefix.as_str()))
     }
 
-    /// Whose a request on `route` with this key is.
+    /// Identifies the caller of a request on `route` by its API key.
     pub fn caller(&self, route: &Route, key: Option<&str>) -> Caller<'_> {
         if !self.asks_for_keys {
             return Caller::Anonymous;
@@ -241,7 +243,7 @@
         }
     }
 
-    /// Whether requests on `route` stand on a key that can be taken away.
+    /// Whether requests on `route` require an API key, which may be revoked.
     pub fn needs_key(&self, route: &Route) -> bool {
         self.asks_for_keys && !route.is_keyless
     }
