--- a/crates/workshold-core/tests/hosted.rs
+++ b/crates/workshold-core/tests/hosted.rs
@@ -1,4 +1,4 @@
-//! Decisions for a deployment whose platform keeps the state.
+//! Tests of the decisions for deployments whose state is kept by the platform's store.
 
 #[path = "hosted/capacity.rs"]
 mod capacity;
--- a/crates/workshold-core/tests/hosted/capacity.rs
+++ b/crates/workshold-core/tests/hosted/capacity.rs
@@ -1,4 +1,5 @@
-//! What groups are worth, against what was seen of them, and what is asked.
+//! The capacity estimate and the utility of groups, against measurements, and the demand that is
+//! reported for models.
 
 use rstest::rstest;
 use smol_str::SmolStr;
@@ -47,8 +48,8 @@
     }
 }
 
-/// Steady days without faults, played on the users' bench: groups of a model, how many
-/// would have just kept up, and the part that was in time.
+/// Measurements at steady load without faults on the users' test bench: the groups of a model, how
+/// many would just have kept up, and the fraction of requests served in time.
 #[rstest]
 #[case::small_with_room("small", 14.0, 8.24, 0.997)]
 #[case::small_close("small", 12.0, 9.9, 0.872)]
@@ -119,14 +120,14 @@
     assert!(later.requests < 0.6, "{later:?}");
 }
 
-/// A request that is refused comes back, and would be counted twice.
+/// Guards against counting a request twice: a refused request is retried by its caller.
 #[test]
 fn refusals_do_not_double_what_is_asked() {
     let model = SmolStr::new("big");
     let asked = RequestCost { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
     let mut demand = Demand::default();
     for i in 0..200_u64 {
-        // Refused, and refused again when it comes back.
+        // Refused, and refused again when it is retried.
         for at in [Millis(i * 100), Millis(i * 100 + 50)] {
             demand.on_request(&model, asked, at);
             demand.on_refusal(&model, asked, at);
--- a/crates/workshold-core/tests/hosted/planned_anew.rs
+++ b/crates/workshold-core/tests/hosted/planned_anew.rs
@@ -1,5 +1,5 @@
-//! The plan worked out the long way: every way to change every domain anew after each
-//! change. What the planner keeps up must come to the same.
+//! Reference implementation of the planner without incremental updates: after each chosen change
+//! it computes all candidates of all domains again. The planner must return the same plan.
 
 use workshold_core::hosted::identity::Identity;
 use workshold_core::hosted::planner::Change;
@@ -10,18 +10,19 @@
 use workshold_core::hosted::planner::Standing;
 use workshold_protocol::Millis;
 
-/// How long a mix of requests is likely to last.
+/// How long the current request mix is expected to last.
 const LASTS: Millis = Millis::from_secs(30);
-/// What fetching weights costs, and every group that is closed, in seconds of an
-/// instance: orders have their price, and whatever is changed may fail.
+/// Cost of one load of weights, in instance-seconds: every order takes time, and every change
+/// can fail.
 const LOAD_COSTS: f64 = 0.2;
+/// Cost of closing one group, in instance-seconds, for the same reasons.
 const CLOSE_COSTS: f64 = 1.0;
-/// How likely weights that are given up are missed before they can be fetched again.
+/// Probability that discarded weights are needed before they can be fetched again.
 const MISSED: f64 = 0.5;
-/// More changes than this at once are a matter for the next look.
+/// Most changes in one plan; the next plan has the others.
 const MOST_CHANGES: usize = 4_096;
 
-/// The changes that bring most, in the order in which they were chosen.
+/// Returns the changes with the highest net gain, in the order in which they were chosen.
 pub fn plan_anew(domains: &[Domain], models: &[Model], limits: Limits) -> Vec<Change> {
     let mut planner = Planner { domains: domains.to_vec(), models: models.to_vec(), limits };
     let mut changes = Vec::new();
@@ -53,7 +54,7 @@
         best.map(|(_, change)| change)
     }
 
-    /// All changes of one domain that are weighed.
+    /// All candidate changes of one domain.
     fn changes(&self, domain: usize) -> Vec<Change> {
         let mut changes = Vec::new();
         for model in 0..self.models.len() {
@@ -70,7 +71,7 @@
         changes
     }
 
-    /// One more group out of instances that are free.
+    /// Candidate: one more group of `model` from free instances.
     fn form(&self, domain: usize, model: usize) -> Option<Change> {
         let size = self.models[model].size;
         let members = self.soonest(self.domains[domain].free.iter(), model, size)?;
@@ -78,7 +79,7 @@
         self.change(domain, model, &members, &[], gain, 0.0)
     }
 
-    /// Groups of `other`, `closed` of them, are given up for groups of `model`.
+    /// Candidate: `closed` groups of `other` are closed in favour of groups of `model`.
     fn convert(&self, domain: usize, model: usize, other: usize, closed: usize) -> Option<Change> {
         let given = self.given(domain, model, other, closed)?;
         let (own, donor) = (&self.models[model], &self.models[other]);
@@ -99,7 +100,7 @@
         self.change(domain, model, &members, &given, gain, costs)
     }
 
-    /// The groups whose members are of use soonest.
+    /// The `count` groups whose members need the fewest loads to serve `model`.
     fn given(
         &self,
         domain: usize,
@@ -117,8 +118,8 @@
         (given.len() == count).then_some(given)
     }
 
-    /// The `count` that are ready soonest; heads come first that need not leave another
-    /// group.
+    /// The `count` hosts that are ready for `model` soonest. Those that need not wait for an old
+    /// head come first, so that one of them becomes the new head.
     fn soonest<'a>(
         &self,
         hosts: impl Iterator<Item = &'a Host>,
@@ -165,8 +166,8 @@
         })
     }
 
-    /// What it costs that hosts which take up `model` no longer have what another model
-    /// may need before it can be fetched again.
+    /// Cost of the weights that `members` lose by serving `model` and that another model may need
+    /// before they can be fetched again.
     fn weights_lost(&self, members: &[&Host], model: usize) -> f64 {
         if self.limits.joins_load {
             return 0.0;
--- a/crates/workshold-core/tests/hosted/planning.rs
+++ b/crates/workshold-core/tests/hosted/planning.rs
@@ -1,4 +1,4 @@
-//! The plan for all domains.
+//! Tests of the plan over all domains.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -49,7 +49,7 @@
     }
 }
 
-/// Models for `works`, with so many groups each.
+/// Builds the models for the demands `works`, with the given number of groups each.
 fn models(engine: &Engine, works: &[Workload], groups: [f64; 2]) -> Vec<Model> {
     let utilities = |factor: f64| {
         let works: Vec<Workload> = works.iter().map(|work| work.scaled(factor)).collect();
@@ -109,7 +109,7 @@
     assert!(spare.iter().all(|spare| *spare > 1.4), "{big} and {small} for {least:?}");
 }
 
-/// The size that the system is designed for: 920 instances.
+/// Plans a fleet of the size that the system is designed for: 920 instances.
 #[test]
 fn a_plan_for_all_of_a_large_fleet_leaves_nobody_out() {
     let engine = engine();
@@ -125,7 +125,7 @@
     assert_eq!(big * 4 + small * 2, 928);
 }
 
-/// So many requests a second with a prompt of 1,000 tokens and 20 events each.
+/// Demand of `requests` per second, each with a prompt of 1,000 tokens and 20 events.
 fn ask(requests: f64) -> Workload {
     Workload {
         requests,
@@ -135,7 +135,7 @@
     }
 }
 
-/// Domains with hosts and groups in any state.
+/// Random domains with hosts and groups in any state.
 fn any_domains(rng: &mut ChaCha8Rng) -> Vec<Domain> {
     let domains = rng.random_range(1..8);
     (0..domains).map(|domain| any_domain(rng, domain)).collect()
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -1,4 +1,4 @@
-//! The steward: one test for each way in which groups were broken, or left broken.
+//! Tests of the steward, one for each way in which groups were once broken or left unusable.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -43,10 +43,10 @@
     ModelName::new(name).unwrap()
 }
 
-/// Longer than it takes to ask all other nodes.
+/// Longer than it takes to ask all other nodes whether they reach an instance.
 const LONG_AGO: Millis = Millis(500);
 
-/// So many requests a second with a prompt of 1,000 tokens and 20 events each.
+/// Demand of `requests` per second, each with a prompt of 1,000 tokens and 20 events.
 fn ask(requests: f64) -> Workload {
     Workload {
         requests,
@@ -56,23 +56,23 @@
     }
 }
 
-/// A domain with engines for `big` (four instances) and `small` (two).
+/// A domain whose instances serve the models `big` (groups of four) and `small` (groups of two).
 struct Domain {
     name: String,
     engine: Engine,
     entries: BTreeMap<String, Entry>,
     losses: BTreeMap<Identity, (Loss, Millis)>,
     trust: ListTrust,
-    /// What is asked of `big` and of `small`.
+    /// Demand for `big` and for `small`.
     works: [Workload; 2],
-    /// Groups of `big` and of `small` in all domains.
+    /// Number of groups of `big` and of `small` in all domains.
     counts: [f64; 2],
     others: Vec<planner::Domain>,
     may_close: bool,
     heads: BTreeMap<u64, Identity>,
-    /// Formations a member of which has begun anew.
+    /// Epochs of groups of which a member has restarted.
     broken: BTreeSet<u64>,
-    /// Of whom not all nodes were asked.
+    /// Instances about which not all nodes have been asked yet.
     unasked: BTreeSet<Identity>,
     before_traffic: bool,
     now: Millis,
@@ -138,7 +138,7 @@
         self.entries.insert(name.to_owned(), entry);
     }
 
-    /// An instance starts again under its id; what it said to be in is `was`.
+    /// Restarts an instance under its id; it was a member of the group with epoch `was`.
     fn begin_anew(&mut self, name: &str, was: u64) {
         self.change(name, |instance| {
             instance.identity.incarnation = Incarnation(instance.identity.incarnation.0 + 1);
@@ -152,7 +152,7 @@
         change(Arc::make_mut(&mut entry.instance));
     }
 
-    /// All of them state that they are in a group of `of`.
+    /// Lets all of `names` report membership in a group of the model `of`.
     fn join(&mut self, of: &str, epoch: u64, names: &[&str], head: MemberState) {
         for (rank, name) in names.iter().enumerate() {
             let state = if rank == 0 { head } else { MemberState::Ready };
@@ -276,7 +276,7 @@
     let close = domain.plan(&mut steward);
     assert_eq!(kinds(&close), ["i-1 close cut=true"]);
     domain.obey(&close);
-    // An order to open may still be on its way to the head.
+    // An order to open the group may still be on its way to the head.
     let leave = domain.plan(&mut steward);
     assert_eq!(kinds(&leave), ["i-5 join 4", "i-1 leave"]);
     domain.obey(&leave);
@@ -335,7 +335,8 @@
     assert_eq!(kinds(&domain.plan(&mut steward(1))), ["i-2 join 2", "i-3 join 2"]);
 }
 
-/// The store was away: its list does not say that the head was leaving.
+/// After a store outage the list may be missing that the head was leaving, so the head may still
+/// be draining and its members must not be taken.
 #[test]
 fn a_head_that_refuses_connections_after_an_outage_may_have_been_leaving() {
     let mut domain = Domain::new();
@@ -388,7 +389,7 @@
     domain.add("i-1", &["small"], &[]);
     domain.add("i-2", &["small"], &[]);
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Ready);
-    // An order to join elsewhere may be on its way to any of them.
+    // An order to join another group may be on its way to any of them.
     assert_eq!(kinds(&domain.plan(&mut steward(2))), ["i-1 leave"]);
 }
 
@@ -432,7 +433,7 @@
     assert!((1..=25).contains(&loads), "{loads} loads in 4 s at 5 a second");
 }
 
-/// A domain of 18 without any group, before traffic; groups of `big` take eight.
+/// A domain of 18 instances without any group, before traffic; groups of `big` have eight members.
 fn fresh(turn: usize) -> Domain {
     let mut domain = Domain::new();
     domain.name = format!("d-{turn:02}");
@@ -442,8 +443,8 @@
     domain
 }
 
-/// Every domain is formed by itself, whatever the others have got to: all together come
-/// to a mix in which both models have about as much left over.
+/// Before traffic every domain forms its groups without regard to the progress of the others. All
+/// domains together must give both models about the same spare capacity.
 #[test]
 fn domains_that_are_formed_apart_come_to_the_expected_mix() {
     const DOMAINS: usize = 12;
@@ -468,13 +469,13 @@
             }
         }
     }
-    // Half of the work in groups of eight, half in groups of two.
+    // Half of the work is done by groups of eight, half by groups of two.
     let (big, small) = (formed[0] / least[0], formed[1] / least[1]);
     assert!((1.3..=2.2).contains(&big), "{big} of what {} do", least[0]);
     assert!((1.3..=2.2).contains(&small), "{small} of what {} do", least[1]);
 }
 
-/// What was begun is not begun again, and what could not be finished is.
+/// Groups that exist or are being formed must not be formed a second time; missing ones must be.
 #[test]
 fn before_traffic_only_what_is_missing_is_formed() {
     let mut domain = Domain::new();
@@ -486,7 +487,7 @@
     assert_eq!(orders[..2], ["i-3 join 2", "i-4 join 2"]);
 }
 
-/// Two groups of `small` whose hosts have `big`.
+/// Two groups of `small` whose hosts hold the weights of `big`.
 fn full_of_small() -> Domain {
     let mut domain = Domain::new();
     domain.may_close = true;
@@ -498,7 +499,7 @@
     domain
 }
 
-/// `big` can hardly keep up with two groups, `small` has far more than it needs.
+/// `big` can hardly keep up with its two groups; `small` has far more than it needs.
 fn short_of_big() -> Domain {
     let mut domain = full_of_small();
     domain.works = [ask(30.0), ask(30.0)];
@@ -512,7 +513,7 @@
     let mut steward = steward(1);
     let closes = domain.plan(&mut steward);
     assert_eq!(kinds(&closes), ["i-1 close cut=false", "i-3 close cut=false"]);
-    // Until all are free nobody forms what was there before, nor is it closed again.
+    // Until all members are free, no new group is formed and no group is closed again.
     domain.obey(&closes[..1]);
     assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
     domain.obey(&closes[1..]);
@@ -532,7 +533,7 @@
         let own = &domain.engine;
         other.standing = steward::listed(&other.name, &entries, own, false, |_| true).standing;
         domain.others = vec![other];
-        // One group of `big` more is all that is worth its while.
+        // Only one more group of `big` pays off.
         domain.works[0] = ask(18.0);
         domain.plan(&mut steward(1)).len()
     };
@@ -562,8 +563,8 @@
     assert_eq!(kinds(&domain.plan(&mut steward(1))), [""; 0]);
 }
 
-/// Three of a group of `big` are left over. As a pair of `small`, of which there are
-/// enough, they would lose their weights.
+/// Three members of a group of `big` survive. Two of them could form a group of `small`, but there
+/// are enough of those and the pair would lose its weights of `big`.
 #[test]
 fn survivors_wait_for_a_fourth_rather_than_lose_weights_that_are_scarce() {
     let mut domain = Domain::new();
@@ -580,7 +581,8 @@
     assert_eq!(kinds(&joins), all);
 }
 
-/// A fourth that has no weights fetches them; until then nobody is taken for it.
+/// A fourth instance fetches the weights that it lacks. Until it has them, no instance is ordered
+/// to join.
 #[test]
 fn weights_are_fetched_for_a_group_before_anybody_is_taken() {
     let mut domain = Domain::new();
@@ -598,8 +600,8 @@
     assert_eq!(domain.plan(&mut steward).len(), 4);
 }
 
-/// Weights of another model on their way to a host do not keep it from serving what its
-/// memory has.
+/// Fetching the weights of another model to the host must not keep an instance from serving the
+/// model whose weights are in its memory.
 #[test]
 fn an_instance_that_fetches_weights_may_join_what_it_served_last() {
     let mut domain = Domain::new();
@@ -631,7 +633,7 @@
         domain.add(name, &["small"], &["small"]);
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
-    // Its entry went before this node began; it serves on for a while.
+    // The head's entry was removed before this node started; the head still drains for a while.
     domain.entries.remove("i-1");
     let mut steward = steward(1);
     assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
@@ -651,8 +653,8 @@
     assert_eq!(kinds(&domain.plan(&mut steward(1))), ["i-1 join 2", "i-2 join 2"]);
 }
 
-/// Two of `small` that serve; the second one was leaving by whatever `is_leaving` does,
-/// and nobody can connect to it any more.
+/// A serving group of `small` whose second member accepts no connections any more; `is_leaving`
+/// marks that member as leaving.
 fn with_a_member_that_has_stopped_listening(is_leaving: impl FnOnce(&mut Domain)) -> Domain {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2"] {
@@ -664,7 +666,8 @@
     domain
 }
 
-/// The member remains while the head has work: what runs is not cut off.
+/// Checks that the group is closed without aborting requests: the leaving member goes on with the
+/// head's work while there is any.
 fn closes_and_cuts_nothing(mut domain: Domain) {
     let mut steward = steward(1);
     assert_eq!(kinds(&domain.plan(&mut steward)), ["i-1 close cut=false"]);
@@ -680,7 +683,7 @@
     }));
 }
 
-/// Some never state that they will end: their entry goes, and they finish what they have.
+/// Some instances never report that they are leaving: their entry is removed while they drain.
 #[test]
 fn a_member_whose_entry_went_before_it_stopped_listening_cuts_nothing() {
     closes_and_cuts_nothing(with_a_member_that_has_stopped_listening(|domain| {
@@ -689,7 +692,7 @@
     }));
 }
 
-/// The store was away: its list does not say that the member was leaving.
+/// After a store outage the list may be missing that the member was leaving.
 #[test]
 fn a_member_that_stopped_listening_after_an_outage_cuts_nothing() {
     closes_and_cuts_nothing(with_a_member_that_has_stopped_listening(|domain| {
@@ -697,7 +700,7 @@
     }));
 }
 
-/// Whoever has had the time to finish is lost like any other.
+/// A member that has had the time to drain counts as lost like any other.
 #[test]
 fn a_member_that_left_long_ago_cuts_what_stands_still() {
     let mut domain = with_a_member_that_has_stopped_listening(|domain| {
@@ -708,7 +711,7 @@
     assert_eq!(kinds(&domain.plan(&mut steward(1))), ["i-1 close cut=true"]);
 }
 
-/// Its entry went before this node began, and it may be finishing.
+/// The member's entry was removed before this node started, and it may still be draining.
 #[test]
 fn a_member_that_a_new_node_never_saw_cuts_nothing() {
     let mut domain = with_a_member_that_has_stopped_listening(|_| {});
@@ -717,8 +720,8 @@
     closes_and_cuts_nothing(domain);
 }
 
-/// Two nodes whose links are full at the same moment agree at once that an instance is
-/// silent, and are wrong together; what a group has under way ends with the cut.
+/// Guards against aborting the requests of an intact group: two nodes whose links are congested at
+/// the same time agree at once that an instance is silent, and both are wrong.
 #[test]
 fn no_group_is_cut_before_all_others_have_been_asked_for_its_member() {
     let mut domain = Domain::new();
@@ -731,8 +734,8 @@
     assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
 }
 
-/// In a release: a member that has said it leaves stops taking connections while it goes on
-/// with what its head has. What refuses there has not ended, and the head's answers go on.
+/// During a rollout a leaving member stops accepting connections but goes on with the head's
+/// requests. Its refusals must not be taken for the end of its process.
 #[test]
 fn a_closing_group_whose_leaving_member_refuses_connections_may_still_finish() {
     let mut domain = Domain::new();
@@ -746,7 +749,7 @@
     assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
 }
 
-/// A member begins anew at its id while all others say what they did.
+/// A member restarts under its id while all others report the same membership as before.
 #[test]
 fn a_group_with_a_member_that_began_anew_is_cut_at_once() {
     let mut domain = Domain::new();
@@ -760,7 +763,7 @@
     assert_eq!(kinds(&close), ["i-1 close cut=true"]);
 }
 
-/// The head itself begins anew: nobody serves, and all of its members are free at once.
+/// When the head itself restarts, the group serves nothing and all members are free at once.
 #[test]
 fn members_of_a_head_that_began_anew_are_free() {
     let mut domain = Domain::new();
@@ -775,7 +778,7 @@
     assert_eq!(kinds(&joins), ["i-1 join 4", "i-2 join 4", "i-3 join 4", "i-4 join 4"]);
 }
 
-/// The formations that somebody is told to join.
+/// Epochs of the groups that instances are ordered to join.
 fn joined(commands: &[Command]) -> BTreeSet<u64> {
     let epoch = |command: &Command| match &command.order {
         Order::Join { epoch, .. } => Some(*epoch),
@@ -784,7 +787,8 @@
     commands.iter().filter_map(epoch).collect()
 }
 
-/// It was told to join and has not answered: the next life is no member of that group.
+/// An instance that was ordered to join restarts before it replies. Its new incarnation is not a
+/// member of that group.
 #[test]
 fn an_order_to_an_earlier_life_is_not_repeated_to_the_next() {
     let mut domain = Domain::new();
@@ -798,7 +802,8 @@
     assert!(joined(&first).is_disjoint(&joined(&next)), "{next:?}");
 }
 
-/// Two lives within a millisecond, or a clock that went back to it.
+/// A restart that the incarnation does not show: two starts within a millisecond, or a clock that
+/// went back.
 #[test]
 fn a_member_that_has_left_a_formation_is_not_told_to_join_it_again() {
     let mut domain = Domain::new();
@@ -814,8 +819,8 @@
     assert!(kinds(&next).contains(&"i-1 leave".to_owned()), "its head has to leave it first");
 }
 
-/// A few nodes try an instance for all of them: a head that none of these reaches may serve
-/// others, until all were asked.
+/// Only a few nodes probe an instance on behalf of all. A head that none of them reaches may still
+/// serve others, until all nodes have been asked.
 #[test]
 fn members_of_a_head_are_not_taken_before_all_nodes_were_asked_for_it() {
     let mut domain = Domain::new();
