--- a/crates/workshold-core/src/hosted/groups.rs
+++ b/crates/workshold-core/src/hosted/groups.rs
@@ -30,7 +30,7 @@
 
     /// State that the head reports; `None` without a head.
     pub fn state(&self) -> Option<MemberState> {
-        self.head().and_then(|head| head.membership.as_ref()).map(|own| own.state)
+        self.head().and_then(|head| head.membership.as_ref()).map(|membership| membership.state)
     }
 
     /// The model that the group serves, which is part of the group's name.
@@ -45,7 +45,7 @@
 ///
 /// If the model's name is so long that the epoch does not fit into the group's name.
 pub fn group_id(model: &str, epoch: u64) -> GroupId {
-    GroupId::new(&format!("{model}.{epoch}")).expect("a model's name and a number are a name")
+    GroupId::new(&format!("{model}.{epoch}")).expect("the model's name leaves room for an epoch")
 }
 
 /// The model in a group's name.
@@ -59,14 +59,14 @@
 pub fn collate<'a>(entries: impl Iterator<Item = &'a Entry>) -> Vec<Group> {
     let mut groups: BTreeMap<(u64, SmolStr), Group> = BTreeMap::new();
     for entry in entries {
-        let Some(own) = &entry.instance.membership else { continue };
-        let key = (own.epoch, SmolStr::new(own.group.as_str()));
+        let Some(membership) = &entry.instance.membership else { continue };
+        let key = (membership.epoch, SmolStr::new(membership.group.as_str()));
         let group = groups.entry(key).or_insert_with(|| Group {
-            id: own.group.clone(),
-            epoch: own.epoch,
+            id: membership.group.clone(),
+            epoch: membership.epoch,
             members: BTreeMap::new(),
         });
-        group.members.insert(own.rank, Arc::clone(&entry.instance));
+        group.members.insert(membership.rank, Arc::clone(&entry.instance));
     }
     groups.into_values().collect()
 }
--- a/crates/workshold-core/src/hosted/planner.rs
+++ b/crates/workshold-core/src/hosted/planner.rs
@@ -21,16 +21,16 @@
 ///
 /// The derived order ranks instances: those that come first are preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ready {
+pub struct HostReadiness {
     /// Whether the model's weights have to be fetched and no fetch has begun.
     pub needs_load: bool,
     /// Whether the weights are being fetched to the host.
-    pub waits: bool,
+    pub waits_for_weights: bool,
     /// Time until it is ready, counted from the order to join, or from now if weights are being
     /// fetched.
-    pub after: Millis,
+    pub delay: Millis,
     /// Whether the head of its last group has to leave that group first.
-    pub is_bound: bool,
+    pub waits_for_head: bool,
 }
 
 /// An instance that the plan can use.
@@ -39,12 +39,12 @@
     /// Identity of the instance.
     pub id: Identity,
     /// What it needs to serve each model, in the order of the models.
-    pub ready: Vec<Ready>,
+    pub readiness: Vec<HostReadiness>,
 }
 
 /// A group that serves requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct ServingGroup {
     /// Epoch of the group.
     pub epoch: u64,
     /// Index of the model that it serves.
@@ -61,7 +61,7 @@
     /// Instances that are in no group.
     pub free: Vec<Host>,
     /// Groups that serve and may be closed.
-    pub standing: Vec<Standing>,
+    pub serving_groups: Vec<ServingGroup>,
 }
 
 /// A model, as input of the plan.
@@ -95,26 +95,26 @@
     /// Members of the new groups, one group after the other, each with its head first.
     pub members: Vec<Identity>,
     /// Epochs of the groups that are closed first.
-    pub closes: Vec<u64>,
+    pub groups_to_close: Vec<u64>,
     /// Members that have to fetch weights first; nothing else is done before that.
-    pub loads: Vec<Identity>,
+    pub loading_members: Vec<Identity>,
     /// Whether some member's weights are being fetched and have to arrive first.
-    pub waits: bool,
+    pub waits_for_weights: bool,
     /// Net gain of the change, in instance-seconds.
-    pub brings: f64,
+    pub net_gain: f64,
 }
 
 /// How long the current request mix is expected to last.
-const LASTS: Millis = Millis::from_secs(30);
+const MIX_LIFETIME: Millis = Millis::from_secs(30);
 /// Cost of one load of weights, in instance-seconds: every order takes time, and every change
 /// can fail.
-const LOAD_COSTS: f64 = 0.2;
+const LOAD_COST_INSTANCE_S: f64 = 0.2;
 /// Cost of closing one group, in instance-seconds, for the same reasons.
-const CLOSE_COSTS: f64 = 1.0;
+const CLOSE_COST_INSTANCE_S: f64 = 1.0;
 /// Probability that discarded weights are needed before they can be fetched again.
-const MISSED: f64 = 0.5;
+const DISCARDED_WEIGHTS_NEEDED: f64 = 0.5;
 /// Most changes in one plan; the next plan has the others.
-const MOST_CHANGES: usize = 4_096;
+const MAX_CHANGES: usize = 4_096;
 
 /// Constraints on a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -122,9 +122,9 @@
     /// Whether serving groups may be closed.
     pub may_close: bool,
     /// Whether members may fetch weights as part of joining, which is fast before traffic.
-    pub joins_load: bool,
+    pub may_load_on_join: bool,
     /// Most loads of weights in the whole plan.
-    pub loads: usize,
+    pub max_loads: usize,
 }
 
 /// Returns the changes with the highest net gain, in the order in which they were chosen.
@@ -133,10 +133,11 @@
 /// the changes chosen elsewhere. So each domain's candidates are computed once, and again only
 /// for the domain whose change was chosen.
 pub fn plan(domains: Vec<Domain>, models: &[Model], limits: Limits) -> Vec<Change> {
-    let mut planner = Planner { ways: Vec::new(), domains, models: models.to_vec(), limits };
-    planner.ways = (0..planner.domains.len()).map(|domain| planner.ways(domain)).collect();
+    let mut planner = Planner { candidates: Vec::new(), domains, models: models.to_vec(), limits };
+    planner.candidates =
+        (0..planner.domains.len()).map(|domain| planner.candidates(domain)).collect();
     let mut changes = Vec::new();
-    while changes.len() < MOST_CHANGES {
+    while changes.len() < MAX_CHANGES {
         let Some(change) = planner.best() else { break };
         planner.apply(&change);
         changes.push(change);
@@ -146,17 +147,17 @@
 
 /// A candidate change of a domain, without its net gain.
 #[derive(Debug, Clone)]
-struct Way {
+struct Candidate {
     change: Change,
-    kind: WayKind,
+    kind: CandidateKind,
     /// Time until its groups serve.
-    after: Millis,
+    delay: Millis,
     /// Number of its members that lose their weights, by model.
     lost: Vec<usize>,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum WayKind {
+enum CandidateKind {
     /// Form one more group.
     Form,
     /// Close groups of one model in favour of another.
@@ -168,13 +169,13 @@
         /// Number of groups that are formed instead.
         formed: usize,
         /// Net loss of the donor's groups: leftover instances can form some of them again.
-        fewer: f64,
+        net_closed: f64,
     },
 }
 
 struct Planner {
     /// Candidate changes by domain.
-    ways: Vec<Vec<Way>>,
+    candidates: Vec<Vec<Candidate>>,
     domains: Vec<Domain>,
     models: Vec<Model>,
     limits: Limits,
@@ -182,79 +183,86 @@
 
 impl Planner {
     fn best(&self) -> Option<Change> {
-        let mut best: Option<(f64, f64, &Way)> = None;
-        for way in self.ways.iter().flatten() {
-            let brings = self.brings(way);
-            let each = brings / way.change.members.len() as f64;
-            if brings > 0.0 && best.is_none_or(|(most, ..)| each > most) {
-                best = Some((each, brings, way));
+        let mut best: Option<(f64, f64, &Candidate)> = None;
+        for candidate in self.candidates.iter().flatten() {
+            let net_gain = self.net_gain(candidate);
+            let gain_per_instance = net_gain / candidate.change.members.len() as f64;
+            if net_gain > 0.0 && best.is_none_or(|(most, ..)| gain_per_instance > most) {
+                best = Some((gain_per_instance, net_gain, candidate));
             }
         }
-        best.map(|(_, brings, way)| Change { brings, ..way.change.clone() })
+        best.map(|(_, net_gain, candidate)| Change { net_gain, ..candidate.change.clone() })
     }
 
     /// All candidate changes of one domain.
-    fn ways(&self, domain: usize) -> Vec<Way> {
-        let mut ways = Vec::new();
+    fn candidates(&self, domain: usize) -> Vec<Candidate> {
+        let mut candidates = Vec::new();
         for model in 0..self.models.len() {
-            ways.extend(self.form(domain, model));
+            candidates.extend(self.form(domain, model));
             if !self.limits.may_close {
                 continue;
             }
             let others = (0..self.models.len()).filter(|other| *other != model);
             for other in others {
                 let most = self.models[model].size.div_ceil(self.models[other].size);
-                ways.extend((1..=most).filter_map(|n| self.convert(domain, model, other, n)));
+                candidates.extend((1..=most).filter_map(|n| self.convert(domain, model, other, n)));
             }
         }
-        ways
+        candidates
     }
 
     /// Candidate: one more group of `model` from free instances.
-    fn form(&self, domain: usize, model: usize) -> Option<Way> {
+    fn form(&self, domain: usize, model: usize) -> Option<Candidate> {
         let size = self.models[model].size;
-        let members = self.soonest(self.domains[domain].free.iter(), model, size)?;
-        self.way(domain, model, &members, &[], WayKind::Form)
+        let members = self.soonest_ready(self.domains[domain].free.iter(), model, size)?;
+        self.candidate(domain, model, &members, &[], CandidateKind::Form)
     }
 
     /// Candidate: `closed` groups of `donor` are closed in favour of groups of `model`.
-    fn convert(&self, domain: usize, model: usize, donor: usize, closed: usize) -> Option<Way> {
-        let given = self.given(domain, model, donor, closed)?;
+    fn convert(
+        &self,
+        domain: usize,
+        model: usize,
+        donor: usize,
+        closed: usize,
+    ) -> Option<Candidate> {
+        let donors = self.groups_to_close_for(domain, model, donor, closed)?;
         let (own_size, donor_size) = (self.models[model].size, self.models[donor].size);
         let formed = (closed * donor_size / own_size).max(1);
-        let from_groups = given.iter().flat_map(|group| group.members.iter());
+        let from_groups = donors.iter().flat_map(|group| group.members.iter());
         let all: Vec<&Host> = self.domains[domain].free.iter().chain(from_groups).collect();
-        let members = self.soonest(all.iter().copied(), model, formed * own_size)?;
-        let is_left = |host: &&&Host| !members.iter().any(|member| member.id == host.id);
-        let can_return = |host: &&&Host| !host.ready[donor].needs_load;
-        let left = all.iter().filter(is_left).filter(can_return).count();
-        let returned = (left / donor_size).min(closed);
-        let fewer = closed as f64 - returned as f64;
-        let kind = WayKind::Convert { donor, closed, formed, fewer };
-        self.way(domain, model, &members, &given, kind)
+        let members = self.soonest_ready(all.iter().copied(), model, formed * own_size)?;
+        let is_leftover = |host: &&&Host| !members.iter().any(|member| member.id == host.id);
+        let can_reform = |host: &&&Host| !host.readiness[donor].needs_load;
+        let left = all.iter().filter(is_leftover).filter(can_reform).count();
+        let reformed = (left / donor_size).min(closed);
+        let net_closed = closed as f64 - reformed as f64;
+        let kind = CandidateKind::Convert { donor, closed, formed, net_closed };
+        self.candidate(domain, model, &members, &donors, kind)
     }
 
     /// The `count` groups whose members need the fewest loads to serve `model`.
-    fn given(
+    fn groups_to_close_for(
         &self,
         domain: usize,
         model: usize,
         other: usize,
         count: usize,
-    ) -> Option<Vec<&Standing>> {
-        let standing = self.domains[domain].standing.iter();
-        let mut given: Vec<&Standing> = standing.filter(|group| group.model == other).collect();
-        let loads = |group: &Standing| {
-            group.members.iter().filter(|host| host.ready[model].needs_load).count()
+    ) -> Option<Vec<&ServingGroup>> {
+        let serving_groups = self.domains[domain].serving_groups.iter();
+        let mut donors: Vec<&ServingGroup> =
+            serving_groups.filter(|group| group.model == other).collect();
+        let load_count = |group: &ServingGroup| {
+            group.members.iter().filter(|host| host.readiness[model].needs_load).count()
         };
-        given.sort_by_key(|group| (loads(group), group.epoch));
-        given.truncate(count);
-        (given.len() == count).then_some(given)
+        donors.sort_by_key(|group| (load_count(group), group.epoch));
+        donors.truncate(count);
+        (donors.len() == count).then_some(donors)
     }
 
     /// The `count` hosts that are ready for `model` soonest. Those that need not wait for an old
     /// head come first, so that one of them becomes the new head.
-    fn soonest<'a>(
+    fn soonest_ready<'a>(
         &self,
         hosts: impl Iterator<Item = &'a Host>,
         model: usize,
@@ -264,83 +272,90 @@
         if hosts.len() < count {
             return None;
         }
-        hosts.sort_by(|a, b| a.ready[model].cmp(&b.ready[model]).then_with(|| a.id.cmp(&b.id)));
+        hosts.sort_by(|a, b| {
+            a.readiness[model].cmp(&b.readiness[model]).then_with(|| a.id.cmp(&b.id))
+        });
         hosts.truncate(count);
-        hosts.sort_by_key(|host| host.ready[model].is_bound);
+        hosts.sort_by_key(|host| host.readiness[model].waits_for_head);
         Some(hosts)
     }
 
-    fn way(
+    fn candidate(
         &self,
         domain: usize,
         model: usize,
         members: &[&Host],
-        closes: &[&Standing],
-        kind: WayKind,
-    ) -> Option<Way> {
-        let needs_load = |host: &&&Host| host.ready[model].needs_load && !self.limits.joins_load;
-        let loads = members.iter().filter(needs_load).map(|host| host.id.clone()).collect();
+        groups_to_close: &[&ServingGroup],
+        kind: CandidateKind,
+    ) -> Option<Candidate> {
+        let needs_load =
+            |host: &&&Host| host.readiness[model].needs_load && !self.limits.may_load_on_join;
+        let loading_members =
+            members.iter().filter(needs_load).map(|host| host.id.clone()).collect();
         let change = Change {
             domain,
             model,
             members: members.iter().map(|host| host.id.clone()).collect(),
-            closes: closes.iter().map(|group| group.epoch).collect(),
-            loads,
-            waits: members.iter().any(|host| host.ready[model].waits),
-            brings: 0.0,
+            groups_to_close: groups_to_close.iter().map(|group| group.epoch).collect(),
+            loading_members,
+            waits_for_weights: members.iter().any(|host| host.readiness[model].waits_for_weights),
+            net_gain: 0.0,
         };
-        let after = members.iter().map(|host| host.ready[model].after).max()?;
-        let lost = (0..self.models.len()).map(|other| self.hosts_lost(members, model, other));
-        Some(Way { change, kind, after, lost: lost.collect() })
+        let delay = members.iter().map(|host| host.readiness[model].delay).max()?;
+        let lost =
+            (0..self.models.len()).map(|other| self.hosts_losing_weights(members, model, other));
+        Some(Candidate { change, kind, delay, lost: lost.collect() })
     }
 
     /// Number of members that hold the weights of `other` now and lose them by serving `model`.
-    fn hosts_lost(&self, members: &[&Host], model: usize, other: usize) -> usize {
-        if self.limits.joins_load || other == model {
+    fn hosts_losing_weights(&self, members: &[&Host], model: usize, other: usize) -> usize {
+        if self.limits.may_load_on_join || other == model {
             return 0;
         }
-        let has_it = |host: &&&Host| !host.ready[other].needs_load;
-        let takes_up = |host: &&&Host| host.ready[model] > host.ready[other];
-        members.iter().filter(has_it).filter(takes_up).count()
+        let has_weights = |host: &&&Host| !host.readiness[other].needs_load;
+        let loses_weights = |host: &&&Host| host.readiness[model] > host.readiness[other];
+        members.iter().filter(has_weights).filter(loses_weights).count()
     }
 
     /// Net gain of a candidate given the changes chosen so far, in instance-seconds.
-    fn brings(&self, way: &Way) -> f64 {
-        let loads = way.change.loads.len();
-        if loads > self.limits.loads {
+    fn net_gain(&self, candidate: &Candidate) -> f64 {
+        let loads = candidate.change.loading_members.len();
+        if loads > self.limits.max_loads {
             return 0.0;
         }
-        let own = &self.models[way.change.model];
-        let (gain, costs) = match way.kind {
-            WayKind::Form => (own.utility.gain(own.groups, 1.0), 0.0),
-            WayKind::Convert { donor, closed, formed, fewer } => {
+        let own = &self.models[candidate.change.model];
+        let (gain, costs) = match candidate.kind {
+            CandidateKind::Form => (own.utility.gain(own.groups, 1.0), 0.0),
+            CandidateKind::Convert { donor, closed, formed, net_closed } => {
                 let donor = &self.models[donor];
                 let gain = own.utility_low.gain(own.groups, formed as f64)
-                    + donor.utility_high.gain(donor.groups, -fewer);
+                    + donor.utility_high.gain(donor.groups, -net_closed);
                 let without = donor.utility_high.gain(donor.groups, -(closed as f64));
                 let closing = -without * donor.drain_time.as_secs_f64();
-                (gain, closing + CLOSE_COSTS * closed as f64)
+                (gain, closing + CLOSE_COST_INSTANCE_S * closed as f64)
             }
         };
-        let lasts = LASTS.since(way.after).as_secs_f64();
-        let costs = costs + self.weights_lost(way) + LOAD_COSTS * loads as f64;
-        gain * lasts - costs
+        let lifetime_s = MIX_LIFETIME.since(candidate.delay).as_secs_f64();
+        let costs = costs + self.weights_lost(candidate) + LOAD_COST_INSTANCE_S * loads as f64;
+        gain * lifetime_s - costs
     }
 
-    fn weights_lost(&self, way: &Way) -> f64 {
-        let lost = self.models.iter().zip(&way.lost).filter(|(_, hosts)| **hosts > 0);
+    fn weights_lost(&self, candidate: &Candidate) -> f64 {
+        let lost = self.models.iter().zip(&candidate.lost).filter(|(_, hosts)| **hosts > 0);
         let costs = lost.map(|(model, hosts)| {
-            let each = model.utility.gain(model.groups, 1.0) / model.size as f64;
-            *hosts as f64 * each * model.load.as_secs_f64() * MISSED
+            let gain_per_instance = model.utility.gain(model.groups, 1.0) / model.size as f64;
+            *hosts as f64 * gain_per_instance * model.load.as_secs_f64() * DISCARDED_WEIGHTS_NEEDED
         });
         costs.sum()
     }
 
     fn apply(&mut self, change: &Change) {
         let domain = &mut self.domains[change.domain];
-        let (closed, kept): (Vec<Standing>, Vec<Standing>) =
-            domain.standing.drain(..).partition(|group| change.closes.contains(&group.epoch));
-        domain.standing = kept;
+        let (closed, kept): (Vec<ServingGroup>, Vec<ServingGroup>) = domain
+            .serving_groups
+            .drain(..)
+            .partition(|group| change.groups_to_close.contains(&group.epoch));
+        domain.serving_groups = kept;
         for group in closed {
             self.models[group.model].groups -= 1.0;
             domain.free.extend(group.members);
@@ -348,7 +363,7 @@
         domain.free.retain(|host| !change.members.contains(&host.id));
         let model = &mut self.models[change.model];
         model.groups += (change.members.len() / model.size) as f64;
-        self.limits.loads -= change.loads.len();
-        self.ways[change.domain] = self.ways(change.domain);
+        self.limits.max_loads -= change.loading_members.len();
+        self.candidates[change.domain] = self.candidates(change.domain);
     }
 }
--- a/crates/workshold-core/src/hosted/steward.rs
+++ b/crates/workshold-core/src/hosted/steward.rs
@@ -13,19 +13,19 @@
 //!   the head has reported that it left. So a late order to open finds either no group to open
 //!   or a complete one.
 
+mod context;
 mod orders;
+mod planner_input;
 mod planning;
-mod situation;
 mod staging;
-mod view;
 
+pub use self::context::DomainContext;
+pub use self::context::StewardRules;
 pub use self::orders::Command;
 pub use self::orders::Order;
 pub use self::orders::OrderReply;
-pub use self::situation::DomainContext;
-pub use self::situation::StewardRules;
-pub use self::view::is_forming;
-pub use self::view::listed;
+pub use self::planner_input::is_forming;
+pub use self::planner_input::listed;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -39,31 +39,32 @@
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::ModelName;
 
+use self::context::LEAVING_DRAIN_TIME;
+use self::planner_input::FreeInstance;
 use self::planning::describe_changes;
-use self::situation::LEAVING_LINGERS;
-use self::view::Free;
 use super::groups;
 use super::groups::Group;
 use super::identity::Identity;
 use super::roster::Instance;
 use super::roster::MemberState;
 
+/// A group that is being formed: its members have been ordered to join.
 #[derive(Debug, Clone)]
-struct Forming {
+struct GroupFormation {
     group: GroupId,
     model: ModelName,
     members: Vec<Identity>,
     /// Members that have reported this epoch. One that no longer reports it has restarted, even
     /// if its incarnation did not change, and is not ordered to join again.
     joined: BTreeSet<Identity>,
-    give_up_at: Millis,
+    deadline: Millis,
 }
 
 /// Whether the members of a group can be assigned to other groups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum GroupUse {
     /// It serves, is being formed, or drains: its members are in use.
-    Held,
+    InUse,
     /// Its head serves no requests: its members can be reassigned once the head has left.
     Idle,
 }
@@ -72,37 +73,46 @@
 #[derive(Debug)]
 pub struct Steward {
     rules: StewardRules,
-    part: u64,
+    partition: u64,
+    /// Fencing token of the lease.
     fence: u64,
-    issued: Arc<AtomicU64>,
-    forming: BTreeMap<u64, Forming>,
-    sent: BTreeMap<(Identity, u64, &'static str), Millis>,
+    epochs_issued: Arc<AtomicU64>,
+    /// Groups being formed, by epoch.
+    forming: BTreeMap<u64, GroupFormation>,
+    /// When an order was last sent, by recipient, epoch and kind of order.
+    sent_at: BTreeMap<(Identity, u64, &'static str), Millis>,
+    /// Weights ordered for an instance's host, and when.
     staging: BTreeMap<Identity, (ModelName, Millis)>,
-    busy: BTreeMap<Identity, Millis>,
-    closed: BTreeSet<u64>,
-    released: BTreeSet<u64>,
-    headless: BTreeMap<u64, Millis>,
-    loads: VecDeque<Millis>,
-    intended: Vec<Intended>,
-    planned: BTreeMap<FabricDomain, Planned>,
-    seen: DomainSummary,
+    /// Until when an instance that refused to load is not asked again.
+    busy_until: BTreeMap<Identity, Millis>,
+    /// Epochs of groups whose head has confirmed that they are closed.
+    closed_epochs: BTreeSet<u64>,
+    /// Epochs of groups whose head has accepted the order to leave.
+    released_epochs: BTreeSet<u64>,
+    /// Since when a group's head has not reported membership, by epoch.
+    headless_since: BTreeMap<u64, Millis>,
+    /// When weights were ordered within the rate limit's window.
+    recent_loads: VecDeque<Millis>,
+    deferred: Vec<DeferredGroup>,
+    last_plans: BTreeMap<FabricDomain, PlannedState>,
+    summary: DomainSummary,
 }
 
 /// A free instance and, for each model: whether its weights are missing, whether they are being
 /// fetched, and whether the head of its last group has to leave first.
-type FreeHost = (Identity, Vec<(bool, bool, bool)>);
+type FreeHostState = (Identity, Vec<(bool, bool, bool)>);
 
 /// State of a domain at the last plan over all domains.
 #[derive(Debug, Clone)]
-struct Planned {
+struct PlannedState {
     at: Millis,
-    free: Vec<FreeHost>,
-    standing: Vec<u64>,
+    free: Vec<FreeHostState>,
+    serving_groups: Vec<u64>,
 }
 
 /// A group to form as soon as the groups that its members are in have drained.
 #[derive(Debug, Clone)]
-struct Intended {
+struct DeferredGroup {
     domain: FabricDomain,
     model: ModelName,
     members: Vec<Identity>,
@@ -127,31 +137,36 @@
 }
 
 /// Low bits of an epoch, below the fencing token: the lease partition, then a counter.
-const PART_BITS: u64 = 10;
-const COUNT_BITS: u64 = 14;
+const PARTITION_BITS: u64 = 10;
+const COUNTER_BITS: u64 = 14;
 
 impl Steward {
-    /// Creates the steward of lease partition `part`, with fencing token `fence`.
+    /// Creates the steward of lease partition `partition`, with fencing token `fence`.
     ///
-    /// `issued` counts the epochs issued by this process. It outlives the steward, because a
+    /// `epochs_issued` counts the epochs issued by this process. It outlives the steward, because a
     /// partition that is released and acquired again under the same token must not repeat epochs.
-    pub fn new(rules: StewardRules, part: u64, fence: u64, issued: Arc<AtomicU64>) -> Self {
+    pub fn new(
+        rules: StewardRules,
+        partition: u64,
+        fence: u64,
+        epochs_issued: Arc<AtomicU64>,
+    ) -> Self {
         Self {
             rules,
-            part,
+            partition,
             fence,
-            issued,
+            epochs_issued,
             forming: BTreeMap::new(),
-            sent: BTreeMap::new(),
+            sent_at: BTreeMap::new(),
             staging: BTreeMap::new(),
-            busy: BTreeMap::new(),
-            closed: BTreeSet::new(),
-            released: BTreeSet::new(),
-            headless: BTreeMap::new(),
-            loads: VecDeque::new(),
-            intended: Vec::new(),
-            planned: BTreeMap::new(),
-            seen: DomainSummary::default(),
+            busy_until: BTreeMap::new(),
+            closed_epochs: BTreeSet::new(),
+            released_epochs: BTreeSet::new(),
+            headless_since: BTreeMap::new(),
+            recent_loads: VecDeque::new(),
+            deferred: Vec::new(),
+            last_plans: BTreeMap::new(),
+            summary: DomainSummary::default(),
         }
     }
 
@@ -169,7 +184,7 @@
     /// others to drain, which have no epoch yet.
     pub fn forming(&self) -> impl Iterator<Item = (Option<u64>, &ModelName)> {
         let forming = self.forming.iter().map(|(epoch, forming)| (Some(*epoch), &forming.model));
-        forming.chain(self.intended.iter().map(|intended| (None, &intended.model)))
+        forming.chain(self.deferred.iter().map(|deferred| (None, &deferred.model)))
     }
 
     /// Handles the reply to an order.
@@ -183,18 +198,18 @@
             Order::Stage { .. } => self.staging.contains_key(&command.to),
             _ => false,
         };
-        let is_over = matches!(reply, OrderReply::Done);
+        let is_done = matches!(reply, OrderReply::Done);
         match &command.order {
-            Order::Close { epoch, .. } if is_over => {
-                self.closed.insert(*epoch);
+            Order::Close { epoch, .. } if is_done => {
+                self.closed_epochs.insert(*epoch);
             }
-            Order::Leave { epoch, .. } if is_over || reply == OrderReply::Begun => {
-                self.released.insert(*epoch);
+            Order::Leave { epoch, .. } if is_done || reply == OrderReply::Begun => {
+                self.released_epochs.insert(*epoch);
             }
             Order::Join { epoch, .. } if reply == OrderReply::Outranked => {
                 self.forming.remove(epoch);
             }
-            Order::Stage { .. } if reply == OrderReply::Unfit => self.on_busy(&command.to),
+            Order::Stage { .. } if reply == OrderReply::Unfit => self.on_load_refused(&command.to),
             Order::Stage { .. } if !matches!(reply, OrderReply::Begun | OrderReply::Unknown) => {
                 self.staging.remove(&command.to);
             }
@@ -204,153 +219,173 @@
     }
 
     /// Runs one planning round for a domain and returns the orders to send now.
-    pub fn plan(&mut self, s: &DomainContext<'_>) -> Vec<Command> {
+    pub fn plan(&mut self, cx: &DomainContext<'_>) -> Vec<Command> {
         let mut commands = Vec::new();
-        let groups = groups::collate(s.entries.iter().copied());
-        self.give_up_formations(s);
+        let groups = groups::collate(cx.entries.iter().copied());
+        self.abandon_failed_formations(cx);
         let mut idle = Vec::new();
         for group in &groups {
-            if self.judge(group, s, &mut commands) == Standing::Idle {
+            if self.review_group(group, cx, &mut commands) == GroupUse::Idle {
                 idle.push(group);
             }
         }
-        let pool = self.pool(s, &groups, &idle);
-        let changes = self.changes(s, &groups, &pool);
-        self.form_intended(s, &pool);
-        self.carry_out(s, &groups, &pool, &changes, &mut commands);
-        self.carry_on(s, &groups, &mut commands);
-        self.stage_ahead(s, &pool, &mut commands);
-        self.tidy(s);
-        self.seen = DomainSummary {
-            serviceable: s.entries.iter().filter(|entry| s.can_serve(entry)).count(),
+        let pool = self.pool(cx, &groups, &idle);
+        let changes = self.plan_changes(cx, &groups, &pool);
+        self.form_deferred_groups(cx, &pool);
+        self.execute_changes(cx, &groups, &pool, &changes, &mut commands);
+        self.advance_formations(cx, &groups, &mut commands);
+        self.stage_ahead(cx, &pool, &mut commands);
+        self.prune_state(cx);
+        self.summary = DomainSummary {
+            serviceable: cx.entries.iter().filter(|entry| cx.can_serve(entry)).count(),
             free: pool.len(),
-            staging: pool.iter().filter(|free| self.is_staging(free.instance(), s)).count(),
+            staging: pool.iter().filter(|free| self.is_staging(free.instance(), cx)).count(),
             forming: self.forming.len(),
-            free_instances: pool.iter().map(Free::describe).collect::<Vec<_>>().join(" "),
-            planned_changes: describe_changes(s, &changes),
+            free_instances: pool.iter().map(FreeInstance::describe).collect::<Vec<_>>().join(" "),
+            planned_changes: describe_changes(cx, &changes),
         };
         commands
     }
 
     /// Summary of the last planning round.
     pub fn summary(&self) -> &DomainSummary {
-        &self.seen
+        &self.summary
     }
 
+    /// Composes the next epoch from the fencing token, the lease partition and a counter.
     fn next_epoch(&self) -> u64 {
-        let issued = self.issued.fetch_add(1, Ordering::Relaxed) + 1;
-        let part = self.part & ((1 << PART_BITS) - 1);
-        let count = issued & ((1 << COUNT_BITS) - 1);
-        (self.fence << (PART_BITS + COUNT_BITS)) | (part << COUNT_BITS) | count
+        let epochs_issued = self.epochs_issued.fetch_add(1, Ordering::Relaxed) + 1;
+        let partition = self.partition & ((1 << PARTITION_BITS) - 1);
+        let count = epochs_issued & ((1 << COUNTER_BITS) - 1);
+        (self.fence << (PARTITION_BITS + COUNTER_BITS)) | (partition << COUNTER_BITS) | count
     }
 
-    fn give_up_formations(&mut self, s: &DomainContext<'_>) {
-        let here = |id: &Identity| s.entry(id).is_some();
+    /// Gives up formations that missed their deadline or lost a member.
+    fn abandon_failed_formations(&mut self, cx: &DomainContext<'_>) {
+        let is_in_domain = |id: &Identity| cx.entry(id).is_some();
         self.forming.retain(|epoch, forming| {
-            if !forming.members.iter().any(here) {
+            if !forming.members.iter().any(is_in_domain) {
                 // All members belong to another domain, or none is known any more.
-                return s.now < forming.give_up_at;
+                return cx.now < forming.deadline;
             }
             let is_fit = |id: &Identity| {
-                let Some(entry) = s.entry(id).filter(|entry| s.can_serve(entry)) else {
+                let Some(entry) = cx.entry(id).filter(|entry| cx.can_serve(entry)) else {
                     return false;
                 };
-                let own = entry.instance.membership.as_ref();
-                let is_in = own.is_some_and(|own| own.epoch == *epoch);
-                let has_left = !is_in && forming.joined.contains(id);
-                if is_in {
+                let membership = entry.instance.membership.as_ref();
+                let has_joined = membership.is_some_and(|membership| membership.epoch == *epoch);
+                let has_left = !has_joined && forming.joined.contains(id);
+                if has_joined {
                     forming.joined.insert(id.clone());
                 }
                 !has_left
             };
-            s.now < forming.give_up_at && forming.members.iter().all(is_fit)
+            cx.now < forming.deadline && forming.members.iter().all(is_fit)
         });
     }
 
-    fn judge(
+    /// Decides whether a group's members can be reassigned, and closes the group if it lost a
+    /// member or one is leaving.
+    fn review_group(
         &mut self,
         group: &Group,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         commands: &mut Vec<Command>,
-    ) -> Standing {
-        let Some(head) = group.head() else { return self.judge_headless(group, s) };
+    ) -> GroupUse {
+        let Some(head) = group.head() else { return self.review_headless_group(group, cx) };
         if self.forming.contains_key(&group.epoch) {
-            return self.judge_forming(group, head, s);
+            return self.review_forming_group(group, head, cx);
         }
-        if s.is_gone(&head.identity) {
-            return Standing::Idle;
+        if cx.is_gone(&head.identity) {
+            return GroupUse::Idle;
         }
-        if self.closed.contains(&group.epoch) {
-            return Standing::Idle;
+        if self.closed_epochs.contains(&group.epoch) {
+            return GroupUse::Idle;
         }
         match group.state() {
-            Some(MemberState::Open) => self.judge_open(group, head, s, commands),
+            Some(MemberState::Open) => self.review_open_group(group, head, cx, commands),
             Some(MemberState::Closing) => {
-                if s.has_lost_member(group) {
-                    self.close(group, head, true, "a closing group lost a member", s, commands);
+                if cx.has_lost_member(group) {
+                    self.close(
+                        group,
+                        head,
+                        true,
+                        "the group lost a member while draining",
+                        cx,
+                        commands,
+                    );
                 }
-                Standing::Held
+                GroupUse::InUse
             }
-            _ => Standing::Idle,
+            _ => GroupUse::Idle,
         }
     }
 
-    /// Judges a group whose head does not report membership in it: the head has left, or is gone,
+    /// Reviews a group whose head does not report membership in it: the head has left, or is gone,
     /// or is missing from the instance list although it may still serve.
-    fn judge_headless(&mut self, group: &Group, s: &DomainContext<'_>) -> Standing {
-        let since = *self.headless.entry(group.epoch).or_insert(s.now);
-        let is_over = match (s.head_of)(group) {
+    fn review_headless_group(&mut self, group: &Group, cx: &DomainContext<'_>) -> GroupUse {
+        let since = *self.headless_since.entry(group.epoch).or_insert(cx.now);
+        let is_done = match (cx.head_of)(group) {
             Some(head) => {
-                let entry = s.entry(&head);
+                let entry = cx.entry(&head);
                 let is_listed = entry.is_some_and(|entry| entry.unlisted_since.is_none());
-                is_listed || entry.is_none() || s.is_gone(&head)
+                is_listed || entry.is_none() || cx.is_gone(&head)
             }
             // This node started after the head was last listed; the head may still be draining.
-            None => s.now.since(since) >= LEAVING_LINGERS,
+            None => cx.now.since(since) >= LEAVING_DRAIN_TIME,
         };
-        if is_over { Standing::Idle } else { Standing::Held }
+        if is_done { GroupUse::Idle } else { GroupUse::InUse }
     }
 
-    fn judge_forming(&mut self, group: &Group, head: &Instance, s: &DomainContext<'_>) -> Standing {
+    /// Reviews a group that this steward is forming; once it is open, the formation is complete.
+    fn review_forming_group(
+        &mut self,
+        group: &Group,
+        head: &Instance,
+        cx: &DomainContext<'_>,
+    ) -> GroupUse {
         if group.state() == Some(MemberState::Open) {
             self.forming.remove(&group.epoch);
         }
-        if s.is_gone(&head.identity) { Standing::Idle } else { Standing::Held }
+        if cx.is_gone(&head.identity) { GroupUse::Idle } else { GroupUse::InUse }
     }
 
-    fn judge_open(
+    /// Reviews a group that serves.
+    fn review_open_group(
         &mut self,
         group: &Group,
         head: &Instance,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         commands: &mut Vec<Command>,
-    ) -> Standing {
-        if s.has_lost_member(group) {
-            self.close(group, head, true, "a member is lost", s, commands);
-        } else if s.has_leaving_member(group) {
-            self.close(group, head, false, "a member is leaving", s, commands);
+    ) -> GroupUse {
+        if cx.has_lost_member(group) {
+            self.close(group, head, true, "the group lost a member", cx, commands);
+        } else if cx.has_leaving_member(group) {
+            self.close(group, head, false, "a member is leaving", cx, commands);
         }
-        Standing::Held
+        GroupUse::InUse
     }
 
+    /// Orders a group's head to close the group; with `is_cut`, running requests are aborted.
     fn close(
         &mut self,
         group: &Group,
         head: &Instance,
         is_cut: bool,
         why: &'static str,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         commands: &mut Vec<Command>,
     ) {
-        if s.is_lost(&head.identity) {
+        if cx.is_lost(&head.identity) {
             // The head cannot be reached; its members wait until it is known to be gone.
             return;
         }
         let kind = if is_cut { "cut" } else { "close" };
         let order = Order::Close { group: group.id.clone(), epoch: group.epoch, is_cut };
-        self.send(head, group.epoch, kind, order, why, s.now, commands);
+        self.send(head, group.epoch, kind, order, why, cx.now, commands);
     }
 
+    /// Adds an order to `commands`, unless the same one was sent a short time ago.
     #[expect(clippy::too_many_arguments, reason = "the parts of one order")]
     fn send(
         &mut self,
@@ -362,58 +397,78 @@
         now: Millis,
         commands: &mut Vec<Command>,
     ) {
-        let again = if kind == "stage" { self.rules.load_again } else { self.rules.order_again };
+        let retry_delay = if kind == "stage" {
+            self.rules.stage_retry_delay
+        } else {
+            self.rules.order_retry_delay
+        };
         let key = (to.identity.clone(), epoch, kind);
-        if self.sent.get(&key).is_some_and(|at| now.since(*at) < again) {
+        if self.sent_at.get(&key).is_some_and(|at| now.since(*at) < retry_delay) {
             return;
         }
-        self.sent.insert(key, now);
+        self.sent_at.insert(key, now);
         let address = to.address.clone();
         commands.push(Command { to: to.identity.clone(), address, order, fence: self.fence, why });
     }
 
     /// Advances every group that is being formed: sends the joins that are due, then the order to
     /// open.
-    fn carry_on(&mut self, s: &DomainContext<'_>, groups: &[Group], commands: &mut Vec<Command>) {
+    fn advance_formations(
+        &mut self,
+        cx: &DomainContext<'_>,
+        groups: &[Group],
+        commands: &mut Vec<Command>,
+    ) {
         let epochs: Vec<u64> = self.forming.keys().copied().collect();
         for epoch in epochs {
             let forming = self.forming[&epoch].clone();
             let members: Option<Vec<&Instance>> = forming
                 .members
                 .iter()
-                .map(|id| s.entry(id).map(|entry| entry.instance.as_ref()))
+                .map(|id| cx.entry(id).map(|entry| entry.instance.as_ref()))
                 .collect();
             let Some(members) = members else { continue };
             let has_joined = |member: &&Instance| {
-                member.membership.as_ref().is_some_and(|own| own.epoch == epoch)
+                member.membership.as_ref().is_some_and(|membership| membership.epoch == epoch)
             };
             for member in members.iter().filter(|member| !has_joined(member)) {
-                self.join(member, epoch, &forming, s, groups, commands);
+                self.join(member, epoch, &forming, cx, groups, commands);
             }
             let is_ready = |member: &&Instance| {
-                let own = member.membership.as_ref();
-                own.is_some_and(|own| own.epoch == epoch && own.state == MemberState::Ready)
+                let membership = member.membership.as_ref();
+                membership.is_some_and(|membership| {
+                    membership.epoch == epoch && membership.state == MemberState::Ready
+                })
             };
             if members.iter().all(is_ready) {
                 let order = Order::Open { group: forming.group.clone(), epoch };
-                self.send(members[0], epoch, "open", order, "all are ready", s.now, commands);
+                self.send(
+                    members[0],
+                    epoch,
+                    "open",
+                    order,
+                    "all members are ready",
+                    cx.now,
+                    commands,
+                );
             }
         }
     }
 
+    /// Orders an instance to join, or first the head of its old group to leave.
     fn join(
         &mut self,
         member: &Instance,
         epoch: u64,
-        forming: &Forming,
-        s: &DomainContext<'_>,
+        forming: &GroupFormation,
+        cx: &DomainContext<'_>,
         groups: &[Group],
         commands: &mut Vec<Command>,
     ) {
-        if let Some((group, head)) = self.bound_by(member, s, groups) {
+        if let Some((group, head)) = self.group_to_leave_first(member, cx, groups) {
             let order = Order::Leave { group: group.id.clone(), epoch: group.epoch };
-            let why = "a member is needed elsewhere";
-            self.send(head, group.epoch, "leave", order, why, s.now, commands);
+            let why = "a member is to join another group";
+            self.send(head, group.epoch, "leave", order, why, cx.now, commands);
             return;
         }
         let order = Order::Join {
@@ -422,44 +477,46 @@
             model: forming.model.clone(),
             members: forming.members.clone(),
         };
-        self.send(member, epoch, "join", order, "a group is formed", s.now, commands);
+        self.send(member, epoch, "join", order, "a new group is being formed", cx.now, commands);
     }
 
     /// Returns the group whose head has to leave before `member`, which may be the head itself,
     /// can join another one: an order to open that group may still be on its way.
-    fn bound_by<'a>(
+    fn group_to_leave_first<'a>(
         &self,
         member: &Instance,
-        s: &DomainContext<'a>,
+        cx: &DomainContext<'a>,
         groups: &'a [Group],
     ) -> Option<(&'a Group, &'a Instance)> {
-        let own = member.membership.as_ref()?;
-        let group =
-            groups.iter().find(|group| group.epoch == own.epoch && group.id == own.group)?;
+        let membership = member.membership.as_ref()?;
+        let group = groups
+            .iter()
+            .find(|group| group.epoch == membership.epoch && group.id == membership.group)?;
         let head = group.head()?;
-        let is_free = s.is_gone(&head.identity) || self.released.contains(&group.epoch);
+        let is_free = cx.is_gone(&head.identity) || self.released_epochs.contains(&group.epoch);
         (!is_free).then_some((group, head.as_ref()))
     }
 
-    fn tidy(&mut self, s: &DomainContext<'_>) {
-        let window = self.rules.load_window;
-        while self.loads.front().is_some_and(|at| s.now.since(*at) > window) {
-            self.loads.pop_front();
+    /// Forgets state that is no longer needed.
+    fn prune_state(&mut self, cx: &DomainContext<'_>) {
+        let window = self.rules.load_rate_window;
+        while self.recent_loads.front().is_some_and(|at| cx.now.since(*at) > window) {
+            self.recent_loads.pop_front();
         }
-        self.busy.retain(|_, until| s.now < *until);
-        self.intended.retain(|intended| s.now < intended.until);
-        self.sent.retain(|_, at| s.now.since(*at) < Millis::from_secs(10));
-        while self.closed.len() > MOST_REMEMBERED {
-            self.closed.pop_first();
+        self.busy_until.retain(|_, until| cx.now < *until);
+        self.deferred.retain(|deferred| cx.now < deferred.until);
+        self.sent_at.retain(|_, at| cx.now.since(*at) < Millis::from_secs(10));
+        while self.closed_epochs.len() > MAX_REMEMBERED_GROUPS {
+            self.closed_epochs.pop_first();
         }
-        while self.released.len() > MOST_REMEMBERED {
-            self.released.pop_first();
+        while self.released_epochs.len() > MAX_REMEMBERED_GROUPS {
+            self.released_epochs.pop_first();
         }
-        while self.headless.len() > MOST_REMEMBERED {
-            self.headless.pop_first();
+        while self.headless_since.len() > MAX_REMEMBERED_GROUPS {
+            self.headless_since.pop_first();
         }
     }
 }
 
 /// Most closed, released and headless groups to remember, each.
-const MOST_REMEMBERED: usize = 512;
+const MAX_REMEMBERED_GROUPS: usize = 512;
--- a/crates/workshold-core/src/hosted/steward/situation.rs
+++ b/crates/workshold-core/src/hosted/steward/context.rs
@@ -14,30 +14,30 @@
 /// Timings of a steward.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StewardRules {
-    /// Delay before an order that had no effect is sent again.
-    pub order_again: Millis,
+    /// Delay before an order that shows no effect is sent again.
+    pub order_retry_delay: Millis,
     /// The same for an order to fetch weights.
-    pub load_again: Millis,
+    pub stage_retry_delay: Millis,
     /// Interval between plans over all domains while the steward's own domain does not change.
-    pub plan_again: Millis,
+    pub replan_interval: Millis,
     /// How long no instance may have been added to the list before the first groups are formed,
     /// before traffic.
-    pub list_settles: Millis,
+    pub list_quiet_time: Millis,
     /// How long after the model's load time a group that is still not complete is given up.
-    pub patience: Millis,
+    pub formation_grace: Millis,
     /// Sliding window in which weight loads are counted for the rate limit.
-    pub load_window: Millis,
+    pub load_rate_window: Millis,
 }
 
 impl Default for StewardRules {
     fn default() -> Self {
         Self {
-            order_again: Millis(180),
-            load_again: Millis(600),
-            plan_again: Millis(500),
-            list_settles: Millis(700),
-            patience: Millis(4_000),
-            load_window: Millis(5_000),
+            order_retry_delay: Millis(180),
+            stage_retry_delay: Millis(600),
+            replan_interval: Millis(500),
+            list_quiet_time: Millis(700),
+            formation_grace: Millis(4_000),
+            load_rate_window: Millis(5_000),
         }
     }
 }
@@ -83,12 +83,13 @@
 
 /// Time until all other nodes have been asked whether they reach an instance and have replied.
 /// An instance that any of them reaches is not gone.
-const ALL_ARE_ASKED: Millis = Millis(300);
+const PEER_PROBE_TIME: Millis = Millis(300);
 /// How long a leaving instance may go on with its requests after it has stopped accepting
 /// connections: longer than any request may take.
-pub(super) const LEAVING_LINGERS: Millis = Millis(10_500);
+pub(super) const LEAVING_DRAIN_TIME: Millis = Millis(10_500);
 
 impl<'a> DomainContext<'a> {
+    /// The list's entry for an instance of this domain.
     pub(super) fn entry(&self, id: &Identity) -> Option<&'a Entry> {
         self.entries.iter().copied().find(|entry| &entry.instance.identity == id)
     }
@@ -100,8 +101,8 @@
 
     /// Like [`Self::is_lost`], but only after all other nodes have had time to report that they
     /// reach it.
-    fn is_lost_to_all(&self, id: &Identity) -> bool {
-        self.is_lost(id) && self.doubted_for(id) >= ALL_ARE_ASKED
+    fn is_lost_to_all_peers(&self, id: &Identity) -> bool {
+        self.is_lost(id) && self.suspected_for(id) >= PEER_PROBE_TIME
     }
 
     /// Whether an instance is certainly gone: a newer incarnation has started under its id, or it
@@ -110,11 +111,11 @@
     /// and its members are not free: its entry expires only once it has missed its check-ins.
     pub(super) fn is_gone(&self, id: &Identity) -> bool {
         let loss = (self.loss)(id);
-        if loss > Loss::None && self.doubted_for(id) < ALL_ARE_ASKED {
+        if loss > Loss::None && self.suspected_for(id) < PEER_PROBE_TIME {
             return false;
         }
-        let is_gone = if self.was_leaving(id) {
-            loss >= Loss::Confirmed && !self.may_finish(id)
+        let is_gone = if self.may_have_been_leaving(id) {
+            loss >= Loss::Confirmed && !self.may_be_draining(id)
         } else {
             let entry = self.entry(id);
             let is_unlisted = entry.is_none_or(|entry| entry.unlisted_since.is_some());
@@ -125,14 +126,14 @@
     }
 
     /// Whether an instance that accepts no connections may still be draining: it was leaving
-    /// before, and [`LEAVING_LINGERS`] has not passed yet.
-    fn may_finish(&self, id: &Identity) -> bool {
-        self.was_leaving(id) && self.doubted_for(id) < LEAVING_LINGERS
+    /// before, and [`LEAVING_DRAIN_TIME`] has not passed yet.
+    fn may_be_draining(&self, id: &Identity) -> bool {
+        self.may_have_been_leaving(id) && self.suspected_for(id) < LEAVING_DRAIN_TIME
     }
 
     /// Whether an instance was leaving when it was last reached: it reported so, or its list entry
     /// had been removed, or the list may be missing such a change.
-    fn was_leaving(&self, id: &Identity) -> bool {
+    fn may_have_been_leaving(&self, id: &Identity) -> bool {
         let entry = self.entry(id);
         let since = self.suspected_since(id);
         let unlisted = entry.and_then(|entry| entry.unlisted_since);
@@ -143,11 +144,13 @@
             || is_unsure
     }
 
+    /// Since when some node has not reached an instance; now if all do.
     fn suspected_since(&self, id: &Identity) -> Millis {
         (self.suspected_since)(id).unwrap_or(self.now)
     }
 
-    fn doubted_for(&self, id: &Identity) -> Millis {
+    /// How long some node has not reached an instance.
+    fn suspected_for(&self, id: &Identity) -> Millis {
         self.now.since(self.suspected_since(id))
     }
 
@@ -167,7 +170,7 @@
         if (self.has_restarted_member)(group) {
             return true;
         }
-        let is_lost = |id| self.is_lost_to_all(id) && !self.may_finish(id);
+        let is_lost = |id| self.is_lost_to_all_peers(id) && !self.may_be_draining(id);
         group.members.values().any(|member| is_lost(&member.identity))
     }
 
@@ -182,7 +185,7 @@
             let entry = member.and_then(|member| self.entry(&member.identity));
             entry.is_none_or(|entry| {
                 let is_present = rank > 0 || entry.is_present(self.trust, self.now);
-                let is_unreachable = self.is_lost_to_all(&entry.instance.identity);
+                let is_unreachable = self.is_lost_to_all_peers(&entry.instance.identity);
                 let is_unreadable = entry.is_unreadable_for_long(self.now);
                 entry.is_leaving() || !is_present || is_unreachable || is_unreadable
             })
--- a/crates/workshold-core/src/hosted/steward/view.rs
+++ b/crates/workshold-core/src/hosted/steward/planner_input.rs
@@ -11,8 +11,8 @@
 use crate::hosted::identity::Identity;
 use crate::hosted::planner;
 use crate::hosted::planner::Host;
-use crate::hosted::planner::Ready;
-use crate::hosted::planner::Standing;
+use crate::hosted::planner::HostReadiness;
+use crate::hosted::planner::ServingGroup;
 use crate::hosted::roster::Entry;
 use crate::hosted::roster::Instance;
 use crate::hosted::roster::MemberState;
@@ -23,25 +23,25 @@
 use super::Steward;
 
 /// Time to join a group of a model whose weights are still in the instance's memory.
-const REJOINS: Millis = Millis(200);
+const REJOIN_TIME: Millis = Millis(200);
 /// Factor by which fetching weights is faster before the first request.
-const QUICK_LOADS: u64 = 10;
+const PRE_TRAFFIC_LOAD_SPEEDUP: u64 = 10;
 
 /// An instance that can be put into a new group, and whether its old group's head has to leave
 /// first.
 #[derive(Debug, Clone)]
-pub(super) struct Free {
+pub(super) struct FreeInstance {
     pub(super) instance: Arc<Instance>,
-    is_bound: bool,
+    waits_for_head: bool,
 }
 
-impl Free {
+impl FreeInstance {
     /// Describes the instance and the models whose weights it holds, for logs.
     pub(super) fn describe(&self) -> String {
         let names = |models: &[ModelName]| {
             models.iter().map(ModelName::as_str).collect::<Vec<_>>().join("+")
         };
-        let bound = if self.is_bound { ",bound" } else { "" };
+        let bound = if self.waits_for_head { ",bound" } else { "" };
         let (loaded, staged) = (names(&self.instance.loaded), names(&self.instance.staged));
         format!("{}(loaded:{loaded},staged:{staged}{bound})", self.instance.identity)
     }
@@ -56,76 +56,79 @@
     /// Instances that can be put into a new group now.
     pub(super) fn pool(
         &self,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         groups: &[Group],
         idle: &[&Group],
-    ) -> Vec<Free> {
+    ) -> Vec<FreeInstance> {
         let is_forming = |id: &Identity| self.forming.values().any(|f| f.members.contains(id));
-        s.entries
+        cx.entries
             .iter()
-            .filter(|entry| s.can_serve(entry) && !is_forming(&entry.instance.identity))
+            .filter(|entry| cx.can_serve(entry) && !is_forming(&entry.instance.identity))
             .filter(|entry| match &entry.instance.membership {
                 None => true,
-                Some(own) => idle.iter().any(|group| group.epoch == own.epoch),
+                Some(membership) => idle.iter().any(|group| group.epoch == membership.epoch),
             })
             .map(|entry| {
                 let instance = Arc::clone(&entry.instance);
-                let is_bound = self.bound_by(&instance, s, groups).is_some();
-                Free { instance, is_bound }
+                let waits_for_head = self.group_to_leave_first(&instance, cx, groups).is_some();
+                FreeInstance { instance, waits_for_head }
             })
             .collect()
     }
 
     /// Whether an instance is assigned to a group that is being formed or is going to be.
-    pub(super) fn is_taken(&self, id: &Identity) -> bool {
+    pub(super) fn is_assigned(&self, id: &Identity) -> bool {
         let is_forming = self.forming.values().any(|forming| forming.members.contains(id));
-        is_forming || self.intended.iter().any(|intended| intended.members.contains(id))
+        is_forming || self.deferred.iter().any(|deferred| deferred.members.contains(id))
     }
 
     /// The planner's input for the steward's own domain.
-    pub(super) fn view(
+    pub(super) fn planner_domain(
         &self,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         groups: &[Group],
-        pool: &[Free],
+        pool: &[FreeInstance],
     ) -> planner::Domain {
-        let free = pool.iter().filter(|free| !self.is_taken(&free.instance.identity));
-        let free = free.map(|free| self.host(&free.instance, free.is_bound, s)).collect();
-        let standing = groups.iter().filter(|group| is_standing(group, s.engine));
-        let is_meant = |group: &Group| group.members.values().any(|i| self.is_taken(&i.identity));
-        let standing =
-            standing.filter(|group| !self.closed.contains(&group.epoch) && !is_meant(group));
+        let free = pool.iter().filter(|free| !self.is_assigned(&free.instance.identity));
+        let free = free.map(|free| self.host(&free.instance, free.waits_for_head, cx)).collect();
+        let serving_groups = groups.iter().filter(|group| is_serving(group, cx.engine));
+        let has_assigned_member =
+            |group: &Group| group.members.values().any(|i| self.is_assigned(&i.identity));
+        let serving_groups = serving_groups.filter(|group| {
+            !self.closed_epochs.contains(&group.epoch) && !has_assigned_member(group)
+        });
         let is_fit = |group: &&Group| {
             let members = group.members.values();
-            let mut entries = members.map(|member| s.entry(&member.identity));
-            entries.all(|entry| entry.is_some_and(|entry| s.can_serve(entry)))
+            let mut entries = members.map(|member| cx.entry(&member.identity));
+            entries.all(|entry| entry.is_some_and(|entry| cx.can_serve(entry)))
         };
-        let standing = standing.filter(is_fit).filter_map(|group| {
-            let members = group.members.values().map(|member| self.host(member, true, s));
-            Some(Standing {
+        let serving_groups = serving_groups.filter(is_fit).filter_map(|group| {
+            let members = group.members.values().map(|member| self.host(member, true, cx));
+            Some(ServingGroup {
                 epoch: group.epoch,
-                model: model_index(group, s.engine)?,
+                model: model_index(group, cx.engine)?,
                 members: members.collect(),
             })
         });
-        let standing = standing.collect();
-        planner::Domain { name: s.domain.clone(), free, standing }
+        let serving_groups = serving_groups.collect();
+        planner::Domain { name: cx.domain.clone(), free, serving_groups }
     }
 
-    fn host(&self, instance: &Instance, is_bound: bool, s: &DomainContext<'_>) -> Host {
-        let mut host = host(instance, is_bound, s.engine, s.before_traffic);
-        let Some((coming, since)) = self.staging_since(instance, s) else { return host };
-        let load = s.engine.model(coming.as_str()).map_or(Millis::ZERO, |spec| spec.load);
-        let left = load.since(s.now.since(since));
-        for (spec, ready) in s.engine.models.iter().zip(&mut host.ready) {
-            let is_coming = spec.name == coming;
+    /// The planner's input for an instance, including weights that are being fetched to its host.
+    fn host(&self, instance: &Instance, waits_for_head: bool, cx: &DomainContext<'_>) -> Host {
+        let mut host = host(instance, waits_for_head, cx.engine, cx.before_traffic);
+        let Some((staged_model, since)) = self.staging_since(instance, cx) else { return host };
+        let load = cx.engine.model(staged_model.as_str()).map_or(Millis::ZERO, |spec| spec.load);
+        let load_left = load.since(cx.now.since(since));
+        for (spec, readiness) in cx.engine.models.iter().zip(&mut host.readiness) {
+            let is_being_staged = spec.name == staged_model;
             // Weights in memory need nothing from the host; other weights wait for this load.
-            if !instance.loaded.contains(&spec.name) && (is_coming || !ready.needs_load) {
-                *ready = Ready {
+            if !instance.loaded.contains(&spec.name) && (is_being_staged || !readiness.needs_load) {
+                *readiness = HostReadiness {
                     needs_load: false,
-                    waits: true,
-                    after: left + spec.warm_load,
-                    ..*ready
+                    waits_for_weights: true,
+                    delay: load_left + spec.warm_load,
+                    ..*readiness
                 };
             }
         }
@@ -146,7 +149,8 @@
     is_fit: impl Fn(&Entry) -> bool,
 ) -> planner::Domain {
     let fit: Vec<&Entry> = entries.iter().copied().filter(|entry| is_fit(entry)).collect();
-    let mut domain = planner::Domain { name: name.clone(), free: Vec::new(), standing: Vec::new() };
+    let mut domain =
+        planner::Domain { name: name.clone(), free: Vec::new(), serving_groups: Vec::new() };
     let hosts = |group: &Group| -> Vec<Host> {
         let members = group.members.values();
         members.map(|member| host(member, true, engine, before_traffic)).collect()
@@ -161,7 +165,7 @@
         match group.state() {
             Some(MemberState::Open) if is_whole => {
                 let members = hosts(&group);
-                domain.standing.push(Standing { epoch: group.epoch, model, members });
+                domain.serving_groups.push(ServingGroup { epoch: group.epoch, model, members });
             }
             _ if is_forming(&group) => {}
             _ => domain.free.extend(hosts(&group)),
@@ -174,32 +178,41 @@
 
 /// Whether a group is being formed; some of its members may not have reported it yet.
 pub fn is_forming(group: &Group) -> bool {
-    let state = |member: &Arc<Instance>| member.membership.as_ref().map(|own| own.state);
+    let state =
+        |member: &Arc<Instance>| member.membership.as_ref().map(|membership| membership.state);
     let is_joined = matches!(group.state(), Some(MemberState::Joining | MemberState::Ready));
     is_joined || group.members.values().any(|member| state(member) == Some(MemberState::Joining))
 }
 
-fn is_standing(group: &Group, engine: &Engine) -> bool {
+/// Whether a group is complete and open.
+fn is_serving(group: &Group, engine: &Engine) -> bool {
     let spec = engine.model(group.model());
     let is_whole = spec.is_some_and(|spec| group.members.len() == spec.size);
     is_whole && group.state() == Some(MemberState::Open)
 }
 
+/// Index of a group's model in the configuration; `None` if it is not configured.
 fn model_index(group: &Group, engine: &Engine) -> Option<usize> {
     engine.models.iter().position(|spec| spec.name.as_str() == group.model())
 }
 
-fn host(instance: &Instance, is_bound: bool, engine: &Engine, before_traffic: bool) -> Host {
-    let ready = |spec: &ModelSpec| {
-        let load = Millis(spec.load.0 / if before_traffic { QUICK_LOADS } else { 1 });
-        let (needs_load, after) = if instance.loaded.contains(&spec.name) {
-            (false, REJOINS)
+/// The planner's input for an instance, from its entry alone.
+fn host(instance: &Instance, waits_for_head: bool, engine: &Engine, before_traffic: bool) -> Host {
+    let readiness = |spec: &ModelSpec| {
+        let load = Millis(spec.load.0 / if before_traffic { PRE_TRAFFIC_LOAD_SPEEDUP } else { 1 });
+        let (needs_load, delay) = if instance.loaded.contains(&spec.name) {
+            (false, REJOIN_TIME)
         } else if instance.staged.contains(&spec.name) {
             (false, spec.warm_load)
         } else {
             (true, load + spec.warm_load)
         };
-        Ready { needs_load, waits: false, after: after + engine.group_open_time, is_bound }
+        HostReadiness {
+            needs_load,
+            waits_for_weights: false,
+            delay: delay + engine.group_open_time,
+            waits_for_head,
+        }
     };
-    Host { id: instance.identity.clone(), ready: engine.models.iter().map(ready).collect() }
+    Host { id: instance.identity.clone(), readiness: engine.models.iter().map(readiness).collect() }
 }
--- a/crates/workshold-core/src/hosted/steward/planning.rs
+++ b/crates/workshold-core/src/hosted/steward/planning.rs
@@ -11,107 +11,119 @@
 use crate::hosted::planner::Change;
 use crate::hosted::planner::Domain;
 use crate::hosted::planner::Host;
+use crate::hosted::planner::HostReadiness;
 use crate::hosted::planner::Limits;
-use crate::hosted::planner::Ready;
 use crate::hosted::roster::Entry;
 use crate::hosted::roster::MemberState;
 use crate::hosted::serving_config::ModelSpec;
 
 use super::Command;
+use super::DeferredGroup;
 use super::DomainContext;
-use super::Forming;
-use super::Intended;
-use super::Planned;
+use super::GroupFormation;
+use super::PlannedState;
 use super::Steward;
-use super::situation::LEAVING_LINGERS;
-use super::view;
-use super::view::Free;
+use super::context::LEAVING_DRAIN_TIME;
+use super::planner_input;
+use super::planner_input::FreeInstance;
 
 impl Steward {
     /// Plans over all domains and returns the changes of this one.
-    pub(super) fn changes(
+    pub(super) fn plan_changes(
         &mut self,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         groups: &[Group],
-        pool: &[Free],
+        pool: &[FreeInstance],
     ) -> Vec<Change> {
-        let is_settled = s.now.since(s.last_arrival_at) >= self.rules.list_settles;
-        if s.before_traffic && (!is_settled || pool.is_empty()) {
+        let is_settled = cx.now.since(cx.last_arrival_at) >= self.rules.list_quiet_time;
+        if cx.before_traffic && (!is_settled || pool.is_empty()) {
             return Vec::new();
         }
-        let own = if s.before_traffic {
-            super::listed(s.domain, s.entries, s.engine, true, |entry| s.can_serve(entry))
+        let own_domain = if cx.before_traffic {
+            super::listed(cx.domain, cx.entries, cx.engine, true, |entry| cx.can_serve(entry))
         } else {
-            self.view(s, groups, pool)
+            self.planner_domain(cx, groups, pool)
         };
-        if own.free.is_empty() && !s.may_close {
-            self.planned.remove(&own.name);
+        if own_domain.free.is_empty() && !cx.may_close {
+            self.last_plans.remove(&own_domain.name);
             return Vec::new();
         }
-        if !self.is_due(&own, s.now) {
+        if !self.is_plan_due(&own_domain, cx.now) {
             return Vec::new();
         }
-        let mut domains = (s.others)();
-        let at = domains.partition_point(|other| other.name < own.name);
-        domains.insert(at, own);
-        let is_loading = |entry: &&&Entry| self.is_staging(&entry.instance, s);
-        let under_way = s.entries.iter().filter(is_loading).count();
+        let mut domains = (cx.others)();
+        let at = domains.partition_point(|other| other.name < own_domain.name);
+        domains.insert(at, own_domain);
+        let is_loading = |entry: &&&Entry| self.is_staging(&entry.instance, cx);
+        let loads_under_way = cx.entries.iter().filter(is_loading).count();
         let limits = Limits {
-            may_close: s.may_close && !s.before_traffic,
-            joins_load: s.before_traffic,
-            loads: (s.engine.loads_at_once as usize).saturating_sub(under_way),
+            may_close: cx.may_close && !cx.before_traffic,
+            may_load_on_join: cx.before_traffic,
+            max_loads: (cx.engine.loads_at_once as usize).saturating_sub(loads_under_way),
         };
-        let mut models = (s.models)();
-        if s.before_traffic {
+        let mut models = (cx.models)();
+        if cx.before_traffic {
             models.iter_mut().for_each(|model| model.groups = 0.0);
         }
         let changes = planner::plan(domains, &models, limits);
-        let own = changes.into_iter().filter(|change| change.domain == at);
-        if s.before_traffic { self.not_begun(own, s, groups, pool) } else { own.collect() }
+        let own_changes = changes.into_iter().filter(|change| change.domain == at);
+        if cx.before_traffic {
+            self.changes_not_begun(own_changes, cx, groups, pool)
+        } else {
+            own_changes.collect()
+        }
     }
 
     /// Whether to plan over all domains: this domain has changed since the last plan, or that plan
     /// is so old that other domains may have. In most rounds neither is the case.
-    fn is_due(&mut self, own: &Domain, now: Millis) -> bool {
-        let state = |ready: &Ready| (ready.needs_load, ready.waits, ready.is_bound);
-        let host = |host: &Host| (host.id.clone(), host.ready.iter().map(state).collect());
-        let free = own.free.iter().map(host);
-        let standing = own.standing.iter().map(|group| group.epoch);
-        let next = Planned { at: now, free: free.collect(), standing: standing.collect() };
-        let last = self.planned.get(&own.name);
-        let is_due = last.is_none_or(|last| {
-            let has_changed = last.free != next.free || last.standing != next.standing;
-            has_changed || now.since(last.at) >= self.rules.plan_again
+    fn is_plan_due(&mut self, domain: &Domain, now: Millis) -> bool {
+        let state = |readiness: &HostReadiness| {
+            (readiness.needs_load, readiness.waits_for_weights, readiness.waits_for_head)
+        };
+        let host = |host: &Host| (host.id.clone(), host.readiness.iter().map(state).collect());
+        let free = domain.free.iter().map(host);
+        let serving_groups = domain.serving_groups.iter().map(|group| group.epoch);
+        let next = PlannedState {
+            at: now,
+            free: free.collect(),
+            serving_groups: serving_groups.collect(),
+        };
+        let last = self.last_plans.get(&domain.name);
+        let is_plan_due = last.is_none_or(|last| {
+            let has_changed = last.free != next.free || last.serving_groups != next.serving_groups;
+            has_changed || now.since(last.at) >= self.rules.replan_interval
         });
-        if is_due {
-            self.planned.insert(own.name.clone(), next);
+        if is_plan_due {
+            self.last_plans.insert(domain.name.clone(), next);
         }
-        is_due
+        is_plan_due
     }
 
     /// Of the groups that the domain should have, returns those that are not being formed and do
     /// not serve yet, with free instances as their members.
-    fn not_begun(
+    fn changes_not_begun(
         &self,
         changes: impl Iterator<Item = Change>,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         groups: &[Group],
-        pool: &[Free],
+        pool: &[FreeInstance],
     ) -> Vec<Change> {
         let mut begun: Vec<&str> = self
             .forming
             .values()
-            .filter(|forming| forming.members.iter().any(|id| s.entry(id).is_some()))
+            .filter(|forming| forming.members.iter().any(|id| cx.entry(id).is_some()))
             .map(|forming| forming.model.as_str())
             .collect();
-        let of_others = groups.iter().filter(|group| !self.forming.contains_key(&group.epoch));
-        let stands =
-            |group: &&Group| view::is_forming(group) || group.state() == Some(MemberState::Open);
-        begun.extend(of_others.filter(stands).map(Group::model));
+        let groups_of_others =
+            groups.iter().filter(|group| !self.forming.contains_key(&group.epoch));
+        let exists = |group: &&Group| {
+            planner_input::is_forming(group) || group.state() == Some(MemberState::Open)
+        };
+        begun.extend(groups_of_others.filter(exists).map(Group::model));
         let mut free: Vec<&Identity> = pool.iter().map(|free| &free.instance().identity).collect();
         let mut left = Vec::new();
         for mut change in changes {
-            let spec = &s.engine.models[change.model];
+            let spec = &cx.engine.models[change.model];
             if let Some(at) = begun.iter().position(|model| *model == spec.name.as_str()) {
                 begun.swap_remove(at);
             } else if free.len() >= spec.size {
@@ -123,103 +135,110 @@
     }
 
     /// Executes the changes that are possible now; the next round plans the others again.
-    pub(super) fn carry_out(
+    pub(super) fn execute_changes(
         &mut self,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         groups: &[Group],
-        pool: &[Free],
+        pool: &[FreeInstance],
         changes: &[Change],
         commands: &mut Vec<Command>,
     ) {
         for change in changes {
-            let spec = &s.engine.models[change.model];
-            let instances = change.members.iter().filter_map(|id| s.entry(id));
-            if !change.loads.is_empty() {
-                let lacking = instances.filter(|e| change.loads.contains(&e.instance.identity));
+            let spec = &cx.engine.models[change.model];
+            let instances = change.members.iter().filter_map(|id| cx.entry(id));
+            if !change.loading_members.is_empty() {
+                let lacking =
+                    instances.filter(|e| change.loading_members.contains(&e.instance.identity));
                 for entry in lacking {
-                    self.stage_one(&entry.instance, spec, s, commands);
+                    self.stage_weights(&entry.instance, spec, cx, commands);
                 }
-            } else if change.waits {
+            } else if change.waits_for_weights {
                 // Wait until the weights have reached all members.
-            } else if change.closes.is_empty() && are_free(&change.members, pool) {
+            } else if change.groups_to_close.is_empty() && are_free(&change.members, pool) {
                 for members in change.members.chunks_exact(spec.size) {
-                    self.start_forming(spec, members.to_vec(), s.now);
+                    self.start_forming(spec, members.to_vec(), cx.now);
                 }
             } else {
-                self.close_for(change, spec, s, groups, commands);
+                self.close_for_change(change, spec, cx, groups, commands);
             }
         }
     }
 
-    fn close_for(
+    /// Closes the groups that a change needs closed, and defers its new groups until they have
+    /// drained.
+    fn close_for_change(
         &mut self,
         change: &Change,
         spec: &ModelSpec,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         groups: &[Group],
         commands: &mut Vec<Command>,
     ) {
-        let why = "its members are worth more in a group of another model";
-        for group in groups.iter().filter(|group| change.closes.contains(&group.epoch)) {
+        let why = "its members gain more utility in a group of another model";
+        for group in groups.iter().filter(|group| change.groups_to_close.contains(&group.epoch)) {
             if let Some(head) = group.head() {
-                self.close(group, head, false, why, s, commands);
+                self.close(group, head, false, why, cx, commands);
             }
         }
-        let until = s.now + LEAVING_LINGERS;
+        let until = cx.now + LEAVING_DRAIN_TIME;
         for members in change.members.chunks_exact(spec.size) {
-            let (domain, model) = (s.domain.clone(), spec.name.clone());
-            self.intended.push(Intended { domain, model, members: members.to_vec(), until });
+            let (domain, model) = (cx.domain.clone(), spec.name.clone());
+            self.deferred.push(DeferredGroup { domain, model, members: members.to_vec(), until });
         }
     }
 
     /// Forms the groups that others were closed for, once all members are free.
-    pub(super) fn form_intended(&mut self, s: &DomainContext<'_>, pool: &[Free]) {
-        let is_fit = |id: &Identity| s.entry(id).is_some_and(|entry| s.can_serve(entry));
+    pub(super) fn form_deferred_groups(&mut self, cx: &DomainContext<'_>, pool: &[FreeInstance]) {
+        let is_fit = |id: &Identity| cx.entry(id).is_some_and(|entry| cx.can_serve(entry));
         let mut kept = Vec::new();
-        for intended in std::mem::take(&mut self.intended) {
-            let spec = s.engine.model(intended.model.as_str());
-            let Some(spec) = spec.filter(|_| &intended.domain == s.domain) else {
-                kept.push(intended);
+        for deferred in std::mem::take(&mut self.deferred) {
+            let spec = cx.engine.model(deferred.model.as_str());
+            let Some(spec) = spec.filter(|_| &deferred.domain == cx.domain) else {
+                kept.push(deferred);
                 continue;
             };
-            if !intended.members.iter().all(is_fit) {
+            if !deferred.members.iter().all(is_fit) {
                 // A member was lost; the others are planned for again.
                 continue;
             }
-            if are_free(&intended.members, pool) {
-                self.start_forming(spec, intended.members, s.now);
+            if are_free(&deferred.members, pool) {
+                self.start_forming(spec, deferred.members, cx.now);
             } else {
-                kept.push(intended);
+                kept.push(deferred);
             }
         }
-        self.intended = kept;
+        self.deferred = kept;
     }
 
+    /// Starts to form a group under a new epoch; the orders to join are sent by
+    /// [`Self::advance_formations`].
     fn start_forming(&mut self, model: &ModelSpec, members: Vec<Identity>, now: Millis) {
         let epoch = self.next_epoch();
         let group = groups::group_id(model.name.as_str(), epoch);
-        let give_up_at = now + model.load + self.rules.patience;
-        let forming = Forming {
+        let deadline = now + model.load + self.rules.formation_grace;
+        let forming = GroupFormation {
             group,
             model: model.name.clone(),
             members,
             joined: BTreeSet::new(),
-            give_up_at,
+            deadline,
         };
         self.forming.insert(epoch, forming);
     }
 }
 
-fn are_free(members: &[Identity], pool: &[Free]) -> bool {
+/// Whether all `members` are in the pool of free instances.
+fn are_free(members: &[Identity], pool: &[FreeInstance]) -> bool {
     members.iter().all(|id| pool.iter().any(|free| &free.instance().identity == id))
 }
 
 /// Describes the changes for logs.
-pub(super) fn describe_changes(s: &DomainContext<'_>, changes: &[Change]) -> String {
-    let tell = |change: &Change| {
-        let model = &s.engine.models[change.model].name;
-        let (size, closes, loads) = (change.members.len(), change.closes.len(), change.loads.len());
-        format!("{model}:{size} closes:{closes} loads:{loads} brings:{:.0}", change.brings)
+pub(super) fn describe_changes(cx: &DomainContext<'_>, changes: &[Change]) -> String {
+    let describe = |change: &Change| {
+        let model = &cx.engine.models[change.model].name;
+        let (size, closes, loads) =
+            (change.members.len(), change.groups_to_close.len(), change.loading_members.len());
+        format!("{model}:{size} closes:{closes} loads:{loads} gain:{:.0}", change.net_gain)
     };
-    changes.iter().map(tell).collect::<Vec<_>>().join(", ")
+    changes.iter().map(describe).collect::<Vec<_>>().join(", ")
 }
--- a/crates/workshold-core/src/hosted/steward/staging.rs
+++ b/crates/workshold-core/src/hosted/steward/staging.rs
@@ -15,14 +15,13 @@
 use super::DomainContext;
 use super::Order;
 use super::Steward;
-use super::view::Free;
+use super::planner_input::FreeInstance;
 
 /// Fraction of the weight store's rate limit that is used, since orders that are executed late
 /// count towards another window.
-const LOADS_USED: f64 = 0.8;
-/// How long an instance that refused to load gets no further order to: it is busy with another
-/// load.
-const BUSY_FOR: Millis = Millis(3_000);
+const RATE_LIMIT_FRACTION: f64 = 0.8;
+/// How long an instance that refused to load is not ordered to again: it is busy with another load.
+const BUSY_BACKOFF: Millis = Millis(3_000);
 
 impl Steward {
     /// Fetches weights that no planned change needs yet.
@@ -32,74 +31,86 @@
     /// the survivors of a lost group can soon join a group of either model.
     pub(super) fn stage_ahead(
         &mut self,
-        s: &DomainContext<'_>,
-        pool: &[Free],
+        cx: &DomainContext<'_>,
+        pool: &[FreeInstance],
         commands: &mut Vec<Command>,
     ) {
-        if s.before_traffic {
-            self.stage_before_traffic(s, commands);
+        if cx.before_traffic {
+            self.stage_before_traffic(cx, commands);
             return;
         }
-        let is_empty = |free: &&Free| {
+        let has_no_weights = |free: &&FreeInstance| {
             let instance = free.instance();
             instance.loaded.is_empty() && instance.staged.is_empty()
         };
-        for free in pool.iter().filter(is_empty) {
-            let is_taken =
-                self.is_taken(&free.instance().identity) || self.is_staging(free.instance(), s);
-            if let Some(model) = by_gain(s).first().filter(|_| !is_taken) {
-                self.stage_one(free.instance(), model, s, commands);
+        for free in pool.iter().filter(has_no_weights) {
+            let is_assigned =
+                self.is_assigned(&free.instance().identity) || self.is_staging(free.instance(), cx);
+            if let Some(model) = models_by_gain(cx).first().filter(|_| !is_assigned) {
+                self.stage_weights(free.instance(), model, cx, commands);
             }
         }
     }
 
-    fn stage_before_traffic(&mut self, s: &DomainContext<'_>, commands: &mut Vec<Command>) {
-        let instances = self.with_one_model(s);
-        let by_gain = if instances.is_empty() { Vec::new() } else { by_gain(s) };
+    /// Fetches the weights of a second model to every host that holds only one.
+    fn stage_before_traffic(&mut self, cx: &DomainContext<'_>, commands: &mut Vec<Command>) {
+        let instances = self.instances_with_one_model(cx);
+        let models_by_gain = if instances.is_empty() { Vec::new() } else { models_by_gain(cx) };
         for instance in instances {
-            let other = by_gain.iter().copied().find(|m| !instance.loaded.contains(&m.name));
+            let other = models_by_gain.iter().copied().find(|m| !instance.loaded.contains(&m.name));
             if let Some(other) = other {
-                self.stage_one(&instance, other, s, commands);
+                self.stage_weights(&instance, other, cx, commands);
             }
         }
     }
 
     /// Free instances, and group members that have joined, whose memory and host hold the weights
     /// of one model only.
-    fn with_one_model(&self, s: &DomainContext<'_>) -> Vec<Arc<Instance>> {
+    fn instances_with_one_model(&self, cx: &DomainContext<'_>) -> Vec<Arc<Instance>> {
         let is_settled = |instance: &Instance| {
-            let own = instance.membership.as_ref();
-            own.is_none_or(|own| own.state != MemberState::Joining) && !instance.loaded.is_empty()
+            let membership = instance.membership.as_ref();
+            membership.is_none_or(|membership| membership.state != MemberState::Joining)
+                && !instance.loaded.is_empty()
         };
         let has_other =
             |instance: &Instance| instance.staged.iter().any(|m| !instance.loaded.contains(m));
-        let entries = s.entries.iter().filter(|entry| s.can_serve(entry));
+        let entries = cx.entries.iter().filter(|entry| cx.can_serve(entry));
         let instances = entries.map(|entry| &entry.instance);
         let instances = instances.filter(|i| is_settled(i) && !has_other(i));
-        instances.filter(|i| !self.is_staging(i, s)).cloned().collect()
+        instances.filter(|i| !self.is_staging(i, cx)).cloned().collect()
     }
 
-    pub(super) fn stage_one(
+    /// Orders an instance to fetch a model's weights to its host, within the rate limit.
+    pub(super) fn stage_weights(
         &mut self,
         instance: &Instance,
         model: &ModelSpec,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
         commands: &mut Vec<Command>,
     ) {
-        let window = self.rules.load_window.as_secs_f64();
-        let most = (s.engine.loads_per_s * window * s.load_share * LOADS_USED).max(1.0);
-        if self.is_busy_loading(&instance.identity, s) {
+        let window = self.rules.load_rate_window.as_secs_f64();
+        let max_loads =
+            (cx.engine.loads_per_s * window * cx.load_share * RATE_LIMIT_FRACTION).max(1.0);
+        if self.is_busy_loading(&instance.identity, cx) {
             return;
         }
-        if !s.before_traffic && self.loads.len() as f64 + 1.0 > most {
+        if !cx.before_traffic && self.recent_loads.len() as f64 + 1.0 > max_loads {
             return;
         }
         let before = commands.len();
         let order = Order::Stage { model: model.name.clone() };
-        self.send(instance, 0, "stage", order, "weights will be needed here", s.now, commands);
+        self.send(
+            instance,
+            0,
+            "stage",
+            order,
+            "the host will need these weights",
+            cx.now,
+            commands,
+        );
         if commands.len() > before {
-            self.loads.push_back(s.now);
-            self.staging.insert(instance.identity.clone(), (model.name.clone(), s.now));
+            self.recent_loads.push_back(cx.now);
+            self.staging.insert(instance.identity.clone(), (model.name.clone(), cx.now));
         }
     }
 
@@ -108,39 +119,41 @@
     pub(super) fn staging_since(
         &self,
         instance: &Instance,
-        s: &DomainContext<'_>,
+        cx: &DomainContext<'_>,
     ) -> Option<(ModelName, Millis)> {
         let (model, since) = self.staging.get(&instance.identity)?;
-        let load = s.engine.model(model.as_str()).map_or(Millis::ZERO, |model| model.load);
+        let load = cx.engine.model(model.as_str()).map_or(Millis::ZERO, |model| model.load);
         let is_done = instance.staged.contains(model);
-        let is_late = s.now.since(*since) > load + load + self.rules.patience;
-        (!is_done && !is_late).then(|| (model.clone(), *since))
+        let is_overdue = cx.now.since(*since) > load + load + self.rules.formation_grace;
+        (!is_done && !is_overdue).then(|| (model.clone(), *since))
     }
 
-    pub(super) fn is_staging(&self, instance: &Instance, s: &DomainContext<'_>) -> bool {
-        self.staging_since(instance, s).is_some()
+    /// Whether an instance's host is fetching weights.
+    pub(super) fn is_staging(&self, instance: &Instance, cx: &DomainContext<'_>) -> bool {
+        self.staging_since(instance, cx).is_some()
     }
 
     /// Handles a refusal to load: another load is under way on that instance.
-    pub(super) fn on_busy(&mut self, id: &Identity) {
+    pub(super) fn on_load_refused(&mut self, id: &Identity) {
         if let Some((_, since)) = self.staging.remove(id) {
-            self.busy.insert(id.clone(), since + BUSY_FOR);
+            self.busy_until.insert(id.clone(), since + BUSY_BACKOFF);
         }
     }
 
-    fn is_busy_loading(&self, id: &Identity, s: &DomainContext<'_>) -> bool {
-        self.busy.get(id).is_some_and(|until| s.now < *until)
+    /// Whether an instance refused to load a short time ago.
+    fn is_busy_loading(&self, id: &Identity, cx: &DomainContext<'_>) -> bool {
+        self.busy_until.get(id).is_some_and(|until| cx.now < *until)
     }
 }
 
 /// The models in descending order of the gain per instance from one more group.
-fn by_gain<'a>(s: &DomainContext<'a>) -> Vec<&'a ModelSpec> {
+fn models_by_gain<'a>(cx: &DomainContext<'a>) -> Vec<&'a ModelSpec> {
     let gain = |model: &planner::Model| model.utility.gain(model.groups, 1.0) / model.size as f64;
-    let mut models: Vec<(&ModelSpec, f64)> = s
+    let mut models: Vec<(&ModelSpec, f64)> = cx
         .engine
         .models
         .iter()
-        .zip((s.models)())
+        .zip((cx.models)())
         .map(|(spec, model)| (spec, gain(&model)))
         .collect();
     models.sort_by(|a, b| b.1.total_cmp(&a.1));
--- a/crates/workshold-core/tests/hosted/planning.rs
+++ b/crates/workshold-core/tests/hosted/planning.rs
@@ -10,10 +10,10 @@
 use workshold_core::hosted::planner::Change;
 use workshold_core::hosted::planner::Domain;
 use workshold_core::hosted::planner::Host;
+use workshold_core::hosted::planner::HostReadiness;
 use workshold_core::hosted::planner::Limits;
 use workshold_core::hosted::planner::Model;
-use workshold_core::hosted::planner::Ready;
-use workshold_core::hosted::planner::Standing;
+use workshold_core::hosted::planner::ServingGroup;
 use workshold_core::hosted::serving_config::Engine;
 use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_protocol::Millis;
@@ -69,16 +69,21 @@
 }
 
 fn empty_host(domain: usize, i: usize) -> Host {
-    let ready = Ready { needs_load: true, waits: false, after: Millis(3_500), is_bound: false };
+    let readiness = HostReadiness {
+        needs_load: true,
+        waits_for_weights: false,
+        delay: Millis(3_500),
+        waits_for_head: false,
+    };
     let id = InstanceId::new(&format!("i-{domain}-{i}")).unwrap();
-    Host { id: id.into(), ready: vec![ready; 2] }
+    Host { id: id.into(), readiness: vec![readiness; 2] }
 }
 
 fn empty_domains(domains: usize, hosts: usize) -> Vec<Domain> {
     let domain = |d: usize| Domain {
         name: FabricDomain::new(&format!("d-{d}")).unwrap(),
         free: (0..hosts).map(|i| empty_host(d, i)).collect(),
-        standing: Vec::new(),
+        serving_groups: Vec::new(),
     };
     (0..domains).map(domain).collect()
 }
@@ -91,7 +96,7 @@
     [of(0), of(1)]
 }
 
-const BEFORE_TRAFFIC: Limits = Limits { may_close: false, joins_load: true, loads: 6 };
+const BEFORE_TRAFFIC: Limits = Limits { may_close: false, may_load_on_join: true, max_loads: 6 };
 
 #[test]
 fn before_traffic_both_models_get_as_much_beyond_their_need() {
@@ -136,17 +141,20 @@
 }
 
 /// Random domains with hosts and groups in any state.
-fn any_domains(rng: &mut ChaCha8Rng) -> Vec<Domain> {
+fn random_domains(rng: &mut ChaCha8Rng) -> Vec<Domain> {
     let domains = rng.random_range(1..8);
-    (0..domains).map(|domain| any_domain(rng, domain)).collect()
+    (0..domains).map(|domain| random_domain(rng, domain)).collect()
 }
 
-fn any_domain(rng: &mut ChaCha8Rng, domain: usize) -> Domain {
+fn random_domain(rng: &mut ChaCha8Rng, domain: usize) -> Domain {
     let mut count = 0;
-    let mut hosts = |rng: &mut ChaCha8Rng, n: usize, is_bound: bool| -> Vec<Host> {
+    let mut hosts = |rng: &mut ChaCha8Rng, n: usize, waits_for_head: bool| -> Vec<Host> {
         let host = |i: usize| {
             let id = InstanceId::new(&format!("i-{domain}-{}", count + i)).unwrap();
-            Host { id: id.into(), ready: (0..2).map(|_| any_ready(rng, is_bound)).collect() }
+            Host {
+                id: id.into(),
+                readiness: (0..2).map(|_| random_readiness(rng, waits_for_head)).collect(),
+            }
         };
         let hosts = (0..n).map(host).collect();
         count += n;
@@ -155,18 +163,23 @@
     let free = rng.random_range(0..9);
     let free = hosts(rng, free, false);
     let groups = rng.random_range(0..4);
-    let standing = (0..groups).map(|epoch| {
+    let serving_groups = (0..groups).map(|epoch| {
         let model = rng.random_range(0..2);
         let members = hosts(rng, [4, 2][model], true);
-        Standing { epoch, model, members }
+        ServingGroup { epoch, model, members }
     });
     let name = FabricDomain::new(&format!("d-{domain}")).unwrap();
-    Domain { name, free, standing: standing.collect() }
+    Domain { name, free, serving_groups: serving_groups.collect() }
 }
 
-fn any_ready(rng: &mut ChaCha8Rng, is_bound: bool) -> Ready {
-    let after = Millis([500, 1_900, 17_900][rng.random_range(0..3)]);
-    Ready { needs_load: after > Millis(10_000), waits: rng.random_bool(0.1), after, is_bound }
+fn random_readiness(rng: &mut ChaCha8Rng, waits_for_head: bool) -> HostReadiness {
+    let delay = Millis([500, 1_900, 17_900][rng.random_range(0..3)]);
+    HostReadiness {
+        needs_load: delay > Millis(10_000),
+        waits_for_weights: rng.random_bool(0.1),
+        delay,
+        waits_for_head,
+    }
 }
 
 #[test]
@@ -180,10 +193,10 @@
         let models = models(&engine, &works, groups);
         let limits = Limits {
             may_close: rng.random(),
-            joins_load: rng.random(),
-            loads: rng.random_range(0..12),
+            may_load_on_join: rng.random(),
+            max_loads: rng.random_range(0..12),
         };
-        let domains = any_domains(&mut rng);
+        let domains = random_domains(&mut rng);
         let anew = planned_anew::plan_anew(&domains, &models, limits);
         assert_eq!(planner::plan(domains, &models, limits), anew, "seed {seed}");
         changes += anew.len();
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -527,11 +527,12 @@
         let mut other = planner::Domain {
             name: FabricDomain::new(name).unwrap(),
             free: Vec::new(),
-            standing: Vec::new(),
+            serving_groups: Vec::new(),
         };
         let entries: Vec<&Entry> = domain.entries.values().collect();
         let own = &domain.engine;
-        other.standing = steward::listed(&other.name, &entries, own, false, |_| true).standing;
+        other.serving_groups =
+            steward::listed(&other.name, &entries, own, false, |_| true).serving_groups;
         domain.others = vec![other];
         // Only one more group of `big` pays off.
         domain.works[0] = ask(18.0);
