--- a/crates/workshold-core/src/hosted/capacity.rs
+++ b/crates/workshold-core/src/hosted/capacity.rs
@@ -29,9 +29,9 @@
 
 /// Fraction of a deployment's capacity that the expected demand uses; the rest is reserve for
 /// lost instances and for peaks.
-const EXPECTED_USE: f64 = 0.6;
+const EXPECTED_UTILISATION: f64 = 0.6;
 /// Pause goal for requests that come without one.
-const USUAL_PAUSE_GOAL: Millis = Millis(250);
+const DEFAULT_PAUSE_GOAL: Millis = Millis(250);
 
 impl Workload {
     /// Scales the rates by `factor`; the pause goal stays.
@@ -45,30 +45,30 @@
     }
 
     /// Demand for a model that the configuration predicts before any request has arrived: the
-    /// model's share of the demand that would use [`EXPECTED_USE`] of all `instances`.
+    /// model's share of the demand that would use [`EXPECTED_UTILISATION`] of all `instances`.
     pub fn expected(engine: &Engine, spec: &ModelSpec, instances: usize) -> Self {
         let stride = f64::from(engine.stride.max(1));
-        let one = Self {
+        let per_request = Self {
             requests: 1.0,
             prompt_tokens: engine.typical_prompt_tokens,
             events: (engine.typical_answer_tokens / stride).max(1.0),
-            pause_goal: USUAL_PAUSE_GOAL,
+            pause_goal: DEFAULT_PAUSE_GOAL,
         };
         let shares: f64 = engine.models.iter().map(|model| model.share).sum();
         let share = if shares > 0.0 { spec.share / shares } else { 1.0 };
         let groups = share * instances as f64 / spec.size as f64;
-        let least = CapacityEstimate::new(engine, spec, one).least_groups();
-        one.scaled(groups * EXPECTED_USE / least.max(f64::MIN_POSITIVE))
+        let min_groups = CapacityEstimate::new(engine, spec, per_request).least_groups();
+        per_request.scaled(groups * EXPECTED_UTILISATION / min_groups.max(f64::MIN_POSITIVE))
     }
 
     /// Adds two demands for the same model.
     pub fn plus(self, other: Self) -> Self {
-        let all = self.requests + other.requests;
+        let total = self.requests + other.requests;
         let goals =
             self.pause_goal.0 as f64 * self.requests + other.pause_goal.0 as f64 * other.requests;
-        let pause_goal = if all > 0.0 { Millis((goals / all) as u64) } else { Millis::ZERO };
+        let pause_goal = if total > 0.0 { Millis((goals / total) as u64) } else { Millis::ZERO };
         Self {
-            requests: all,
+            requests: total,
             prompt_tokens: self.prompt_tokens + other.prompt_tokens,
             events: self.events + other.events,
             pause_goal,
@@ -81,35 +81,37 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CapacityEstimate {
     /// Groups that would be fully occupied by prefill and by the time that each sequence adds.
-    busy: f64,
+    busy_groups: f64,
     /// Requests in progress if every pass took as long as one without load.
-    writers: f64,
+    unloaded_concurrency: f64,
     /// Time of a pass without load, in milliseconds.
-    quiet_pass_ms: f64,
+    unloaded_pass_ms: f64,
     slots: f64,
     pause_goal_ms: f64,
 }
 
 /// Fraction of the requests that are in time when all slots are taken, before late pauses are
 /// deducted.
-const FULL_IN_TIME: f64 = 0.8;
+const SATURATED_IN_TIME: f64 = 0.8;
 
 impl CapacityEstimate {
     /// Creates the estimate for `work` on groups of `spec`.
     pub fn new(engine: &Engine, spec: &ModelSpec, work: Workload) -> Self {
         let stride = f64::from(engine.stride.max(1));
-        let prompt = if work.requests > 0.0 { work.prompt_tokens / work.requests } else { 0.0 };
-        let reading_ms = work.prompt_tokens / engine.prefill_tokens_per_ms
-            + work.requests * prompt * prompt / 2.0 / 1e6 * engine.attention_ms_per_m_pairs;
-        let per_event_ms =
-            stride * (engine.per_request_ms + prompt / 1000.0 * engine.context_ms_per_k);
-        let quiet_pass_ms = engine.event_gap_ms(spec);
+        let mean_prompt_tokens =
+            if work.requests > 0.0 { work.prompt_tokens / work.requests } else { 0.0 };
+        let prefill_ms = work.prompt_tokens / engine.prefill_tokens_per_ms
+            + work.requests * mean_prompt_tokens * mean_prompt_tokens / 2.0 / 1e6
+                * engine.attention_ms_per_m_pairs;
+        let per_event_ms = stride
+            * (engine.per_request_ms + mean_prompt_tokens / 1000.0 * engine.context_ms_per_k);
+        let unloaded_pass_ms = engine.event_gap_ms(spec);
         let goal = work.pause_goal;
-        let goal = if goal == Millis::ZERO { USUAL_PAUSE_GOAL } else { goal };
+        let goal = if goal == Millis::ZERO { DEFAULT_PAUSE_GOAL } else { goal };
         Self {
-            busy: spec.pace * (reading_ms + work.events * per_event_ms) / 1000.0,
-            writers: work.events * quiet_pass_ms / 1000.0,
-            quiet_pass_ms,
+            busy_groups: spec.pace * (prefill_ms + work.events * per_event_ms) / 1000.0,
+            unloaded_concurrency: work.events * unloaded_pass_ms / 1000.0,
+            unloaded_pass_ms,
             slots: f64::from(engine.slots.max(1)),
             pause_goal_ms: goal.0 as f64,
         }
@@ -117,44 +119,48 @@
 
     /// Number of groups at which all slots are just taken: the least that can keep up.
     pub fn least_groups(&self) -> f64 {
-        self.busy + self.writers / self.slots
+        self.busy_groups + self.unloaded_concurrency / self.slots
     }
 
     /// Mean time of a pass with `groups`, in milliseconds; `None` if they cannot keep up.
     pub fn pass_ms(&self, groups: f64) -> Option<f64> {
-        (groups > self.least_groups()).then(|| self.quiet_pass_ms * groups / (groups - self.busy))
+        (groups > self.least_groups())
+            .then(|| self.unloaded_pass_ms * groups / (groups - self.busy_groups))
     }
 
     /// Fraction of the requests that `groups` serve in time, 0 to 1.
     pub fn in_time(&self, groups: f64) -> f64 {
-        let least = self.least_groups();
+        let min_groups = self.least_groups();
         if groups <= 0.0 {
             return 0.0;
         }
-        if least <= 0.0 {
+        if min_groups <= 0.0 {
             return 1.0;
         }
-        let no_late = |pass_ms: f64| 1.0 - (-self.pause_goal_ms / pass_ms).exp();
-        let full_pass_ms = self.quiet_pass_ms * least / (least - self.busy).max(least * 0.01);
-        let full = FULL_IN_TIME * no_late(full_pass_ms) * (groups / least).min(1.0);
-        let Some(pass_ms) = self.pass_ms(groups) else { return full };
-        let at_each = self.writers / (groups - self.busy);
-        let has_place = normal((self.slots - at_each) / at_each.sqrt().max(0.1));
-        (no_late(pass_ms) * has_place).max(full)
+        let no_late_pause = |pass_ms: f64| 1.0 - (-self.pause_goal_ms / pass_ms).exp();
+        let saturated_pass_ms = self.unloaded_pass_ms * min_groups
+            / (min_groups - self.busy_groups).max(min_groups * 0.01);
+        let saturated_in_time =
+            SATURATED_IN_TIME * no_late_pause(saturated_pass_ms) * (groups / min_groups).min(1.0);
+        let Some(pass_ms) = self.pass_ms(groups) else { return saturated_in_time };
+        let mean_concurrency = self.unloaded_concurrency / (groups - self.busy_groups);
+        let has_free_slot =
+            normal_cdf((self.slots - mean_concurrency) / mean_concurrency.sqrt().max(0.1));
+        (no_late_pause(pass_ms) * has_free_slot).max(saturated_in_time)
     }
 }
 
 /// Normal distribution function at `z` standard deviations, by its logistic approximation, whose
 /// error is below 0.01.
-fn normal(z: f64) -> f64 {
+fn normal_cdf(z: f64) -> f64 {
     1.0 / (1.0 + (-1.702 * z).exp())
 }
 
 /// Factors on the current demand over which utility is averaged.
-const MORE_WORK: [f64; 2] = [1.0, 1.25];
+const DEMAND_FACTORS: [f64; 2] = [1.0, 1.25];
 /// Numbers of lost groups over which utility is averaged: a loss lasts until the plan makes up
 /// for it.
-const FEWER_GROUPS: [f64; 2] = [0.0, 1.0];
+const LOST_GROUPS: [f64; 2] = [0.0, 1.0];
 /// Decline of a request's value with the fraction of its model that is already in time: the first
 /// counts 1 + this, the last 1 - this. So callers of one model do not pay for what another gains.
 const FAIRNESS: f64 = 0.5;
@@ -171,40 +177,47 @@
 }
 
 impl Utility {
-    /// Utility of up to `most` groups of each model of `engine`, for the demands `works` in the
-    /// same order.
+    /// Utility of up to `max_groups` groups of each model of `engine`, for the demands `works` in
+    /// the same order.
     pub fn of_all(
         engine: &Engine,
         works: &[Workload],
-        most: impl Fn(&ModelSpec) -> usize,
+        max_groups: impl Fn(&ModelSpec) -> usize,
     ) -> Vec<Self> {
         let pairs = || engine.models.iter().zip(works);
         let instances = |(spec, work): (&ModelSpec, &Workload)| {
             CapacityEstimate::new(engine, spec, *work).least_groups() * spec.size as f64
         };
-        let all: f64 = pairs().map(instances).sum();
+        let total: f64 = pairs().map(instances).sum();
         let requests: f64 = works.iter().map(|work| work.requests).sum();
         let utility = |(spec, work): (&ModelSpec, &Workload)| {
-            let by_requests = all * work.requests / requests.max(f64::MIN_POSITIVE);
-            let counts = (instances((spec, work)) + by_requests) / 2.0;
-            Self::new(engine, spec, *work, counts, most(spec))
+            let by_requests = total * work.requests / requests.max(f64::MIN_POSITIVE);
+            let weight = (instances((spec, work)) + by_requests) / 2.0;
+            Self::new(engine, spec, *work, weight, max_groups(spec))
         };
         pairs().map(utility).collect()
     }
 
-    /// Utility of up to `most` groups of `spec`, where serving all of `work` in time is worth
+    /// Utility of up to `max_groups` groups of `spec`, where serving all of `work` in time is worth
     /// `instances`.
-    fn new(engine: &Engine, spec: &ModelSpec, work: Workload, instances: f64, most: usize) -> Self {
-        let loads =
-            MORE_WORK.map(|factor| CapacityEstimate::new(engine, spec, work.scaled(factor)));
+    fn new(
+        engine: &Engine,
+        spec: &ModelSpec,
+        work: Workload,
+        instances: f64,
+        max_groups: usize,
+    ) -> Self {
+        let estimates =
+            DEMAND_FACTORS.map(|factor| CapacityEstimate::new(engine, spec, work.scaled(factor)));
         let utility = |groups: usize| {
-            let cases = loads.iter().zip(MORE_WORK).flat_map(|(load, factor)| {
-                FEWER_GROUPS.map(|fewer| fair(load.in_time(groups as f64 - fewer)) * factor)
+            let cases = estimates.iter().zip(DEMAND_FACTORS).flat_map(|(estimate, factor)| {
+                LOST_GROUPS
+                    .map(|lost| fairness_weighted(estimate.in_time(groups as f64 - lost)) * factor)
             });
             let cases: Vec<f64> = cases.collect();
             instances * cases.iter().sum::<f64>() / cases.len() as f64
         };
-        Self { by_groups: (0..=most).map(utility).collect() }
+        Self { by_groups: (0..=max_groups).map(utility).collect() }
     }
 
     /// Utility of `groups`, rounded; constant beyond the largest number that was computed.
@@ -219,8 +232,8 @@
     }
 }
 
-/// Weight of the fraction `part` of a model's requests that is in time; concave, see
+/// Weight of the fraction `fraction_in_time` of a model's requests that is in time; concave, see
 /// [`FAIRNESS`].
-fn fair(part: f64) -> f64 {
-    part * (1.0 + FAIRNESS * (1.0 - part))
+fn fairness_weighted(fraction_in_time: f64) -> f64 {
+    fraction_in_time * (1.0 + FAIRNESS * (1.0 - fraction_in_time))
 }
--- a/crates/workshold-core/src/hosted/serving_config.rs
+++ b/crates/workshold-core/src/hosted/serving_config.rs
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Chooses the service for a request by weight; `draw` is uniform over all `u64`. `None` if the
+    /// Chooses the service for a request by weight; `random` is uniform over all `u64`. `None` if the
     /// route has no services.
-    pub fn target(&self, draw: u64) -> Option<&ServiceName> {
+    pub fn target(&self, random: u64) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
         if total == 0 {
             return self.targets.first().map(|(service, _)| service);
         }
-        let mut left = draw % total;
+        let mut left = random % total;
         self.targets.iter().find_map(|(service, weight)| {
             let weight = u64::from(*weight);
             if left < weight {
@@ -182,7 +182,7 @@
     routes: HashMap<SmolStr, Vec<Arc<Route>>>,
     teams: Vec<Team>,
     keys: HashMap<SmolStr, usize>,
-    asks_for_keys: bool,
+    requires_keys: bool,
 }
 
 /// The caller of a request, as identified by its API key.
@@ -212,7 +212,7 @@
         for routes in by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
-        let asks_for_keys = teams.is_some();
+        let requires_keys = teams.is_some();
         let mut names = Vec::new();
         let mut keys = HashMap::new();
         for (team, own) in teams.unwrap_or_default() {
@@ -220,7 +220,7 @@
             names.push(team);
         }
         let upstreams = upstreams.into_iter().map(|up| (up.name.clone(), up)).collect();
-        Self { version, limits, upstreams, routes: by_host, teams: names, keys, asks_for_keys }
+        Self { version, limits, upstreams, routes: by_host, teams: names, keys, requires_keys }
     }
 
     /// The route of `host` with the longest prefix that matches `path`.
@@ -232,7 +232,7 @@
 
     /// Identifies the caller of a request on `route` by its API key.
     pub fn caller(&self, route: &Route, key: Option<&str>) -> Caller<'_> {
-        if !self.asks_for_keys {
+        if !self.requires_keys {
             return Caller::Anonymous;
         }
         let team = key.and_then(|key| self.keys.get(key)).map(|at| &self.teams[*at]);
@@ -245,6 +245,6 @@
 
     /// Whether requests on `route` require an API key, which may be revoked.
     pub fn needs_key(&self, route: &Route) -> bool {
-        self.asks_for_keys && !route.is_keyless
+        self.requires_keys && !route.is_keyless
     }
 }
