--- a/crates/workshold-core/src/hosted/partition_lease.rs
+++ b/crates/workshold-core/src/hosted/partition_lease.rs
@@ -22,7 +22,7 @@
 pub struct PartitionLease {
     /// Fencing token under which the partition was acquired.
     fence: Fence,
-    since: Millis,
+    acquired_at: Millis,
     /// No order is sent before, even if the previous holder has stopped.
     not_before: Millis,
     /// When it became certain that nobody else sends orders; `None` before that.
@@ -32,16 +32,16 @@
 impl PartitionLease {
     /// Records that the partition was acquired at `now` under `fence`.
     pub fn new(fence: impl Into<Fence>, now: Millis) -> Self {
-        Self { fence: fence.into(), since: now, not_before: Millis::ZERO, settled_at: None }
+        Self { fence: fence.into(), acquired_at: now, not_before: Millis::ZERO, settled_at: None }
     }
 
-    /// Forbids orders before `true_from`.
+    /// Forbids orders before `trusted_from`.
     ///
     /// Used when the store has just been restored from a backup copy, so that what it says about
-    /// instances and about the partition's previous holder is outdated. By `true_from` the leases
+    /// instances and about the partition's previous holder is outdated. By `trusted_from` the leases
     /// of all previous holders have expired, including those that this node does not know of.
-    pub fn with_earliest_order_at(self, true_from: Millis) -> Self {
-        Self { not_before: true_from, ..self }
+    pub fn with_earliest_order_at(self, trusted_from: Millis) -> Self {
+        Self { not_before: trusted_from, ..self }
     }
 
     /// Checks whether another node may still send orders.
@@ -51,17 +51,17 @@
     pub fn observe_holders(
         &mut self,
         others: impl Iterator<Item = impl Into<Fence>>,
-        rules: HandoverTimings,
+        timings: HandoverTimings,
         now: Millis,
     ) {
         if self.settled_at.is_some() || now < self.not_before {
             return;
         }
-        let held = now.since(self.since);
+        let held = now.since(self.acquired_at);
         let mut others = others;
         let have_noticed = others.all(|other| other.into() >= self.fence);
-        let is_settled = have_noticed && held >= rules.max_order_delay;
-        if is_settled || held >= rules.lease_ttl + rules.max_order_delay {
+        let is_settled = have_noticed && held >= timings.max_order_delay;
+        if is_settled || held >= timings.lease_ttl + timings.max_order_delay {
             self.settled_at = Some(now);
         }
     }
--- a/crates/workshold-core/src/hosted/serving_config.rs
+++ b/crates/workshold-core/src/hosted/serving_config.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Chooses the service for a request by weight; `random` is uniform over all `u64`. `None` if the
-    /// route has no services.
+    /// Chooses the service for a request by weight; `random` is uniform over all `u64`. `None` if
+    /// the route has no services.
     pub fn target(&self, random: u64) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
         if total == 0 {
