--- a/crates/workshold-core/src/hosted/capacity.rs
+++ b/crates/workshold-core/src/hosted/capacity.rs
@@ -95,22 +95,22 @@
 const SATURATED_IN_TIME: f64 = 0.8;
 
 impl CapacityEstimate {
-    /// Creates the estimate for `work` on groups of `spec`.
-    pub fn new(engine: &Engine, spec: &ModelSpec, work: Workload) -> Self {
+    /// Creates the estimate for `workload` on groups of `spec`.
+    pub fn new(engine: &Engine, spec: &ModelSpec, workload: Workload) -> Self {
         let stride = f64::from(engine.stride.max(1));
         let mean_prompt_tokens =
-            if work.requests > 0.0 { work.prompt_tokens / work.requests } else { 0.0 };
-        let prefill_ms = work.prompt_tokens / engine.prefill_tokens_per_ms
-            + work.requests * mean_prompt_tokens * mean_prompt_tokens / 2.0 / 1e6
+            if workload.requests > 0.0 { workload.prompt_tokens / workload.requests } else { 0.0 };
+        let prefill_ms = workload.prompt_tokens / engine.prefill_tokens_per_ms
+            + workload.requests * mean_prompt_tokens * mean_prompt_tokens / 2.0 / 1e6
                 * engine.attention_ms_per_m_pairs;
         let per_event_ms = stride
             * (engine.per_request_ms + mean_prompt_tokens / 1000.0 * engine.context_ms_per_k);
         let unloaded_pass_ms = engine.event_gap_ms(spec);
-        let goal = work.pause_goal;
+        let goal = workload.pause_goal;
         let goal = if goal == Millis::ZERO { DEFAULT_PAUSE_GOAL } else { goal };
         Self {
-            busy_groups: spec.pace * (prefill_ms + work.events * per_event_ms) / 1000.0,
-            unloaded_concurrency: work.events * unloaded_pass_ms / 1000.0,
+            busy_groups: spec.pace * (prefill_ms + workload.events * per_event_ms) / 1000.0,
+            unloaded_concurrency: workload.events * unloaded_pass_ms / 1000.0,
             unloaded_pass_ms,
             slots: f64::from(engine.slots.max(1)),
             pause_goal_ms: goal.0 as f64,
@@ -177,38 +177,38 @@
 }
 
 impl Utility {
-    /// Utility of up to `max_groups` groups of each model of `engine`, for the demands `works` in
+    /// Utility of up to `max_groups` groups of each model of `engine`, for the demands `workloads` in
     /// the same order.
     pub fn of_all(
         engine: &Engine,
-        works: &[Workload],
+        workloads: &[Workload],
         max_groups: impl Fn(&ModelSpec) -> usize,
     ) -> Vec<Self> {
-        let pairs = || engine.models.iter().zip(works);
-        let instances = |(spec, work): (&ModelSpec, &Workload)| {
-            CapacityEstimate::new(engine, spec, *work).least_groups() * spec.size as f64
+        let pairs = || engine.models.iter().zip(workloads);
+        let instances = |(spec, workload): (&ModelSpec, &Workload)| {
+            CapacityEstimate::new(engine, spec, *workload).least_groups() * spec.size as f64
         };
         let total: f64 = pairs().map(instances).sum();
-        let requests: f64 = works.iter().map(|work| work.requests).sum();
-        let utility = |(spec, work): (&ModelSpec, &Workload)| {
-            let by_requests = total * work.requests / requests.max(f64::MIN_POSITIVE);
-            let weight = (instances((spec, work)) + by_requests) / 2.0;
-            Self::new(engine, spec, *work, weight, max_groups(spec))
+        let requests: f64 = workloads.iter().map(|workload| workload.requests).sum();
+        let utility = |(spec, workload): (&ModelSpec, &Workload)| {
+            let by_requests = total * workload.requests / requests.max(f64::MIN_POSITIVE);
+            let weight = (instances((spec, workload)) + by_requests) / 2.0;
+            Self::new(engine, spec, *workload, weight, max_groups(spec))
         };
         pairs().map(utility).collect()
     }
 
-    /// Utility of up to `max_groups` groups of `spec`, where serving all of `work` in time is worth
+    /// Utility of up to `max_groups` groups of `spec`, where serving all of `workload` in time is worth
     /// `instances`.
     fn new(
         engine: &Engine,
         spec: &ModelSpec,
-        work: Workload,
+        workload: Workload,
         instances: f64,
         max_groups: usize,
     ) -> Self {
-        let estimates =
-            DEMAND_FACTORS.map(|factor| CapacityEstimate::new(engine, spec, work.scaled(factor)));
+        let estimates = DEMAND_FACTORS
+            .map(|factor| CapacityEstimate::new(engine, spec, workload.scaled(factor)));
         let utility = |groups: usize| {
             let cases = estimates.iter().zip(DEMAND_FACTORS).flat_map(|(estimate, factor)| {
                 LOST_GROUPS
--- a/crates/workshold-core/src/hosted/planner.rs
+++ b/crates/workshold-core/src/hosted/planner.rs
@@ -187,7 +187,7 @@
         for candidate in self.candidates.iter().flatten() {
             let net_gain = self.net_gain(candidate);
             let gain_per_instance = net_gain / candidate.change.members.len() as f64;
-            if net_gain > 0.0 && best.is_none_or(|(most, ..)| gain_per_instance > most) {
+            if net_gain > 0.0 && best.is_none_or(|(best_gain, ..)| gain_per_instance > best_gain) {
                 best = Some((gain_per_instance, net_gain, candidate));
             }
         }
@@ -204,8 +204,9 @@
             }
             let others = (0..self.models.len()).filter(|other| *other != model);
             for other in others {
-                let most = self.models[model].size.div_ceil(self.models[other].size);
-                candidates.extend((1..=most).filter_map(|n| self.convert(domain, model, other, n)));
+                let max_closed = self.models[model].size.div_ceil(self.models[other].size);
+                candidates
+                    .extend((1..=max_closed).filter_map(|n| self.convert(domain, model, other, n)));
             }
         }
         candidates
--- a/crates/workshold-core/tests/hosted.rs
+++ b/crates/workshold-core/tests/hosted.rs
@@ -8,18 +8,18 @@
 mod liveness;
 #[path = "hosted/long_poll.rs"]
 mod long_poll;
+#[path = "hosted/node_census.rs"]
+mod node_census;
 #[path = "hosted/partition_lease.rs"]
 mod partition_lease;
-#[path = "hosted/planned_anew.rs"]
-mod planned_anew;
 #[path = "hosted/planning.rs"]
 mod planning;
 #[path = "hosted/quarantine.rs"]
 mod quarantine;
+#[path = "hosted/reference_planner.rs"]
+mod reference_planner;
 #[path = "hosted/requests.rs"]
 mod requests;
-#[path = "hosted/node_census.rs"]
-mod sharing;
 #[path = "hosted/stewards.rs"]
 mod stewards;
 #[path = "hosted/store_era.rs"]
--- a/crates/workshold-core/tests/hosted/capacity.rs
+++ b/crates/workshold-core/tests/hosted/capacity.rs
@@ -39,7 +39,7 @@
     }
 }
 
-fn work(requests: f64, prompt: f64, events: f64, pause_goal: u64) -> Workload {
+fn workload(requests: f64, prompt: f64, events: f64, pause_goal: u64) -> Workload {
     Workload {
         requests,
         prompt_tokens: requests * prompt,
@@ -51,32 +51,35 @@
 /// Measurements at steady load without faults on the users' test bench: the groups of a model, how
 /// many would just have kept up, and the fraction of requests served in time.
 #[rstest]
-#[case::small_with_room("small", 14.0, 8.24, 0.997)]
-#[case::small_close("small", 12.0, 9.9, 0.872)]
-#[case::big_with_room("big", 6.0, 4.28, 0.95)]
-#[case::big_close("big", 6.0, 5.17, 0.87)]
-fn the_part_in_time_is_as_it_was_seen(
+#[case::small_with_spare_capacity("small", 14.0, 8.24, 0.997)]
+#[case::small_near_saturation("small", 12.0, 9.9, 0.872)]
+#[case::big_with_spare_capacity("big", 6.0, 4.28, 0.95)]
+#[case::big_near_saturation("big", 6.0, 5.17, 0.87)]
+fn fraction_in_time_matches_measurement(
     #[case] model: &str,
     #[case] groups: f64,
-    #[case] least: f64,
-    #[case] seen: f64,
+    #[case] min_groups: f64,
+    #[case] measured: f64,
 ) {
     let engine = engine();
     let spec = engine.model(model).unwrap();
-    let one =
-        if model == "big" { work(1.0, 1_680.0, 20.0, 300) } else { work(1.0, 674.0, 35.0, 200) };
-    let asked = one.scaled(least / CapacityEstimate::new(&engine, spec, one).least_groups());
+    let one = if model == "big" {
+        workload(1.0, 1_680.0, 20.0, 300)
+    } else {
+        workload(1.0, 674.0, 35.0, 200)
+    };
+    let asked = one.scaled(min_groups / CapacityEstimate::new(&engine, spec, one).least_groups());
     let load = CapacityEstimate::new(&engine, spec, asked);
-    assert!((load.least_groups() - least).abs() < 1e-9);
+    assert!((load.least_groups() - min_groups).abs() < 1e-9);
     let in_time = load.in_time(groups);
-    assert!((in_time - seen).abs() < 0.06, "{in_time} for {seen}");
+    assert!((in_time - measured).abs() < 0.06, "{in_time} for {measured}");
 }
 
 #[test]
-fn more_groups_are_never_worth_less_and_each_adds_less_in_the_end() {
+fn utility_never_falls_with_more_groups_and_its_gain_vanishes() {
     let engine = engine();
-    let works = [work(60.0, 1_680.0, 20.0, 300), work(150.0, 674.0, 35.0, 200)];
-    for utility in Utility::of_all(&engine, &works, |_| 40) {
+    let workloads = [workload(60.0, 1_680.0, 20.0, 300), workload(150.0, 674.0, 35.0, 200)];
+    for utility in Utility::of_all(&engine, &workloads, |_| 40) {
         let gains: Vec<f64> = (0..40).map(|n| utility.gain(f64::from(n), 1.0)).collect();
         assert!(gains.iter().all(|gain| *gain >= -1e-9), "{gains:?}");
         assert!(gains[39] < gains[0] / 100.0, "{gains:?}");
@@ -84,37 +87,37 @@
 }
 
 #[test]
-fn a_model_that_nobody_asks_for_is_worth_nothing() {
+fn model_without_demand_has_no_utility() {
     let engine = engine();
-    let works = [Workload::default(), work(150.0, 674.0, 35.0, 200)];
-    let utilities = Utility::of_all(&engine, &works, |_| 10);
+    let workloads = [Workload::default(), workload(150.0, 674.0, 35.0, 200)];
+    let utilities = Utility::of_all(&engine, &workloads, |_| 10);
     assert_eq!(utilities[0].gain(0.0, 1.0), 0.0);
 }
 
 #[test]
-fn before_traffic_each_model_is_expected_to_need_its_share() {
+fn expected_demand_uses_each_models_share() {
     let engine = engine();
     for spec in &engine.models {
         let expected = Workload::expected(&engine, spec, 60);
         let instances =
             CapacityEstimate::new(&engine, spec, expected).least_groups() * spec.size as f64;
-        assert!((instances - 18.0).abs() < 0.1, "six tenths of half of 60, not {instances}");
+        assert!((instances - 18.0).abs() < 0.1, "0.6 of half of 60 instances, not {instances}");
     }
 }
 
 #[test]
-fn what_is_asked_is_told_by_the_second_and_fades() {
+fn demand_is_reported_per_second_and_decays() {
     let model = SmolStr::new("big");
     let asked = RequestCost { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
     let mut demand = Demand::default();
     for i in 0..200_u64 {
         demand.on_request(&model, asked, Millis(i * 100));
     }
-    let (_, work) = demand.all(7.0, Millis(20_000))[0].clone();
-    assert!((work.requests - 10.0).abs() < 0.5, "{work:?}");
-    assert!((work.prompt_tokens - 10_000.0).abs() < 500.0, "{work:?}");
-    assert!((work.events - 70.0).abs() < 4.0, "{work:?}");
-    assert_eq!(work.pause_goal, Millis(300));
+    let (_, workload) = demand.all(7.0, Millis(20_000))[0].clone();
+    assert!((workload.requests - 10.0).abs() < 0.5, "{workload:?}");
+    assert!((workload.prompt_tokens - 10_000.0).abs() < 500.0, "{workload:?}");
+    assert!((workload.events - 70.0).abs() < 4.0, "{workload:?}");
+    assert_eq!(workload.pause_goal, Millis(300));
     assert!(demand.observed_fraction(Millis(20_000)) > 0.99);
     let (_, later) = demand.all(7.0, Millis(29_000))[0].clone();
     assert!(later.requests < 0.6, "{later:?}");
@@ -122,7 +125,7 @@
 
 /// Guards against counting a request twice: a refused request is retried by its caller.
 #[test]
-fn refusals_do_not_double_what_is_asked() {
+fn refused_requests_are_not_counted_twice() {
     let model = SmolStr::new("big");
     let asked = RequestCost { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
     let mut demand = Demand::default();
@@ -133,12 +136,12 @@
             demand.on_refusal(&model, asked, at);
         }
     }
-    let (_, work) = demand.all(7.0, Millis(20_000))[0].clone();
-    assert!((work.requests - 10.0).abs() < 0.7, "{work:?}");
+    let (_, workload) = demand.all(7.0, Millis(20_000))[0].clone();
+    assert!((workload.requests - 10.0).abs() < 0.7, "{workload:?}");
 }
 
 #[test]
-fn answers_are_expected_to_be_as_long_as_those_before() {
+fn expected_response_length_follows_past_responses() {
     let model = SmolStr::new("big");
     let asked = RequestCost { prompt_tokens: 1_000.0, pause_goal: Millis(300) };
     let mut demand = Demand::default();
@@ -146,6 +149,6 @@
         demand.on_request(&model, asked, Millis(i * 100));
         demand.on_answer(&model, 30.0, 7.0, Millis(i * 100));
     }
-    let (_, work) = demand.all(7.0, Millis(30_000))[0].clone();
-    assert!((work.events / work.requests - 30.0).abs() < 0.5, "{work:?}");
+    let (_, workload) = demand.all(7.0, Millis(30_000))[0].clone();
+    assert!((workload.events / workload.requests - 30.0).abs() < 0.5, "{workload:?}");
 }
--- a/crates/workshold-core/tests/hosted/planning.rs
+++ b/crates/workshold-core/tests/hosted/planning.rs
@@ -21,7 +21,7 @@
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::ids::ModelName;
 
-use crate::planned_anew;
+use crate::reference_planner;
 
 fn engine() -> Engine {
     let spec = |name: &str, size, pace, share| ModelSpec {
@@ -49,17 +49,17 @@
     }
 }
 
-/// Builds the models for the demands `works`, with the given number of groups each.
-fn models(engine: &Engine, works: &[Workload], groups: [f64; 2]) -> Vec<Model> {
+/// Builds the models for the demands `workloads`, with the given number of groups each.
+fn models(engine: &Engine, workloads: &[Workload], groups: [f64; 2]) -> Vec<Model> {
     let utilities = |factor: f64| {
-        let works: Vec<Workload> = works.iter().map(|work| work.scaled(factor)).collect();
-        Utility::of_all(engine, &works, |_| 60)
+        let workloads: Vec<Workload> = workloads.iter().map(|work| work.scaled(factor)).collect();
+        Utility::of_all(engine, &workloads, |_| 60)
     };
-    let (utility, least, most) = (utilities(1.0), utilities(0.85), utilities(1.15));
+    let (utility, min_groups, most) = (utilities(1.0), utilities(0.85), utilities(1.15));
     let model = |(i, spec): (usize, &ModelSpec)| Model {
         size: spec.size,
         utility: utility[i].clone(),
-        utility_low: least[i].clone(),
+        utility_low: min_groups[i].clone(),
         utility_high: most[i].clone(),
         groups: groups[i],
         drain_time: Millis(2_000),
@@ -68,6 +68,7 @@
     engine.models.iter().enumerate().map(model).collect()
 }
 
+/// A host without any weights.
 fn empty_host(domain: usize, i: usize) -> Host {
     let readiness = HostReadiness {
         needs_load: true,
@@ -88,6 +89,7 @@
     (0..domains).map(domain).collect()
 }
 
+/// Number of groups of each model that the changes form.
 fn formed(changes: &[Change], models: &[Model]) -> [usize; 2] {
     let of = |m: usize| {
         let changes = changes.iter().filter(|change| change.model == m);
@@ -99,29 +101,32 @@
 const BEFORE_TRAFFIC: Limits = Limits { may_close: false, may_load_on_join: true, max_loads: 6 };
 
 #[test]
-fn before_traffic_both_models_get_as_much_beyond_their_need() {
+fn before_traffic_both_models_get_spare_capacity() {
     let engine = engine();
-    let works: Vec<Workload> =
+    let workloads: Vec<Workload> =
         engine.models.iter().map(|spec| Workload::expected(&engine, spec, 48)).collect();
-    let models = models(&engine, &works, [0.0, 0.0]);
+    let models = models(&engine, &workloads, [0.0, 0.0]);
     let changes = planner::plan(empty_domains(6, 8), &models, BEFORE_TRAFFIC);
     let [big, small] = formed(&changes, &models);
-    let least: Vec<f64> = (0..2)
-        .map(|i| CapacityEstimate::new(&engine, &engine.models[i], works[i]).least_groups())
+    let min_groups: Vec<f64> = (0..2)
+        .map(|i| CapacityEstimate::new(&engine, &engine.models[i], workloads[i]).least_groups())
         .collect();
-    assert_eq!(big * 4 + small * 2, 48, "nobody is left over");
-    let spare = [big as f64 / least[0], small as f64 / least[1]];
-    assert!(spare.iter().all(|spare| *spare > 1.4), "{big} and {small} for {least:?}");
+    assert_eq!(big * 4 + small * 2, 48, "no instance is left over");
+    let spare_capacity = [big as f64 / min_groups[0], small as f64 / min_groups[1]];
+    assert!(
+        spare_capacity.iter().all(|spare_capacity| *spare_capacity > 1.4),
+        "{big} and {small} for {min_groups:?}"
+    );
 }
 
 /// Plans a fleet of the size that the system is designed for: 920 instances.
 #[test]
-fn a_plan_for_all_of_a_large_fleet_leaves_nobody_out() {
+fn plan_for_a_large_fleet_uses_every_instance() {
     let engine = engine();
-    let works: Vec<Workload> =
+    let workloads: Vec<Workload> =
         engine.models.iter().map(|spec| Workload::expected(&engine, spec, 920)).collect();
-    let utility = Utility::of_all(&engine, &works, |spec| 920 / spec.size + 1);
-    let mut models = models(&engine, &works, [0.0, 0.0]);
+    let utility = Utility::of_all(&engine, &workloads, |spec| 920 / spec.size + 1);
+    let mut models = models(&engine, &workloads, [0.0, 0.0]);
     for (model, utility) in models.iter_mut().zip(utility) {
         model.utility = utility;
     }
@@ -131,7 +136,7 @@
 }
 
 /// Demand of `requests` per second, each with a prompt of 1,000 tokens and 20 events.
-fn ask(requests: f64) -> Workload {
+fn workload(requests: f64) -> Workload {
     Workload {
         requests,
         prompt_tokens: requests * 1_000.0,
@@ -172,6 +177,7 @@
     Domain { name, free, serving_groups: serving_groups.collect() }
 }
 
+/// Random readiness: weights in memory, on the host, or to be fetched.
 fn random_readiness(rng: &mut ChaCha8Rng, waits_for_head: bool) -> HostReadiness {
     let delay = Millis([500, 1_900, 17_900][rng.random_range(0..3)]);
     HostReadiness {
@@ -183,23 +189,23 @@
 }
 
 #[test]
-fn what_is_kept_up_between_changes_comes_to_the_same_plan_as_working_all_out_anew() {
+fn incremental_plan_equals_reference_plan() {
     let engine = engine();
     let mut changes = 0;
     for seed in 0..400 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let works = [0, 1].map(|_| ask(rng.random_range(0.0..120.0)));
+        let workloads = [0, 1].map(|_| workload(rng.random_range(0.0..120.0)));
         let groups = [0, 1].map(|_| f64::from(rng.random_range(0..20_u32)));
-        let models = models(&engine, &works, groups);
+        let models = models(&engine, &workloads, groups);
         let limits = Limits {
             may_close: rng.random(),
             may_load_on_join: rng.random(),
             max_loads: rng.random_range(0..12),
         };
         let domains = random_domains(&mut rng);
-        let anew = planned_anew::plan_anew(&domains, &models, limits);
-        assert_eq!(planner::plan(domains, &models, limits), anew, "seed {seed}");
-        changes += anew.len();
+        let reference = reference_planner::reference_plan(&domains, &models, limits);
+        assert_eq!(planner::plan(domains, &models, limits), reference, "seed {seed}");
+        changes += reference.len();
     }
-    assert!(changes > 1_000, "{changes} changes prove little");
+    assert!(changes > 1_000, "only {changes} changes were compared");
 }
--- a/crates/workshold-core/tests/hosted/planned_anew.rs
+++ b/crates/workshold-core/tests/hosted/reference_planner.rs
@@ -23,7 +23,7 @@
 const MAX_CHANGES: usize = 4_096;
 
 /// Returns the changes with the highest net gain, in the order in which they were chosen.
-pub fn plan_anew(domains: &[Domain], models: &[Model], limits: Limits) -> Vec<Change> {
+pub fn reference_plan(domains: &[Domain], models: &[Model], limits: Limits) -> Vec<Change> {
     let mut planner = Planner { domains: domains.to_vec(), models: models.to_vec(), limits };
     let mut changes = Vec::new();
     while changes.len() < MAX_CHANGES {
@@ -47,7 +47,7 @@
             for change in self.changes(domain) {
                 let gain_per_instance = change.net_gain / change.members.len() as f64;
                 if change.net_gain > 0.0
-                    && best.as_ref().is_none_or(|(most, _)| gain_per_instance > *most)
+                    && best.as_ref().is_none_or(|(best_gain, _)| gain_per_instance > *best_gain)
                 {
                     best = Some((gain_per_instance, change));
                 }
@@ -66,8 +66,9 @@
             }
             let others = (0..self.models.len()).filter(|other| *other != model);
             for other in others {
-                let most = self.models[model].size.div_ceil(self.models[other].size);
-                changes.extend((1..=most).filter_map(|n| self.convert(domain, model, other, n)));
+                let max_closed = self.models[model].size.div_ceil(self.models[other].size);
+                changes
+                    .extend((1..=max_closed).filter_map(|n| self.convert(domain, model, other, n)));
             }
         }
         changes
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -44,10 +44,10 @@
 }
 
 /// Longer than it takes to ask all other nodes whether they reach an instance.
-const LONG_AGO: Millis = Millis(500);
+const PAST_PROBE_TIME: Millis = Millis(500);
 
 /// Demand of `requests` per second, each with a prompt of 1,000 tokens and 20 events.
-fn ask(requests: f64) -> Workload {
+fn workload(requests: f64) -> Workload {
     Workload {
         requests,
         prompt_tokens: requests * 1_000.0,
@@ -61,19 +61,22 @@
     name: String,
     engine: Engine,
     entries: BTreeMap<String, Entry>,
+    /// Instances that cannot be reached: how certain that is, and since when.
     losses: BTreeMap<Identity, (Loss, Millis)>,
     trust: ListTrust,
     /// Demand for `big` and for `small`.
-    works: [Workload; 2],
+    workloads: [Workload; 2],
     /// Number of groups of `big` and of `small` in all domains.
-    counts: [f64; 2],
+    group_counts: [f64; 2],
+    /// The planner's input for all other domains.
     others: Vec<planner::Domain>,
     may_close: bool,
+    /// The instance last seen as a group's head, by epoch.
     heads: BTreeMap<u64, Identity>,
     /// Epochs of groups of which a member has restarted.
-    broken: BTreeSet<u64>,
+    restarted_epochs: BTreeSet<u64>,
     /// Instances about which not all nodes have been asked yet.
-    unasked: BTreeSet<Identity>,
+    not_fully_probed: BTreeSet<Identity>,
     before_traffic: bool,
     now: Millis,
 }
@@ -108,18 +111,19 @@
             entries: BTreeMap::new(),
             losses: BTreeMap::new(),
             trust: ListTrust::default(),
-            works: [ask(200.0), ask(200.0)],
-            counts: [0.0, 0.0],
+            workloads: [workload(200.0), workload(200.0)],
+            group_counts: [0.0, 0.0],
             others: Vec::new(),
             may_close: false,
             heads: BTreeMap::new(),
-            broken: BTreeSet::new(),
-            unasked: BTreeSet::new(),
+            restarted_epochs: BTreeSet::new(),
+            not_fully_probed: BTreeSet::new(),
             before_traffic: false,
             now: Millis(100_000),
         }
     }
 
+    /// Adds an instance with weights `loaded` in its memory and `staged` on its host.
     fn add(&mut self, name: &str, loaded: &[&str], staged: &[&str]) {
         let names = |models: &[&str]| models.iter().map(|name| model(name)).collect();
         let instance = Instance {
@@ -138,15 +142,16 @@
         self.entries.insert(name.to_owned(), entry);
     }
 
-    /// Restarts an instance under its id; it was a member of the group with epoch `was`.
-    fn begin_anew(&mut self, name: &str, was: u64) {
+    /// Restarts an instance under its id; it was a member of the group with epoch `old_epoch`.
+    fn restart(&mut self, name: &str, old_epoch: u64) {
         self.change(name, |instance| {
             instance.identity.incarnation = Incarnation(instance.identity.incarnation.0 + 1);
             instance.membership = None;
         });
-        self.broken.insert(was);
+        self.restarted_epochs.insert(old_epoch);
     }
 
+    /// Changes what an instance reports.
     fn change(&mut self, name: &str, change: impl FnOnce(&mut Instance)) {
         let entry = self.entries.get_mut(name).unwrap();
         change(Arc::make_mut(&mut entry.instance));
@@ -161,19 +166,20 @@
         }
     }
 
-    fn obey(&mut self, commands: &[Command]) {
+    /// Lets the instances execute orders, each at once.
+    fn execute(&mut self, commands: &[Command]) {
         for command in commands {
             let name = command.to.as_str().to_owned();
             match &command.order {
                 Order::Join { group, epoch, members, .. } => {
                     let rank = members.iter().position(|member| member == &command.to).unwrap();
-                    let own = Membership {
+                    let membership = Membership {
                         group: group.clone(),
                         epoch: *epoch,
                         rank,
                         state: MemberState::Ready,
                     };
-                    self.change(&name, |i| i.membership = Some(own));
+                    self.change(&name, |i| i.membership = Some(membership));
                 }
                 Order::Leave { .. } => self.change(&name, |i| i.membership = None),
                 Order::Open { .. } => self.change(&name, |i| {
@@ -189,8 +195,8 @@
 
     fn models(&self) -> Vec<planner::Model> {
         let utilities = |factor: f64| {
-            let works = self.works.map(|work| work.scaled(factor));
-            Utility::of_all(&self.engine, &works, |_| 200)
+            let workloads = self.workloads.map(|work| work.scaled(factor));
+            Utility::of_all(&self.engine, &workloads, |_| 200)
         };
         let (utility, at_least, at_most) = (utilities(1.0), utilities(0.85), utilities(1.15));
         let model = |i: usize| planner::Model {
@@ -198,13 +204,14 @@
             utility: utility[i].clone(),
             utility_low: at_least[i].clone(),
             utility_high: at_most[i].clone(),
-            groups: self.counts[i],
+            groups: self.group_counts[i],
             drain_time: Millis(2_000),
             load: self.engine.models[i].load,
         };
         (0..2).map(model).collect()
     }
 
+    /// Runs a planning round 200 ms after the last one.
     fn plan(&mut self, steward: &mut Steward) -> Vec<Command> {
         self.now = self.now + Millis(200);
         let domain = FabricDomain::new(&self.name).unwrap();
@@ -212,7 +219,7 @@
         let loss = |id: &Identity| self.losses.get(id).map_or(Loss::None, |(loss, _)| *loss);
         let since = |id: &Identity| self.losses.get(id).map(|(_, since)| *since);
         let head_of = |group: &Group| self.heads.get(&group.epoch).cloned();
-        let has_restarted_member = |group: &Group| self.broken.contains(&group.epoch);
+        let has_restarted_member = |group: &Group| self.restarted_epochs.contains(&group.epoch);
         let models = self.models();
         steward.plan(&DomainContext {
             domain: &domain,
@@ -221,7 +228,7 @@
             trust: &self.trust,
             loss: &loss,
             head_of: &head_of,
-            all_peers_asked: &|id| !self.unasked.contains(id),
+            all_peers_asked: &|id| !self.not_fully_probed.contains(id),
             has_restarted_member: &has_restarted_member,
             suspected_since: &since,
             others: &|| self.others.clone(),
@@ -235,11 +242,13 @@
     }
 }
 
+/// A steward of lease partition 3.
 fn steward(fence: u64) -> Steward {
     Steward::new(StewardRules::default(), 3, fence, Arc::default())
 }
 
-fn kinds(commands: &[Command]) -> Vec<String> {
+/// Orders as text, each with its recipient.
+fn describe(commands: &[Command]) -> Vec<String> {
     let kind = |command: &Command| match &command.order {
         Order::Join { members, .. } => format!("{} join {}", command.to, members.len()),
         Order::Open { .. } => format!("{} open", command.to),
@@ -251,124 +260,124 @@
 }
 
 #[test]
-fn a_group_is_opened_only_when_all_state_that_they_are_ready() {
+fn group_opens_only_when_all_members_report_ready() {
     let mut domain = Domain::new();
     domain.add("i-1", &["small"], &[]);
     domain.add("i-2", &["small"], &[]);
     let mut steward = steward(1);
     let joins = domain.plan(&mut steward);
-    assert_eq!(kinds(&joins), ["i-1 join 2", "i-2 join 2"]);
-    domain.obey(&joins[..1]);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-2 join 2"], "no order to open yet");
-    domain.obey(&joins[1..]);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-1 open"]);
+    assert_eq!(describe(&joins), ["i-1 join 2", "i-2 join 2"]);
+    domain.execute(&joins[..1]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-2 join 2"], "no order to open yet");
+    domain.execute(&joins[1..]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-1 open"]);
 }
 
 #[test]
-fn a_lost_member_closes_its_group_at_once_and_the_head_leaves_before_anybody_is_taken() {
+fn lost_member_closes_group_and_head_leaves_before_members_are_reassigned() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3", "i-4", "i-5"] {
         domain.add(name, &["big"], &["big"]);
     }
     domain.join("big", 5, &["i-1", "i-2", "i-3", "i-4"], MemberState::Open);
-    domain.losses.insert(id("i-3"), (Loss::Confirmed, domain.now - LONG_AGO));
+    domain.losses.insert(id("i-3"), (Loss::Confirmed, domain.now - PAST_PROBE_TIME));
     let mut steward = steward(1);
     let close = domain.plan(&mut steward);
-    assert_eq!(kinds(&close), ["i-1 close cut=true"]);
-    domain.obey(&close);
+    assert_eq!(describe(&close), ["i-1 close cut=true"]);
+    domain.execute(&close);
     // An order to open the group may still be on its way to the head.
     let leave = domain.plan(&mut steward);
-    assert_eq!(kinds(&leave), ["i-5 join 4", "i-1 leave"]);
-    domain.obey(&leave);
+    assert_eq!(describe(&leave), ["i-5 join 4", "i-1 leave"]);
+    domain.execute(&leave);
     let joins = domain.plan(&mut steward);
-    assert_eq!(kinds(&joins), ["i-1 join 4", "i-2 join 4", "i-4 join 4"]);
+    assert_eq!(describe(&joins), ["i-1 join 4", "i-2 join 4", "i-4 join 4"]);
 }
 
 #[test]
-fn members_of_a_head_that_is_only_out_of_reach_are_not_taken() {
+fn members_of_an_unreachable_but_listed_head_are_not_reassigned() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3"] {
         domain.add(name, &["small"], &["small"]);
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
-    domain.losses.insert(id("i-1"), (Loss::Confirmed, domain.now - LONG_AGO));
+    domain.losses.insert(id("i-1"), (Loss::Confirmed, domain.now - PAST_PROBE_TIME));
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0], "the list still has the head");
+    assert_eq!(describe(&domain.plan(&mut steward)), [""; 0], "the list still has the head");
     domain.entries.get_mut("i-1").unwrap().unlisted_since = Some(domain.now + Millis(100));
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-2 join 2", "i-3 join 2"]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-2 join 2", "i-3 join 2"]);
 }
 
 #[test]
-fn a_head_that_leaves_and_refuses_connections_may_still_finish() {
+fn leaving_head_that_refuses_connections_may_still_drain() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3"] {
         domain.add(name, &["small"], &["small"]);
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
     domain.change("i-1", |i| i.is_leaving = true);
-    domain.losses.insert(id("i-1"), (Loss::Ended, domain.now - LONG_AGO));
+    domain.losses.insert(id("i-1"), (Loss::Ended, domain.now - PAST_PROBE_TIME));
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward)), [""; 0]);
     domain.now = domain.now + Millis(11_000);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-2 join 2", "i-3 join 2"]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-2 join 2", "i-3 join 2"]);
 }
 
 #[test]
-fn nobody_is_taken_before_all_nodes_were_asked() {
+fn members_are_not_reassigned_before_peers_had_time_to_probe() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3"] {
         domain.add(name, &["small"], &["small"]);
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
     domain.losses.insert(id("i-1"), (Loss::Ended, domain.now));
-    assert_eq!(kinds(&domain.plan(&mut steward(1))), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward(1))), [""; 0]);
 }
 
 #[test]
-fn a_head_whose_process_is_gone_holds_nobody() {
+fn members_of_a_head_whose_process_ended_are_free() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3"] {
         domain.add(name, &["small"], &["small"]);
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
-    domain.losses.insert(id("i-1"), (Loss::Ended, domain.now - LONG_AGO));
-    assert_eq!(kinds(&domain.plan(&mut steward(1))), ["i-2 join 2", "i-3 join 2"]);
+    domain.losses.insert(id("i-1"), (Loss::Ended, domain.now - PAST_PROBE_TIME));
+    assert_eq!(describe(&domain.plan(&mut steward(1))), ["i-2 join 2", "i-3 join 2"]);
 }
 
 /// After a store outage the list may be missing that the head was leaving, so the head may still
 /// be draining and its members must not be taken.
 #[test]
-fn a_head_that_refuses_connections_after_an_outage_may_have_been_leaving() {
+fn head_that_refuses_connections_after_store_outage_may_have_been_leaving() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3"] {
         domain.add(name, &["small"], &["small"]);
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
-    let since = domain.now - LONG_AGO;
+    let since = domain.now - PAST_PROBE_TIME;
     domain.trust.on_store_failure(since - Millis(100));
     domain.losses.insert(id("i-1"), (Loss::Ended, since));
     domain.entries.get_mut("i-1").unwrap().unlisted_since = Some(domain.now);
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward)), [""; 0]);
     domain.now = domain.now + Millis(11_000);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-2 join 2", "i-3 join 2"]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-2 join 2", "i-3 join 2"]);
 }
 
 #[test]
-fn a_member_that_the_list_lacks_but_that_answers_stays() {
+fn unlisted_but_reachable_member_stays_unless_it_is_the_head() {
     let mut domain = Domain::new();
     domain.add("i-1", &["small"], &[]);
     domain.add("i-2", &["small"], &[]);
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
     domain.entries.get_mut("i-2").unwrap().unlisted_since = Some(domain.now);
-    assert_eq!(kinds(&domain.plan(&mut steward(1))), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward(1))), [""; 0]);
     domain.entries.get_mut("i-1").unwrap().unlisted_since = Some(domain.now);
     let close = domain.plan(&mut steward(1));
-    assert_eq!(kinds(&close), ["i-1 close cut=false"], "but nothing new may go to the head");
+    assert_eq!(describe(&close), ["i-1 close cut=false"], "an unlisted head gets no new requests");
 }
 
 #[test]
-fn epochs_rise_over_parts_given_up_and_fences() {
+fn epochs_rise_across_reacquired_partitions_and_fencing_tokens() {
     let issued = Arc::default();
     let mut last = 0;
     for fence in [10, 10, 11] {
@@ -384,17 +393,17 @@
 }
 
 #[test]
-fn a_group_that_another_steward_formed_is_not_opened() {
+fn group_formed_by_another_steward_is_not_opened() {
     let mut domain = Domain::new();
     domain.add("i-1", &["small"], &[]);
     domain.add("i-2", &["small"], &[]);
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Ready);
     // An order to join another group may be on its way to any of them.
-    assert_eq!(kinds(&domain.plan(&mut steward(2))), ["i-1 leave"]);
+    assert_eq!(describe(&domain.plan(&mut steward(2))), ["i-1 leave"]);
 }
 
 #[test]
-fn only_a_refusal_of_a_current_order_shows_a_higher_fence() {
+fn only_refusal_of_a_current_order_proves_a_higher_fencing_token() {
     let mut domain = Domain::new();
     domain.add("i-1", &["small"], &[]);
     domain.add("i-2", &["small"], &[]);
@@ -404,7 +413,10 @@
     if let Order::Join { epoch, .. } = &mut old.order {
         *epoch -= 1;
     }
-    assert!(!steward.on_reply(&old, OrderReply::Outranked), "a late copy, overtaken by its own");
+    assert!(
+        !steward.on_reply(&old, OrderReply::Outranked),
+        "a late duplicate, overtaken by a newer order"
+    );
     assert!(steward.on_reply(&joins[0], OrderReply::Outranked));
 }
 
@@ -417,27 +429,31 @@
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-1 stage big", "i-2 stage big"]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-1 stage big", "i-2 stage big"]);
     domain.before_traffic = false;
-    let mut later = self::steward(1);
-    assert_eq!(kinds(&domain.plan(&mut later)), [""; 0], "later, others need the store more");
+    let mut later_steward = self::steward(1);
+    assert_eq!(
+        describe(&domain.plan(&mut later_steward)),
+        [""; 0],
+        "under traffic, other loads need the store"
+    );
 }
 
 #[test]
-fn loads_keep_to_the_weight_stores_rate() {
+fn loads_stay_within_the_weight_stores_rate_limit() {
     let mut domain = Domain::new();
     (0..60).for_each(|i| domain.add(&format!("i-{i:02}"), &[], &[]));
     let mut steward = steward(1);
     let commands: Vec<Command> = (0..20).flat_map(|_| domain.plan(&mut steward)).collect();
     let loads = commands.iter().filter(|c| matches!(c.order, Order::Stage { .. })).count();
-    assert!((1..=25).contains(&loads), "{loads} loads in 4 s at 5 a second");
+    assert!((1..=25).contains(&loads), "{loads} loads in 4 s at 5 per second");
 }
 
 /// A domain of 18 instances without any group, before traffic; groups of `big` have eight members.
-fn fresh(turn: usize) -> Domain {
+fn empty_domain(index: usize) -> Domain {
     let mut domain = Domain::new();
-    domain.name = format!("d-{turn:02}");
-    (0..18).for_each(|i| domain.add(&format!("i-{turn:02}-{i:02}"), &[], &[]));
+    domain.name = format!("d-{index:02}");
+    (0..18).for_each(|i| domain.add(&format!("i-{index:02}-{i:02}"), &[], &[]));
     domain.before_traffic = true;
     domain.engine.models[0].size = 8;
     domain
@@ -446,23 +462,24 @@
 /// Before traffic every domain forms its groups without regard to the progress of the others. All
 /// domains together must give both models about the same spare capacity.
 #[test]
-fn domains_that_are_formed_apart_come_to_the_expected_mix() {
+fn domains_formed_independently_reach_the_expected_mix() {
     const DOMAINS: usize = 12;
     let mut formed = [0.0, 0.0];
-    let mut least = [0.0, 0.0];
-    for turn in 0..DOMAINS {
-        let mut domain = fresh(turn);
+    let mut min_groups = [0.0, 0.0];
+    for index in 0..DOMAINS {
+        let mut domain = empty_domain(index);
         for (i, spec) in domain.engine.models.iter().enumerate() {
-            domain.works[i] = Workload::expected(&domain.engine, spec, 18 * DOMAINS);
-            least[i] = CapacityEstimate::new(&domain.engine, spec, domain.works[i]).least_groups();
+            domain.workloads[i] = Workload::expected(&domain.engine, spec, 18 * DOMAINS);
+            min_groups[i] =
+                CapacityEstimate::new(&domain.engine, spec, domain.workloads[i]).least_groups();
         }
-        domain.counts = formed;
-        for other in (0..DOMAINS).filter(|other| *other != turn).map(fresh) {
+        domain.group_counts = formed;
+        for other in (0..DOMAINS).filter(|other| *other != index).map(empty_domain) {
             let entries: Vec<&Entry> = other.entries.values().collect();
             let name = FabricDomain::new(&other.name).unwrap();
             domain.others.push(steward::listed(&name, &entries, &other.engine, true, |_| true));
         }
-        for command in domain.plan(&mut steward(1 + turn as u64)) {
+        for command in domain.plan(&mut steward(1 + index as u64)) {
             if let Order::Join { model: of, members, .. } = command.order {
                 let i = usize::from(of == model("small"));
                 formed[i] += 1.0 / members.len() as f64;
@@ -470,25 +487,25 @@
         }
     }
     // Half of the work is done by groups of eight, half by groups of two.
-    let (big, small) = (formed[0] / least[0], formed[1] / least[1]);
-    assert!((1.3..=2.2).contains(&big), "{big} of what {} do", least[0]);
-    assert!((1.3..=2.2).contains(&small), "{small} of what {} do", least[1]);
+    let (big, small) = (formed[0] / min_groups[0], formed[1] / min_groups[1]);
+    assert!((1.3..=2.2).contains(&big), "{big} times the {} groups needed", min_groups[0]);
+    assert!((1.3..=2.2).contains(&small), "{small} times the {} groups needed", min_groups[1]);
 }
 
 /// Groups that exist or are being formed must not be formed a second time; missing ones must be.
 #[test]
-fn before_traffic_only_what_is_missing_is_formed() {
+fn before_traffic_only_missing_groups_are_formed() {
     let mut domain = Domain::new();
     domain.before_traffic = true;
     ["i-1", "i-2", "i-3", "i-4"].iter().for_each(|name| domain.add(name, &[], &[]));
-    domain.works[0] = ask(0.0);
+    domain.workloads[0] = workload(0.0);
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
-    let orders = kinds(&domain.plan(&mut steward(1)));
+    let orders = describe(&domain.plan(&mut steward(1)));
     assert_eq!(orders[..2], ["i-3 join 2", "i-4 join 2"]);
 }
 
 /// Two groups of `small` whose hosts hold the weights of `big`.
-fn full_of_small() -> Domain {
+fn two_groups_of_small() -> Domain {
     let mut domain = Domain::new();
     domain.may_close = true;
     for name in ["i-1", "i-2", "i-3", "i-4"] {
@@ -501,27 +518,27 @@
 
 /// `big` can hardly keep up with its two groups; `small` has far more than it needs.
 fn short_of_big() -> Domain {
-    let mut domain = full_of_small();
-    domain.works = [ask(30.0), ask(30.0)];
-    domain.counts = [2.0, 12.0];
+    let mut domain = two_groups_of_small();
+    domain.workloads = [workload(30.0), workload(30.0)];
+    domain.group_counts = [2.0, 12.0];
     domain
 }
 
 #[test]
-fn a_group_is_given_up_for_a_model_that_is_short_and_for_nothing_else() {
+fn groups_are_closed_for_a_model_short_of_capacity() {
     let mut domain = short_of_big();
     let mut steward = steward(1);
     let closes = domain.plan(&mut steward);
-    assert_eq!(kinds(&closes), ["i-1 close cut=false", "i-3 close cut=false"]);
+    assert_eq!(describe(&closes), ["i-1 close cut=false", "i-3 close cut=false"]);
     // Until all members are free, no new group is formed and no group is closed again.
-    domain.obey(&closes[..1]);
-    assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
-    domain.obey(&closes[1..]);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-1 leave", "i-3 leave"]);
+    domain.execute(&closes[..1]);
+    assert_eq!(describe(&domain.plan(&mut steward)), [""; 0]);
+    domain.execute(&closes[1..]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-1 leave", "i-3 leave"]);
 }
 
 #[test]
-fn a_group_is_given_up_in_one_domain_of_those_that_could() {
+fn groups_are_closed_in_only_one_of_several_equal_domains() {
     let closed = |name: &str| {
         let mut domain = short_of_big();
         let mut other = planner::Domain {
@@ -530,73 +547,77 @@
             serving_groups: Vec::new(),
         };
         let entries: Vec<&Entry> = domain.entries.values().collect();
-        let own = &domain.engine;
+        let engine = &domain.engine;
         other.serving_groups =
-            steward::listed(&other.name, &entries, own, false, |_| true).serving_groups;
+            steward::listed(&other.name, &entries, engine, false, |_| true).serving_groups;
         domain.others = vec![other];
         // Only one more group of `big` pays off.
-        domain.works[0] = ask(18.0);
+        domain.workloads[0] = workload(18.0);
         domain.plan(&mut steward(1)).len()
     };
-    assert_eq!((closed("c"), closed("e")), (0, 2), "the first by name of two alike");
+    assert_eq!(
+        (closed("c"), closed("e")),
+        (0, 2),
+        "of two equal domains, only the first by name closes groups"
+    );
 }
 
 #[test]
-fn what_is_asked_has_to_be_seen_for_a_while_before_groups_are_closed() {
+fn no_group_is_closed_before_demand_has_been_observed_long_enough() {
     let mut domain = short_of_big();
     domain.may_close = false;
-    assert_eq!(kinds(&domain.plan(&mut steward(1))), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward(1))), [""; 0]);
 }
 
 #[test]
-fn no_group_is_given_up_by_a_model_that_needs_it() {
+fn no_group_is_closed_of_a_model_that_needs_it() {
     let mut domain = short_of_big();
-    domain.works = [ask(30.0), ask(150.0)];
+    domain.workloads = [workload(30.0), workload(150.0)];
     let mut steward = steward(1);
     let commands: Vec<Command> = (0..20).flat_map(|_| domain.plan(&mut steward)).collect();
-    assert_eq!(kinds(&commands), [""; 0]);
+    assert_eq!(describe(&commands), [""; 0]);
 }
 
 #[test]
-fn no_group_is_given_up_where_nobody_gains_by_it() {
+fn no_group_is_closed_without_a_gain() {
     let mut domain = short_of_big();
-    domain.works = [ask(5.0), ask(5.0)];
-    assert_eq!(kinds(&domain.plan(&mut steward(1))), [""; 0]);
+    domain.workloads = [workload(5.0), workload(5.0)];
+    assert_eq!(describe(&domain.plan(&mut steward(1))), [""; 0]);
 }
 
 /// Three members of a group of `big` survive. Two of them could form a group of `small`, but there
 /// are enough of those and the pair would lose its weights of `big`.
 #[test]
-fn survivors_wait_for_a_fourth_rather_than_lose_weights_that_are_scarce() {
+fn survivors_wait_for_a_fourth_member_rather_than_lose_scarce_weights() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3"] {
         domain.add(name, &["big"], &["small"]);
     }
-    domain.works = [ask(60.0), ask(30.0)];
-    domain.counts = [3.0, 12.0];
+    domain.workloads = [workload(60.0), workload(30.0)];
+    domain.group_counts = [3.0, 12.0];
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward)), [""; 0]);
     domain.add("i-4", &[], &["big"]);
     let joins = domain.plan(&mut steward);
     let all = ["i-1 join 4", "i-2 join 4", "i-3 join 4", "i-4 join 4"];
-    assert_eq!(kinds(&joins), all);
+    assert_eq!(describe(&joins), all);
 }
 
 /// A fourth instance fetches the weights that it lacks. Until it has them, no instance is ordered
 /// to join.
 #[test]
-fn weights_are_fetched_for_a_group_before_anybody_is_taken() {
+fn weights_are_fetched_before_members_are_ordered_to_join() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3"] {
         domain.add(name, &["big"], &["small"]);
     }
     domain.add("i-4", &[], &[]);
-    domain.works = [ask(60.0), ask(30.0)];
-    domain.counts = [3.0, 12.0];
+    domain.workloads = [workload(60.0), workload(30.0)];
+    domain.group_counts = [3.0, 12.0];
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-4 stage big"]);
-    let waits: Vec<Command> = (0..10).flat_map(|_| domain.plan(&mut steward)).collect();
-    assert_eq!(kinds(&waits), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-4 stage big"]);
+    let commands: Vec<Command> = (0..10).flat_map(|_| domain.plan(&mut steward)).collect();
+    assert_eq!(describe(&commands), [""; 0]);
     domain.change("i-4", |i| i.staged = vec![model("big")]);
     assert_eq!(domain.plan(&mut steward).len(), 4);
 }
@@ -604,31 +625,31 @@
 /// Fetching the weights of another model to the host must not keep an instance from serving the
 /// model whose weights are in its memory.
 #[test]
-fn an_instance_that_fetches_weights_may_join_what_it_served_last() {
+fn instance_fetching_weights_may_rejoin_its_last_model() {
     let mut domain = Domain::new();
     domain.add("i-1", &[], &[]);
     let mut steward = steward(1);
-    assert_eq!(domain.plan(&mut steward).len(), 1, "it fetches something");
+    assert_eq!(domain.plan(&mut steward).len(), 1, "it fetches weights");
     domain.change("i-1", |i| i.loaded = vec![model("small")]);
     domain.add("i-2", &["small"], &[]);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-1 join 2", "i-2 join 2"]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-1 join 2", "i-2 join 2"]);
 }
 
 #[test]
-fn an_order_is_not_repeated_at_every_look_and_nobody_calls_the_dead() {
+fn no_orders_are_sent_to_a_lost_head() {
     let mut domain = Domain::new();
     domain.add("i-1", &["small"], &[]);
     domain.add("i-2", &["small"], &[]);
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
-    domain.losses.insert(id("i-2"), (Loss::Confirmed, domain.now - LONG_AGO));
-    domain.losses.insert(id("i-1"), (Loss::Confirmed, domain.now - LONG_AGO));
+    domain.losses.insert(id("i-2"), (Loss::Confirmed, domain.now - PAST_PROBE_TIME));
+    domain.losses.insert(id("i-1"), (Loss::Confirmed, domain.now - PAST_PROBE_TIME));
     let mut steward = steward(1);
     let commands: Vec<Command> = (0..5).flat_map(|_| domain.plan(&mut steward)).collect();
-    assert_eq!(kinds(&commands), [""; 0]);
+    assert_eq!(describe(&commands), [""; 0]);
 }
 
 #[test]
-fn members_of_a_head_that_a_new_node_never_saw_are_held_as_long_as_it_may_finish() {
+fn members_of_a_head_unknown_to_a_new_node_are_held_while_it_may_drain() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3"] {
         domain.add(name, &["small"], &["small"]);
@@ -637,9 +658,9 @@
     // The head's entry was removed before this node started; the head still drains for a while.
     domain.entries.remove("i-1");
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward)), [""; 0]);
     domain.now = domain.now + Millis(11_000);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-2 join 2", "i-3 join 2"]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-2 join 2", "i-3 join 2"]);
 }
 
 #[test]
@@ -651,80 +672,80 @@
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Ready);
     domain.change("i-1", |i| i.membership = None);
     domain.heads.insert(5, id("i-1"));
-    assert_eq!(kinds(&domain.plan(&mut steward(1))), ["i-1 join 2", "i-2 join 2"]);
+    assert_eq!(describe(&domain.plan(&mut steward(1))), ["i-1 join 2", "i-2 join 2"]);
 }
 
 /// A serving group of `small` whose second member accepts no connections any more; `is_leaving`
 /// marks that member as leaving.
-fn with_a_member_that_has_stopped_listening(is_leaving: impl FnOnce(&mut Domain)) -> Domain {
+fn group_with_a_member_that_stopped_listening(is_leaving: impl FnOnce(&mut Domain)) -> Domain {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2"] {
         domain.add(name, &["small"], &["small"]);
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
-    domain.losses.insert(id("i-2"), (Loss::Ended, domain.now - LONG_AGO));
+    domain.losses.insert(id("i-2"), (Loss::Ended, domain.now - PAST_PROBE_TIME));
     is_leaving(&mut domain);
     domain
 }
 
 /// Checks that the group is closed without aborting requests: the leaving member goes on with the
 /// head's work while there is any.
-fn closes_and_cuts_nothing(mut domain: Domain) {
+fn assert_closes_without_aborting_requests(mut domain: Domain) {
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-1 close cut=false"]);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-1 close cut=false"]);
     domain.change("i-1", |i| i.membership.as_mut().unwrap().state = MemberState::Closing);
     let commands: Vec<Command> = (0..40).flat_map(|_| domain.plan(&mut steward)).collect();
-    assert_eq!(kinds(&commands), [""; 0], "for eight seconds");
+    assert_eq!(describe(&commands), [""; 0], "for eight seconds");
 }
 
 #[test]
-fn a_member_that_is_leaving_and_has_stopped_listening_cuts_nothing() {
-    closes_and_cuts_nothing(with_a_member_that_has_stopped_listening(|domain| {
+fn leaving_member_that_stopped_listening_aborts_nothing() {
+    assert_closes_without_aborting_requests(group_with_a_member_that_stopped_listening(|domain| {
         domain.change("i-2", |i| i.is_leaving = true);
     }));
 }
 
 /// Some instances never report that they are leaving: their entry is removed while they drain.
 #[test]
-fn a_member_whose_entry_went_before_it_stopped_listening_cuts_nothing() {
-    closes_and_cuts_nothing(with_a_member_that_has_stopped_listening(|domain| {
-        let went = domain.now - Millis(2_500);
-        domain.entries.get_mut("i-2").unwrap().unlisted_since = Some(went);
+fn member_unlisted_before_it_stopped_listening_aborts_nothing() {
+    assert_closes_without_aborting_requests(group_with_a_member_that_stopped_listening(|domain| {
+        let unlisted_since = domain.now - Millis(2_500);
+        domain.entries.get_mut("i-2").unwrap().unlisted_since = Some(unlisted_since);
     }));
 }
 
 /// After a store outage the list may be missing that the member was leaving.
 #[test]
-fn a_member_that_stopped_listening_after_an_outage_cuts_nothing() {
-    closes_and_cuts_nothing(with_a_member_that_has_stopped_listening(|domain| {
-        domain.trust.on_store_failure(domain.now - LONG_AGO - Millis(100));
+fn member_that_stopped_listening_after_store_outage_aborts_nothing() {
+    assert_closes_without_aborting_requests(group_with_a_member_that_stopped_listening(|domain| {
+        domain.trust.on_store_failure(domain.now - PAST_PROBE_TIME - Millis(100));
     }));
 }
 
 /// A member that has had the time to drain counts as lost like any other.
 #[test]
-fn a_member_that_left_long_ago_cuts_what_stands_still() {
-    let mut domain = with_a_member_that_has_stopped_listening(|domain| {
+fn member_that_left_long_ago_aborts_the_stalled_requests() {
+    let mut domain = group_with_a_member_that_stopped_listening(|domain| {
         domain.change("i-2", |i| i.is_leaving = true);
     });
     domain.change("i-1", |i| i.membership.as_mut().unwrap().state = MemberState::Closing);
     domain.now = domain.now + Millis(11_000);
-    assert_eq!(kinds(&domain.plan(&mut steward(1))), ["i-1 close cut=true"]);
+    assert_eq!(describe(&domain.plan(&mut steward(1))), ["i-1 close cut=true"]);
 }
 
 /// The member's entry was removed before this node started, and it may still be draining.
 #[test]
-fn a_member_that_a_new_node_never_saw_cuts_nothing() {
-    let mut domain = with_a_member_that_has_stopped_listening(|_| {});
+fn member_unknown_to_a_new_node_aborts_nothing() {
+    let mut domain = group_with_a_member_that_stopped_listening(|_| {});
     domain.entries.remove("i-2");
     domain.losses.clear();
-    closes_and_cuts_nothing(domain);
+    assert_closes_without_aborting_requests(domain);
 }
 
 /// Guards against aborting the requests of an intact group: two nodes whose links are congested at
 /// the same time agree at once that an instance is silent, and both are wrong.
 #[test]
-fn no_group_is_cut_before_all_others_have_been_asked_for_its_member() {
+fn no_requests_are_aborted_before_peers_had_time_to_probe_the_member() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2"] {
         domain.add(name, &["small"], &["small"]);
@@ -732,55 +753,55 @@
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Open);
     domain.losses.insert(id("i-2"), (Loss::Confirmed, domain.now - Millis(10)));
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward)), [""; 0]);
 }
 
 /// During a rollout a leaving member stops accepting connections but goes on with the head's
 /// requests. Its refusals must not be taken for the end of its process.
 #[test]
-fn a_closing_group_whose_leaving_member_refuses_connections_may_still_finish() {
+fn closing_group_whose_leaving_member_refuses_connections_may_still_drain() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2"] {
         domain.add(name, &["small"], &["small"]);
     }
     domain.join("small", 5, &["i-1", "i-2"], MemberState::Closing);
     domain.change("i-2", |i| i.is_leaving = true);
-    domain.losses.insert(id("i-2"), (Loss::Ended, domain.now - LONG_AGO));
+    domain.losses.insert(id("i-2"), (Loss::Ended, domain.now - PAST_PROBE_TIME));
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
+    assert_eq!(describe(&domain.plan(&mut steward)), [""; 0]);
 }
 
 /// A member restarts under its id while all others report the same membership as before.
 #[test]
-fn a_group_with_a_member_that_began_anew_is_cut_at_once() {
+fn group_with_a_restarted_member_is_aborted_at_once() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3", "i-4"] {
         domain.add(name, &["big"], &["big"]);
     }
     domain.join("big", 5, &["i-1", "i-2", "i-3", "i-4"], MemberState::Open);
-    domain.begin_anew("i-3", 5);
+    domain.restart("i-3", 5);
     let mut steward = steward(1);
     let close = domain.plan(&mut steward);
-    assert_eq!(kinds(&close), ["i-1 close cut=true"]);
+    assert_eq!(describe(&close), ["i-1 close cut=true"]);
 }
 
 /// When the head itself restarts, the group serves nothing and all members are free at once.
 #[test]
-fn members_of_a_head_that_began_anew_are_free() {
+fn members_of_a_restarted_head_are_free() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3", "i-4"] {
         domain.add(name, &["big"], &["big"]);
     }
     domain.join("big", 5, &["i-1", "i-2", "i-3", "i-4"], MemberState::Open);
     domain.heads.insert(5, id("i-1"));
-    domain.begin_anew("i-1", 5);
+    domain.restart("i-1", 5);
     let mut steward = steward(1);
     let joins = domain.plan(&mut steward);
-    assert_eq!(kinds(&joins), ["i-1 join 4", "i-2 join 4", "i-3 join 4", "i-4 join 4"]);
+    assert_eq!(describe(&joins), ["i-1 join 4", "i-2 join 4", "i-3 join 4", "i-4 join 4"]);
 }
 
 /// Epochs of the groups that instances are ordered to join.
-fn joined(commands: &[Command]) -> BTreeSet<u64> {
+fn joined_epochs(commands: &[Command]) -> BTreeSet<u64> {
     let epoch = |command: &Command| match &command.order {
         Order::Join { epoch, .. } => Some(*epoch),
         _ => None,
@@ -791,49 +812,52 @@
 /// An instance that was ordered to join restarts before it replies. Its new incarnation is not a
 /// member of that group.
 #[test]
-fn an_order_to_an_earlier_life_is_not_repeated_to_the_next() {
+fn order_to_an_earlier_incarnation_is_not_repeated_to_the_next() {
     let mut domain = Domain::new();
     domain.add("i-1", &["small"], &[]);
     domain.add("i-2", &["small"], &[]);
     let mut steward = steward(1);
     let first = domain.plan(&mut steward);
-    domain.obey(&first[..1]);
-    domain.begin_anew("i-2", 0);
+    domain.execute(&first[..1]);
+    domain.restart("i-2", 0);
     let next = domain.plan(&mut steward);
-    assert!(joined(&first).is_disjoint(&joined(&next)), "{next:?}");
+    assert!(joined_epochs(&first).is_disjoint(&joined_epochs(&next)), "{next:?}");
 }
 
 /// A restart that the incarnation does not show: two starts within a millisecond, or a clock that
 /// went back.
 #[test]
-fn a_member_that_has_left_a_formation_is_not_told_to_join_it_again() {
+fn member_that_left_a_formation_is_not_ordered_to_join_it_again() {
     let mut domain = Domain::new();
     domain.add("i-1", &["small"], &[]);
     domain.add("i-2", &["small"], &[]);
     let mut steward = steward(1);
     let joins = domain.plan(&mut steward);
-    domain.obey(&joins);
-    assert_eq!(kinds(&domain.plan(&mut steward)), ["i-1 open"]);
+    domain.execute(&joins);
+    assert_eq!(describe(&domain.plan(&mut steward)), ["i-1 open"]);
     domain.change("i-2", |instance| instance.membership = None);
     let next = domain.plan(&mut steward);
-    assert!(joined(&joins).is_disjoint(&joined(&next)), "it is given up: {next:?}");
-    assert!(kinds(&next).contains(&"i-1 leave".to_owned()), "its head has to leave it first");
+    assert!(
+        joined_epochs(&joins).is_disjoint(&joined_epochs(&next)),
+        "the formation is abandoned: {next:?}"
+    );
+    assert!(describe(&next).contains(&"i-1 leave".to_owned()), "its head has to leave first");
 }
 
 /// Only a few nodes probe an instance on behalf of all. A head that none of them reaches may still
 /// serve others, until all nodes have been asked.
 #[test]
-fn members_of_a_head_are_not_taken_before_all_nodes_were_asked_for_it() {
+fn members_are_not_reassigned_before_all_nodes_were_asked_about_the_head() {
     let mut domain = Domain::new();
     for name in ["i-1", "i-2", "i-3", "i-4", "i-5"] {
         domain.add(name, &["big"], &["big"]);
     }
     domain.join("big", 5, &["i-1", "i-2", "i-3", "i-4"], MemberState::Open);
-    domain.losses.insert(id("i-1"), (Loss::Ended, domain.now - LONG_AGO));
-    domain.unasked.insert(id("i-1"));
+    domain.losses.insert(id("i-1"), (Loss::Ended, domain.now - PAST_PROBE_TIME));
+    domain.not_fully_probed.insert(id("i-1"));
     let mut steward = steward(1);
-    assert_eq!(kinds(&domain.plan(&mut steward)), [""; 0]);
-    domain.unasked.clear();
+    assert_eq!(describe(&domain.plan(&mut steward)), [""; 0]);
+    domain.not_fully_probed.clear();
     let joins = domain.plan(&mut steward);
-    assert_eq!(kinds(&joins), ["i-2 join 4", "i-3 join 4", "i-4 join 4", "i-5 join 4"]);
+    assert_eq!(describe(&joins), ["i-2 join 4", "i-3 join 4", "i-4 join 4", "i-5 join 4"]);
 }
