--- a/crates/workshold-core/src/hosted/groups.rs
+++ b/crates/workshold-core/src/hosted/groups.rs
@@ -15,7 +15,7 @@
 pub struct Group {
     /// Name of the group.
     pub id: GroupId,
-    /// Epoch under which it was formed; unique to this group.
+    /// Epoch under which it was formed.
     pub epoch: u64,
     /// Instances that report membership, by rank.
     pub members: BTreeMap<usize, Arc<Instance>>,
--- a/crates/workshold-core/src/hosted/planner.rs
+++ b/crates/workshold-core/src/hosted/planner.rs
@@ -106,13 +106,13 @@
 
 /// How long the current request mix is expected to last.
 const MIX_LIFETIME: Millis = Millis::from_secs(30);
-/// Cost of one load of weights, in instance-seconds: every order takes time, and every change
+/// Cost of one load of weights, in instance-seconds: every order has a price, and every change
 /// can fail.
 const LOAD_COST_INSTANCE_S: f64 = 0.2;
 /// Cost of closing one group, in instance-seconds, for the same reasons.
 const CLOSE_COST_INSTANCE_S: f64 = 1.0;
 /// Probability that discarded weights are needed before they can be fetched again.
-const DISCARDED_WEIGHTS_NEEDED: f64 = 0.5;
+const WEIGHT_MISS_PROBABILITY: f64 = 0.5;
 /// Most changes in one plan; the next plan has the others.
 const MAX_CHANGES: usize = 4_096;
 
@@ -156,6 +156,7 @@
     lost: Vec<usize>,
 }
 
+/// What a candidate does.
 #[derive(Debug, Clone, Copy)]
 enum CandidateKind {
     /// Form one more group.
@@ -173,6 +174,7 @@
     },
 }
 
+/// A plan in progress: domains and models as they are after the changes chosen so far.
 struct Planner {
     /// Candidate changes by domain.
     candidates: Vec<Vec<Candidate>>,
@@ -182,6 +184,7 @@
 }
 
 impl Planner {
+    /// The candidate with the highest net gain per instance; `None` if none has a positive one.
     fn best(&self) -> Option<Change> {
         let mut best: Option<(f64, f64, &Candidate)> = None;
         for candidate in self.candidates.iter().flatten() {
@@ -235,8 +238,8 @@
         let members = self.soonest_ready(all.iter().copied(), model, formed * own_size)?;
         let is_leftover = |host: &&&Host| !members.iter().any(|member| member.id == host.id);
         let can_reform = |host: &&&Host| !host.readiness[donor].needs_load;
-        let left = all.iter().filter(is_leftover).filter(can_reform).count();
-        let reformed = (left / donor_size).min(closed);
+        let leftover = all.iter().filter(is_leftover).filter(can_reform).count();
+        let reformed = (leftover / donor_size).min(closed);
         let net_closed = closed as f64 - reformed as f64;
         let kind = CandidateKind::Convert { donor, closed, formed, net_closed };
         self.candidate(domain, model, &members, &donors, kind)
@@ -281,6 +284,7 @@
         Some(hosts)
     }
 
+    /// Builds a candidate; its delay is that of the last member to be ready.
     fn candidate(
         &self,
         domain: usize,
@@ -341,15 +345,18 @@
         gain * lifetime_s - costs
     }
 
+    /// Cost of the weights that members lose and that may be needed before they can be fetched
+    /// again, in instance-seconds.
     fn weights_lost(&self, candidate: &Candidate) -> f64 {
         let lost = self.models.iter().zip(&candidate.lost).filter(|(_, hosts)| **hosts > 0);
         let costs = lost.map(|(model, hosts)| {
             let gain_per_instance = model.utility.gain(model.groups, 1.0) / model.size as f64;
-            *hosts as f64 * gain_per_instance * model.load.as_secs_f64() * DISCARDED_WEIGHTS_NEEDED
+            *hosts as f64 * gain_per_instance * model.load.as_secs_f64() * WEIGHT_MISS_PROBABILITY
         });
         costs.sum()
     }
 
+    /// Applies a chosen change, so that the next ones are planned on top of it.
     fn apply(&mut self, change: &Change) {
         let domain = &mut self.domains[change.domain];
         let (closed, kept): (Vec<ServingGroup>, Vec<ServingGroup>) = domain
--- a/crates/workshold-core/src/hosted/steward.rs
+++ b/crates/workshold-core/src/hosted/steward.rs
@@ -306,14 +306,7 @@
             Some(MemberState::Open) => self.review_open_group(group, head, cx, commands),
             Some(MemberState::Closing) => {
                 if cx.has_lost_member(group) {
-                    self.close(
-                        group,
-                        head,
-                        true,
-                        "the group lost a member while draining",
-                        cx,
-                        commands,
-                    );
+                    self.close(group, head, true, "a draining group lost a member", cx, commands);
                 }
                 GroupUse::InUse
             }
@@ -442,15 +435,7 @@
             };
             if members.iter().all(is_ready) {
                 let order = Order::Open { group: forming.group.clone(), epoch };
-                self.send(
-                    members[0],
-                    epoch,
-                    "open",
-                    order,
-                    "all members are ready",
-                    cx.now,
-                    commands,
-                );
+                self.send(members[0], epoch, "open", order, "members are ready", cx.now, commands);
             }
         }
     }
--- a/crates/workshold-core/src/hosted/steward/planner_input.rs
+++ b/crates/workshold-core/src/hosted/steward/planner_input.rs
@@ -161,9 +161,9 @@
     }
     for group in groups::collate(fit.iter().copied()) {
         let Some(model) = model_index(&group, engine) else { continue };
-        let is_whole = group.members.len() == engine.models[model].size;
+        let is_complete = group.members.len() == engine.models[model].size;
         match group.state() {
-            Some(MemberState::Open) if is_whole => {
+            Some(MemberState::Open) if is_complete => {
                 let members = hosts(&group);
                 domain.serving_groups.push(ServingGroup { epoch: group.epoch, model, members });
             }
@@ -171,8 +171,8 @@
             _ => domain.free.extend(hosts(&group)),
         }
     }
-    let none = fit.iter().filter(|entry| entry.instance.membership.is_none());
-    domain.free.extend(none.map(|entry| host(&entry.instance, false, engine, before_traffic)));
+    let ungrouped = fit.iter().filter(|entry| entry.instance.membership.is_none());
+    domain.free.extend(ungrouped.map(|entry| host(&entry.instance, false, engine, before_traffic)));
     domain
 }
 
@@ -187,8 +187,8 @@
 /// Whether a group is complete and open.
 fn is_serving(group: &Group, engine: &Engine) -> bool {
     let spec = engine.model(group.model());
-    let is_whole = spec.is_some_and(|spec| group.members.len() == spec.size);
-    is_whole && group.state() == Some(MemberState::Open)
+    let is_complete = spec.is_some_and(|spec| group.members.len() == spec.size);
+    is_complete && group.state() == Some(MemberState::Open)
 }
 
 /// Index of a group's model in the configuration; `None` if it is not configured.
--- a/crates/workshold-core/src/hosted/steward/planning.rs
+++ b/crates/workshold-core/src/hosted/steward/planning.rs
@@ -121,17 +121,17 @@
         };
         begun.extend(groups_of_others.filter(exists).map(Group::model));
         let mut free: Vec<&Identity> = pool.iter().map(|free| &free.instance().identity).collect();
-        let mut left = Vec::new();
+        let mut missing = Vec::new();
         for mut change in changes {
             let spec = &cx.engine.models[change.model];
             if let Some(at) = begun.iter().position(|model| *model == spec.name.as_str()) {
                 begun.swap_remove(at);
             } else if free.len() >= spec.size {
                 change.members = free.drain(..spec.size).cloned().collect();
-                left.push(change);
+                missing.push(change);
             }
         }
-        left
+        missing
     }
 
     /// Executes the changes that are possible now; the next round plans the others again.
--- a/crates/workshold-core/src/hosted/steward/staging.rs
+++ b/crates/workshold-core/src/hosted/steward/staging.rs
@@ -99,15 +99,7 @@
         }
         let before = commands.len();
         let order = Order::Stage { model: model.name.clone() };
-        self.send(
-            instance,
-            0,
-            "stage",
-            order,
-            "the host will need these weights",
-            cx.now,
-            commands,
-        );
+        self.send(instance, 0, "stage", order, "host will need the weights", cx.now, commands);
         if commands.len() > before {
             self.recent_loads.push_back(cx.now);
             self.staging.insert(instance.identity.clone(), (model.name.clone(), cx.now));
--- a/crates/workshold-core/tests/hosted/reference_planner.rs
+++ b/crates/workshold-core/tests/hosted/reference_planner.rs
@@ -12,13 +12,13 @@
 
 /// How long the current request mix is expected to last.
 const MIX_LIFETIME: Millis = Millis::from_secs(30);
-/// Cost of one load of weights, in instance-seconds: every order takes time, and every change
+/// Cost of one load of weights, in instance-seconds: every order has a price, and every change
 /// can fail.
 const LOAD_COST_INSTANCE_S: f64 = 0.2;
 /// Cost of closing one group, in instance-seconds, for the same reasons.
 const CLOSE_COST_INSTANCE_S: f64 = 1.0;
 /// Probability that discarded weights are needed before they can be fetched again.
-const DISCARDED_WEIGHTS_NEEDED: f64 = 0.5;
+const WEIGHT_MISS_PROBABILITY: f64 = 0.5;
 /// Most changes in one plan; the next plan has the others.
 const MAX_CHANGES: usize = 4_096;
 
@@ -92,8 +92,8 @@
         let members = self.soonest_ready(all.iter().copied(), model, formed * own.size)?;
         let is_leftover = |host: &&&Host| !members.iter().any(|member| member.id == host.id);
         let can_reform = |host: &&&Host| !host.readiness[other].needs_load;
-        let left = all.iter().filter(is_leftover).filter(can_reform).count();
-        let reformed = (left / donor.size).min(closed);
+        let leftover = all.iter().filter(is_leftover).filter(can_reform).count();
+        let reformed = (leftover / donor.size).min(closed);
         let net_change = reformed as f64 - closed as f64;
         let gain = own.utility_low.gain(own.groups, formed as f64)
             + donor.utility_high.gain(donor.groups, net_change);
@@ -187,7 +187,7 @@
             let hosts = members.iter().filter(has_weights).filter(loses_weights).count() as f64;
             let gain_per_instance =
                 model_of.utility.gain(model_of.groups, 1.0) / model_of.size as f64;
-            hosts * gain_per_instance * model_of.load.as_secs_f64() * DISCARDED_WEIGHTS_NEEDED
+            hosts * gain_per_instance * model_of.load.as_secs_f64() * WEIGHT_MISS_PROBABILITY
         });
         lost.sum()
     }
