--- a/crates/workshold-core/src/hosted/capacity.rs
+++ b/crates/workshold-core/src/hosted/capacity.rs
@@ -198,8 +198,8 @@
         pairs().map(utility).collect()
     }
 
-    /// Utility of up to `max_groups` groups of `spec`, where serving all of `workload` in time is worth
-    /// `instances`.
+    /// Utility of up to `max_groups` groups of `spec`, where serving all of `workload` in time
+    /// has the utility `instances`.
     fn new(
         engine: &Engine,
         spec: &ModelSpec,
--- a/crates/workshold-core/src/hosted/serving_config.rs
+++ b/crates/workshold-core/src/hosted/serving_config.rs
@@ -16,8 +16,7 @@
     Idempotent,
     /// Runs at most once.
     AtMostOnce,
-    /// The response is a stream of events; whether it may run again is told by
-    /// [`Route::is_resumable`].
+    /// The response is a stream of events; [`Route::is_resumable`] says whether it may run again.
     Stream,
 }
 
@@ -215,8 +214,8 @@
         let requires_keys = teams.is_some();
         let mut names = Vec::new();
         let mut keys = HashMap::new();
-        for (team, own) in teams.unwrap_or_default() {
-            keys.extend(own.into_iter().map(|key| (key, names.len())));
+        for (team, team_keys) in teams.unwrap_or_default() {
+            keys.extend(team_keys.into_iter().map(|key| (key, names.len())));
             names.push(team);
         }
         let upstreams = upstreams.into_iter().map(|up| (up.name.clone(), up)).collect();
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -345,7 +345,7 @@
 }
 
 /// After a store outage the list may be missing that the head was leaving, so the head may still
-/// be draining and its members must not be taken.
+/// be draining and its members must not be reassigned.
 #[test]
 fn head_that_refuses_connections_after_store_outage_may_have_been_leaving() {
     let mut domain = Domain::new();
