--- a/crates/workshold-core/src/hosted/capacity.rs
+++ b/crates/workshold-core/src/hosted/capacity.rs
@@ -177,8 +177,8 @@
 }
 
 impl Utility {
-    /// Utility of up to `max_groups` groups of each model of `engine`, for the demands `workloads` in
-    /// the same order.
+    /// Utility of up to `max_groups` groups of each model of `engine`, for the demands `workloads`
+    /// in the same order.
     pub fn of_all(
         engine: &Engine,
         workloads: &[Workload],
--- a/crates/workshold-core/src/hosted/partition_lease.rs
+++ b/crates/workshold-core/src/hosted/partition_lease.rs
@@ -38,8 +38,9 @@
     /// Forbids orders before `trusted_from`.
     ///
     /// Used when the store has just been restored from a backup copy, so that what it says about
-    /// instances and about the partition's previous holder is outdated. By `trusted_from` the leases
-    /// of all previous holders have expired, including those that this node does not know of.
+    /// instances and about the partition's previous holder is outdated. By `trusted_from` the
+    /// leases of all previous holders have expired, including those that this node does not know
+    /// of.
     pub fn with_earliest_order_at(self, trusted_from: Millis) -> Self {
         Self { not_before: trusted_from, ..self }
     }
