--- a/crates/workshold-core/tests/hosted/planning.rs
+++ b/crates/workshold-core/tests/hosted/planning.rs
@@ -1,4 +1,4 @@
-//! The plan for all domains.
+//! Tests of the plan over all domains.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -10,10 +10,10 @@
 use workshold_core::hosted::planner::Change;
 use workshold_core::hosted::planner::Domain;
 use workshold_core::hosted::planner::Host;
+use workshold_core::hosted::planner::HostReadiness;
 use workshold_core::hosted::planner::Limits;
 use workshold_core::hosted::planner::Model;
-use workshold_core::hosted::planner::Ready;
-use workshold_core::hosted::planner::Standing;
+use workshold_core::hosted::planner::ServingGroup;
 use workshold_core::hosted::serving_config::Engine;
 use workshold_core::hosted::serving_config::ModelSpec;
 use workshold_protocol::Millis;
@@ -21,7 +21,7 @@
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::ids::ModelName;
 
-use crate::planned_anew;
+use crate::reference_planner;
 
 fn engine() -> Engine {
     let spec = |name: &str, size, pace, share| ModelSpec {
@@ -49,17 +49,17 @@
     }
 }
 
-/// Models for `works`, with so many groups each.
-fn models(engine: &Engine, works: &[Workload], groups: [f64; 2]) -> Vec<Model> {
+/// Builds the models for the demands `workloads`, with the given number of groups each.
+fn models(engine: &Engine, workloads: &[Workload], groups: [f64; 2]) -> Vec<Model> {
     let utilities = |factor: f64| {
-        let works: Vec<Workload> = works.iter().map(|work| work.scaled(factor)).collect();
-        Utility::of_all(engine, &works, |_| 60)
+        let workloads: Vec<Workload> = workloads.iter().map(|work| work.scaled(factor)).collect();
+        Utility::of_all(engine, &workloads, |_| 60)
     };
-    let (utility, least, most) = (utilities(1.0), utilities(0.85), utilities(1.15));
+    let (utility, min_groups, most) = (utilities(1.0), utilities(0.85), utilities(1.15));
     let model = |(i, spec): (usize, &ModelSpec)| Model {
         size: spec.size,
         utility: utility[i].clone(),
-        utility_low: least[i].clone(),
+        utility_low: min_groups[i].clone(),
         utility_high: most[i].clone(),
         groups: groups[i],
         drain_time: Millis(2_000),
@@ -68,21 +68,28 @@
     engine.models.iter().enumerate().map(model).collect()
 }
 
+/// A host without any weights.
 fn empty_host(domain: usize, i: usize) -> Host {
-    let ready = Ready { needs_load: true, waits: false, after: Millis(3_500), is_bound: false };
+    let readiness = HostReadiness {
+        needs_load: true,
+        waits_for_weights: false,
+        delay: Millis(3_500),
+        waits_for_head: false,
+    };
     let id = InstanceId::new(&format!("i-{domain}-{i}")).unwrap();
-    Host { id: id.into(), ready: vec![ready; 2] }
+    Host { id: id.into(), readiness: vec![readiness; 2] }
 }
 
 fn empty_domains(domains: usize, hosts: usize) -> Vec<Domain> {
     let domain = |d: usize| Domain {
         name: FabricDomain::new(&format!("d-{d}")).unwrap(),
         free: (0..hosts).map(|i| empty_host(d, i)).collect(),
-        standing: Vec::new(),
+        serving_groups: Vec::new(),
     };
     (0..domains).map(domain).collect()
 }
 
+/// Number of groups of each model that the changes form.
 fn formed(changes: &[Change], models: &[Model]) -> [usize; 2] {
     let of = |m: usize| {
         let changes = changes.iter().filter(|change| change.model == m);
@@ -91,32 +98,35 @@
     [of(0), of(1)]
 }
 
-const BEFORE_TRAFFIC: Limits = Limits { may_close: false, joins_load: true, loads: 6 };
+const BEFORE_TRAFFIC: Limits = Limits { may_close: false, may_load_on_join: true, max_loads: 6 };
 
 #[test]
-fn before_traffic_both_models_get_as_much_beyond_their_need() {
+fn before_traffic_both_models_get_spare_capacity() {
     let engine = engine();
-    let works: Vec<Workload> =
+    let workloads: Vec<Workload> =
         engine.models.iter().map(|spec| Workload::expected(&engine, spec, 48)).collect();
-    let models = models(&engine, &works, [0.0, 0.0]);
+    let models = models(&engine, &workloads, [0.0, 0.0]);
     let changes = planner::plan(empty_domains(6, 8), &models, BEFORE_TRAFFIC);
     let [big, small] = formed(&changes, &models);
-    let least: Vec<f64> = (0..2)
-        .map(|i| CapacityEstimate::new(&engine, &engine.models[i], works[i]).least_groups())
+    let min_groups: Vec<f64> = (0..2)
+        .map(|i| CapacityEstimate::new(&engine, &engine.models[i], workloads[i]).least_groups())
         .collect();
-    assert_eq!(big * 4 + small * 2, 48, "nobody is left over");
-    let spare = [big as f64 / least[0], small as f64 / least[1]];
-    assert!(spare.iter().all(|spare| *spare > 1.4), "{big} and {small} for {least:?}");
+    assert_eq!(big * 4 + small * 2, 48, "no instance is left over");
+    let spare_capacity = [big as f64 / min_groups[0], small as f64 / min_groups[1]];
+    assert!(
+        spare_capacity.iter().all(|spare_capacity| *spare_capacity > 1.4),
+        "{big} and {small} for {min_groups:?}"
+    );
 }
 
-/// The size that the system is designed for: 920 instances.
+/// Plans a fleet of the size that the system is designed for: 920 instances.
 #[test]
-fn a_plan_for_all_of_a_large_fleet_leaves_nobody_out() {
+fn plan_for_a_large_fleet_uses_every_instance() {
     let engine = engine();
-    let works: Vec<Workload> =
+    let workloads: Vec<Workload> =
         engine.models.iter().map(|spec| Workload::expected(&engine, spec, 920)).collect();
-    let utility = Utility::of_all(&engine, &works, |spec| 920 / spec.size + 1);
-    let mut models = models(&engine, &works, [0.0, 0.0]);
+    let utility = Utility::of_all(&engine, &workloads, |spec| 920 / spec.size + 1);
+    let mut models = models(&engine, &workloads, [0.0, 0.0]);
     for (model, utility) in models.iter_mut().zip(utility) {
         model.utility = utility;
     }
@@ -125,8 +135,8 @@
     assert_eq!(big * 4 + small * 2, 928);
 }
 
-/// So many requests a second with a prompt of 1,000 tokens and 20 events each.
-fn ask(requests: f64) -> Workload {
+/// Demand of `requests` per second, each with a prompt of 1,000 tokens and 20 events.
+fn workload(requests: f64) -> Workload {
     Workload {
         requests,
         prompt_tokens: requests * 1_000.0,
@@ -135,18 +145,21 @@
     }
 }
 
-/// Domains with hosts and groups in any state.
-fn any_domains(rng: &mut ChaCha8Rng) -> Vec<Domain> {
+/// Random domains with hosts and groups in any state.
+fn random_domains(rng: &mut ChaCha8Rng) -> Vec<Domain> {
     let domains = rng.random_range(1..8);
-    (0..domains).map(|domain| any_domain(rng, domain)).collect()
+    (0..domains).map(|domain| random_domain(rng, domain)).collect()
 }
 
-fn any_domain(rng: &mut ChaCha8Rng, domain: usize) -> Domain {
+fn random_domain(rng: &mut ChaCha8Rng, domain: usize) -> Domain {
     let mut count = 0;
-    let mut hosts = |rng: &mut ChaCha8Rng, n: usize, is_bound: bool| -> Vec<Host> {
+    let mut hosts = |rng: &mut ChaCha8Rng, n: usize, waits_for_head: bool| -> Vec<Host> {
         let host = |i: usize| {
             let id = InstanceId::new(&format!("i-{domain}-{}", count + i)).unwrap();
-            Host { id: id.into(), ready: (0..2).map(|_| any_ready(rng, is_bound)).collect() }
+            Host {
+                id: id.into(),
+                readiness: (0..2).map(|_| random_readiness(rng, waits_for_head)).collect(),
+            }
         };
         let hosts = (0..n).map(host).collect();
         count += n;
@@ -155,38 +168,44 @@
     let free = rng.random_range(0..9);
     let free = hosts(rng, free, false);
     let groups = rng.random_range(0..4);
-    let standing = (0..groups).map(|epoch| {
+    let serving_groups = (0..groups).map(|epoch| {
         let model = rng.random_range(0..2);
         let members = hosts(rng, [4, 2][model], true);
-        Standing { epoch, model, members }
+        ServingGroup { epoch, model, members }
     });
     let name = FabricDomain::new(&format!("d-{domain}")).unwrap();
-    Domain { name, free, standing: standing.collect() }
+    Domain { name, free, serving_groups: serving_groups.collect() }
 }
 
-fn any_ready(rng: &mut ChaCha8Rng, is_bound: bool) -> Ready {
-    let after = Millis([500, 1_900, 17_900][rng.random_range(0..3)]);
-    Ready { needs_load: after > Millis(10_000), waits: rng.random_bool(0.1), after, is_bound }
+/// Random readiness: weights in memory, on the host, or to be fetched.
+fn random_readiness(rng: &mut ChaCha8Rng, waits_for_head: bool) -> HostReadiness {
+    let delay = Millis([500, 1_900, 17_900][rng.random_range(0..3)]);
+    HostReadiness {
+        needs_load: delay > Millis(10_000),
+        waits_for_weights: rng.random_bool(0.1),
+        delay,
+        waits_for_head,
+    }
 }
 
 #[test]
-fn what_is_kept_up_between_changes_comes_to_the_same_plan_as_working_all_out_anew() {
+fn incremental_plan_equals_reference_plan() {
     let engine = engine();
     let mut changes = 0;
     for seed in 0..400 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let works = [0, 1].map(|_| ask(rng.random_range(0.0..120.0)));
+        let workloads = [0, 1].map(|_| workload(rng.random_range(0.0..120.0)));
         let groups = [0, 1].map(|_| f64::from(rng.random_range(0..20_u32)));
-        let models = models(&engine, &works, groups);
+        let models = models(&engine, &workloads, groups);
         let limits = Limits {
             may_close: rng.random(),
-            joins_load: rng.random(),
-            loads: rng.random_range(0..12),
+            may_load_on_join: rng.random(),
+            max_loads: rng.random_range(0..12),
         };
-        let domains = any_domains(&mut rng);
-        let anew = planned_anew::plan_anew(&domains, &models, limits);
-        assert_eq!(planner::plan(domains, &models, limits), anew, "seed {seed}");
-        changes += anew.len();
+        let domains = random_domains(&mut rng);
+        let reference = reference_planner::reference_plan(&domains, &models, limits);
+        assert_eq!(planner::plan(domains, &models, limits), reference, "seed {seed}");
+        changes += reference.len();
     }
-    assert!(changes > 1_000, "{changes} changes prove little");
+    assert!(changes > 1_000, "only {changes} changes were compared");
 }
