--- a/crates/workshold-gateway/src/peers.rs
+++ b/crates/workshold-gateway/src/peers.rs
@@ -1,16 +1,19 @@
-//! Who is heard, what all of them say together, and who tells whom what.
+//! Gossip between nodes: which peers are alive, their aggregated state, and which node sends
+//! what to which.
 //!
-//! In each data centre a few nodes are its relays: the first by an order that all nodes see
-//! alike, of those that are heard. A node tells them how it is; they put that together,
-//! tell the relays of other data centres, and tell all others of their own. So what a node
-//! sends and takes does not grow with the number of nodes, and a relay's part grows with
-//! those of its data centre alone. Any relay is as good as the next: with one lost the
-//! others' digests go on, and another node takes its place once it is missed. Where a data
-//! centre has no more nodes than relays, all of them are.
+//! In each data centre a few nodes are its relays: of the nodes that are heard, the first by a
+//! rank that all nodes compute alike. A node sends its heartbeats to them. They aggregate the
+//! heartbeats into digests, and send these to the relays of other data centres and to all other
+//! nodes of their own. So the traffic of a node does not grow with the number of nodes, and
+//! that of a relay grows only with the nodes of its own data centre. Relays are
+//! interchangeable: if one is lost, the others go on sending digests, and the node with the
+//! next rank takes its place once the loss is noticed. In a data centre with no more nodes
+//! than relays, all nodes are relays.
 //!
-//! - [`messages`]: what is said.
-//! - [`exchange`]: who says what to whom.
-//! - [`news`]: how what has come to the list of instances is passed on, [`packing`]: packed.
+//! - [`messages`]: the datagrams.
+//! - [`exchange`]: which node sends which datagram to which, and aggregation.
+//! - [`news`]: forwarding of new records of the instance list.
+//! - [`packing`]: compression of those records.
 
 pub mod exchange;
 pub mod messages;
@@ -48,24 +51,24 @@
 pub use self::messages::WireReach;
 pub use self::messages::WireWorkload;
 
-/// Another node as it is heard.
+/// Another node, as this one knows it from heartbeats and digests.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Its name, once it was heard itself.
+    /// Its name; empty until a datagram of its own has arrived.
     pub name: SmolStr,
-    /// Its place in the order that all nodes see alike.
+    /// Its rank, which all nodes compute alike; low ranks become relays.
     pub rank: u32,
-    /// Its last pulse, or what relays have told of it.
+    /// Its last heartbeat, or what digests have told of it.
     pub heartbeat: Heartbeat,
     /// When it was last heard, by this node or by a relay.
     pub heard: Millis,
-    /// When this node itself last heard it.
+    /// When this node itself last heard it; `None` if only relays have.
     direct: Option<Millis>,
-    /// Silence after which it is not counted on.
+    /// Silence after which it counts as gone.
     silent_after: Millis,
 }
 
-/// Others that a pulse names.
+/// Number of peers that a heartbeat lists.
 const SAMPLE: usize = 6;
 
 impl Peer {
@@ -73,77 +76,81 @@
         now.since(self.heard) < self.silent_after
     }
 
-    /// Whether this node hears it itself.
+    /// Whether this node itself hears it.
     fn is_direct(&self, now: Millis) -> bool {
         self.direct.is_some_and(|at| now.since(at) < silent_after(&self.heartbeat))
     }
 }
 
-/// Silence after which a node that says how it is itself is not counted on.
+/// Silence after which a node that sends heartbeats to this one counts as gone.
 fn silent_after(heartbeat: &Heartbeat) -> Millis {
     Millis(u64::from(heartbeat.next_ms) * PULSES_MISSED).max(SILENT_LEAST) + PULSE_LATE
 }
 
-/// A node's place in the order that all nodes see alike: those that carry work for others
-/// well come first.
+/// A node's rank: first by its class, so that well-equipped nodes become relays, then by a hash
+/// of its name. Lower ranks come first.
 pub fn rank(name: &str, class: u8) -> u32 {
     let class = u32::from(class).min(u32::MAX >> HASH_BITS);
     class << HASH_BITS | xxh3_64(name.as_bytes()) as u32 >> (u32::BITS - HASH_BITS)
 }
 
+/// Bits of a rank that hold the hash of the name; the class is in the bits above them.
 const HASH_BITS: u32 = 30;
 
-/// The place of the node with this rank in an order of an instance's own: another one for each
-/// instance, so that no node does for all of them what only a few do.
+/// Orders nodes for one instance (rendezvous hashing): the order differs between instances, so
+/// that a task that only the first few nodes do is spread over all of them.
 fn place(instance: u32, rank: u32) -> u64 {
     xxh3_64_with_seed(&instance.to_le_bytes(), u64::from(rank))
 }
 
-/// A relay's digest as it came.
+/// A relay's digest, with the time it arrived.
 #[derive(Debug, Clone)]
 struct Heard {
     digest: Digest,
     at: Millis,
 }
 
-/// All that is known of other nodes.
+/// All that this node knows of other nodes.
 #[derive(Debug, Default)]
 pub struct Peers {
-    /// How well this node carries work for others, 0 best.
+    /// How well-equipped this node is for work as a relay, 0 best.
     class: u8,
-    /// Where to send datagrams, and since when nothing was heard from there.
+    /// Addresses of known nodes, with the time each was last heard or first named.
     addresses: BTreeMap<SocketAddr, Millis>,
     by_address: BTreeMap<SocketAddr, Peer>,
     sharers: NodeCensus<SocketAddr>,
-    /// The newest digest of all nodes, from one of this node's own relays.
+    /// The newest digest of all nodes, from a relay of this node's data centre.
     of_all: Option<Heard>,
-    /// The newest digest of each other data centre.
+    /// The newest digest of each other data centre, from one of its relays.
     of_data_centres: BTreeMap<SmolStr, Heard>,
-    /// How many nodes another one hears of, as it last said.
+    /// Number of nodes that the last sender of a digest of all nodes knows.
     most_heard: Option<u16>,
-    /// What this node last said that it has at instances.
+    /// This node's load at each instance, as it was last sent to the relays.
     told: HashMap<u32, Load>,
-    /// Nodes that have changed, and when: they are told of first.
+    /// Nodes that have changed, and when: digests list them first.
     changed: BTreeMap<SocketAddr, Millis>,
-    /// Nodes that have fallen silent, by this node's own ears as a relay or by others' word.
+    /// Nodes that have gone silent: noticed by this node as a relay, or reported in a digest.
     gone: BTreeSet<SocketAddr>,
-    /// When a silent node was last sought, in case parts of a fleet have lost each other.
+    /// When a heartbeat was last sent to a silent address, to heal a partition of the fleet.
     sought_at: Millis,
-    /// The last node that was told of in turn, by scope.
+    /// The node that the round robin of digests listed last, by scope.
     turns: [Option<SocketAddr>; 2],
 }
 
-/// A peer that was not heard for so many of its pulses, and a little, is not counted on.
+/// Number of heartbeats that a peer may miss, plus [`PULSE_LATE`], before it counts as gone.
 const PULSES_MISSED: u64 = 3;
+/// Time by which a heartbeat may be late.
 const PULSE_LATE: Millis = Millis(200);
-/// However often it says how it is: a node that is slow for a moment is still there.
+/// Least silence before a peer counts as gone, however short its heartbeat interval: a node
+/// that is slow for a moment is still alive.
 const SILENT_LEAST: Millis = Millis(900);
-/// Whoever seeks relays is counted on for this long: until they tell of it.
+/// Time for which a node that looks for relays counts as alive: until the relays' digests
+/// list it.
 const SEEKER_KNOWN: Millis = Millis(3_000);
-/// An address from which nothing was heard for this long is dropped.
+/// An address is dropped after this silence.
 const FORGET_AFTER: Millis = Millis::from_secs(20);
-/// A digest stands for what it sums up for this long: three relays that say one each 0.3 s
-/// are not all late by that much.
+/// Time for which a digest is valid: three relays that send one every 0.3 s are not all late
+/// by that much.
 const DIGEST_STANDS: Millis = Millis(1_200);
 
 impl Heard {
@@ -153,18 +160,18 @@
 }
 
 impl Peers {
-    /// Those of a node that carries work for others like this, 0 best.
+    /// Creates an empty set for a node of the given class, 0 being best equipped.
     pub fn with_class(class: u8) -> Self {
         Self { class, ..Self::default() }
     }
 
-    /// There may be a node at this address.
+    /// Notes that there may be a node at this address.
     pub fn add(&mut self, address: SocketAddr, now: Millis) {
         self.addresses.entry(address).or_insert(now);
         self.sharers.on_seen(address, now);
     }
 
-    /// The store, asked at `at`, named nodes at these addresses.
+    /// Notes that the store, asked at `at`, listed nodes at these addresses.
     pub fn on_listed(&mut self, addresses: &[SocketAddr], at: Millis) {
         for address in addresses {
             self.addresses.entry(*address).or_insert(at);
@@ -172,12 +179,12 @@
         self.sharers.on_listed(addresses.iter().copied(), at);
     }
 
-    /// How many nodes there may be with this one, heard or not.
+    /// Upper bound of the number of nodes, this one included, heard or not.
     pub fn max_node_count(&self) -> usize {
         self.sharers.count() + 1
     }
 
-    /// Some of those that are heard: `draw` is any number.
+    /// Some of the peers that are heard; `draw` is a random number that selects them.
     pub fn sample(&self, draw: u64, now: Millis) -> Vec<SocketAddr> {
         let heard: Vec<SocketAddr> = self.heard(now).map(|(address, _)| *address).collect();
         let start = draw as usize % heard.len().max(1);
@@ -185,13 +192,14 @@
         turned.take(heard.len().min(SAMPLE)).copied().collect()
     }
 
-    /// Where callers connect to those nodes.
+    /// The addresses at which these nodes listen for callers.
     pub fn callers_of(&self, nodes: &[SocketAddr]) -> Vec<SocketAddr> {
         let known = nodes.iter().filter_map(|node| self.by_address.get(node));
         known.map(|peer| peer.heartbeat.callers).collect()
     }
 
-    /// A pulse came, at `own`. Returns whether it says something that others wait for.
+    /// Handles a heartbeat; `own` is this node's address. Returns whether it contains a change
+    /// that other nodes wait for.
     pub fn on_heartbeat(
         &mut self,
         own: SocketAddr,
@@ -212,8 +220,8 @@
         if is_new || is_news {
             self.changed.insert(from, now);
         }
-        // Whoever seeks relays says so to anybody, and not again: it is known by what they
-        // tell of it.
+        // A node that looks for relays sends to arbitrary nodes, and only once. From then on it
+        // is known by the relays' digests.
         let direct = if heartbeat.seeks { last.and_then(|last| last.direct) } else { Some(now) };
         let told = match last {
             _ if !heartbeat.seeks => Millis::ZERO,
@@ -227,18 +235,18 @@
         is_news
     }
 
-    /// Everywhere that datagrams go.
+    /// All addresses at which there may be a node.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.addresses.keys().copied().collect()
     }
 
-    /// Those that are heard, by this node or by relays.
+    /// Peers that are heard, by this node or by relays.
     pub fn heard(&self, now: Millis) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         self.by_address.iter().filter(move |(_, peer)| peer.is_heard(now))
     }
 
-    /// Whether a node is among the first `most` of a data centre that are heard, in an
-    /// order that all of them see alike.
+    /// Whether this node, named `name`, is among the first `most` nodes of its data centre by
+    /// rank, of those that are heard.
     pub fn ranks_among_first(
         &self,
         name: &str,
@@ -252,11 +260,11 @@
         before.take(most).count() < most
     }
 
-    /// Requests at instances by the word of all other nodes.
+    /// Load at each instance from all other nodes.
     pub fn loads(&self, now: Millis) -> HashMap<u32, Load> {
         let mut sums = self.sums(now).loads();
         if self.sums_hold_own(now) {
-            // The relays' sums hold what this node has told them.
+            // The totals of the relays include what this node has reported to them.
             for (instance, load) in &self.told {
                 sums.entry(*instance).and_modify(|sum| *sum = sum.less(*load));
             }
@@ -264,9 +272,9 @@
         sums
     }
 
-    /// Whether a node is among the `most` of its data centre that try an instance for all
-    /// nodes: others for each instance, so that none is buried in tries nor bears all of
-    /// them.
+    /// Whether this node is among the `most` nodes of its data centre that probe an instance on
+    /// behalf of all. Each instance has others, so that an instance gets few probes and no node
+    /// runs them for all instances.
     pub fn is_witness(&self, own: &LocalNode<'_>, instance: u32, most: usize, now: Millis) -> bool {
         let own_place = place(instance, rank(own.name, self.class));
         let near =
@@ -274,7 +282,8 @@
         near.filter(|(_, peer)| place(instance, peer.rank) < own_place).take(most).count() < most
     }
 
-    /// Whether a node is among the first `senders` that serve, by an order of the instance's own.
+    /// Whether this node is among the first `senders` nodes that are ready, in the order of nodes
+    /// for this instance.
     pub fn is_among_senders(&self, name: &str, instance: u32, senders: usize, now: Millis) -> bool {
         let own_place = place(instance, rank(name, self.class));
         let others = self.heard(now).map(|(_, peer)| peer).filter(|peer| peer.heartbeat.is_ready);
@@ -282,8 +291,9 @@
         before.take(senders).count() < senders
     }
 
-    /// When the list was last in trouble for all who read it, those of a data centre if
-    /// there are any: what one of them reads without trouble is as it should be.
+    /// When the nodes that read the store last failed to read the list, all of them: it is enough
+    /// that one of them reads it without failure. Nodes of `data_centre` count alone if there are
+    /// any. `None` without such a failure.
     pub fn list_trouble_at(&self, data_centre: &str, now: Millis) -> Option<Millis> {
         let at = |(peer, age): (&Peer, u32)| {
             (age < LIST_TROUBLE_MAX_AGE_MS).then(|| peer.heard - Millis(age.into()))
@@ -291,15 +301,15 @@
         self.readers(data_centre, now).into_iter().map(at).min().flatten()
     }
 
-    /// When the store last answered any of those who read it, as above; `None` if none of
-    /// them is heard.
+    /// When the store last answered any of the nodes that read it, chosen as above; `None` if none
+    /// of them is heard.
     pub fn readers_answered(&self, data_centre: &str, now: Millis) -> Option<Millis> {
         let readers = self.readers(data_centre, now).into_iter();
         readers.map(|(peer, _)| peer.heard - Millis(peer.heartbeat.store_age_ms)).max()
     }
 
-    /// Those who read the store, of a data centre if there are any, with how long ago a reading
-    /// of the list failed.
+    /// The nodes that read the store, each with the time since a reading of the list failed, in
+    /// ms: those of `data_centre`, or all if it has none.
     fn readers(&self, data_centre: &str, now: Millis) -> Vec<(&Peer, u32)> {
         let heard = self.heard(now).map(|(_, peer)| peer);
         let all = heard.filter_map(|peer| Some((peer, peer.heartbeat.list_trouble_ms?)));
@@ -308,13 +318,13 @@
         if near.is_empty() { far } else { near }
     }
 
-    /// The newest configuration that any of those who are heard holds.
+    /// The newest configuration version that any peer that is heard holds.
     pub fn newest_config(&self, now: Millis) -> Option<u64> {
         let held = self.heard(now).filter_map(|(_, peer)| peer.heartbeat.config);
         held.map(|(version, _)| version).max()
     }
 
-    /// Drops addresses that have long been silent.
+    /// Drops addresses that have been silent for [`FORGET_AFTER`], and what is known of them.
     pub fn forget(&mut self, now: Millis) {
         self.addresses.retain(|_, since| now.since(*since) < FORGET_AFTER);
         let addresses = &self.addresses;
@@ -330,8 +340,9 @@
     }
 }
 
-/// Whether others wait for what is new in a pulse: that a node stops serving, who gives
-/// orders, that the store came back from a copy, and a newer configuration.
+/// Whether other nodes wait for what has changed in a heartbeat: that the node stops serving,
+/// its fencing token, a newer era of the store (a restore from a snapshot), or a newer
+/// configuration.
 fn is_news(last: &Heartbeat, next: &Heartbeat) -> bool {
     let version = |heartbeat: &Heartbeat| heartbeat.config.map(|(version, _)| version);
     let past = |heartbeat: &Heartbeat| heartbeat.past.map(|(era, _)| era);
--- a/crates/workshold-gateway/src/peers/exchange.rs
+++ b/crates/workshold-gateway/src/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! Who says what to whom, and what all nodes say together.
+//! Which node sends which datagram to which, and the aggregation of heartbeats into digests.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,66 +25,68 @@
 use crate::peers::messages::WireNode;
 use crate::peers::messages::WireWorkload;
 
-/// Relays of a data centre: with two of them lost at the same moment nobody misses
-/// anything.
+/// Number of relays in a data centre: with two of them lost at once, one still forwards
+/// everything.
 pub const RELAYS_PER_DATA_CENTRE: usize = 3;
-/// A node that hears no relay asks so many of those that there may be.
+/// Number of possible nodes that a node asks at a time while it hears no relay.
 const SOUGHT: usize = 4;
-/// Nodes that a digest tells of in turn: with three relays all of 300 within 1.3 s.
+/// Nodes that a digest lists by round robin: three relays list all of 300 within 1.3 s.
 const IN_TURN: usize = 24;
-/// Nodes that have changed are told of for so long, so many of them in one digest.
+/// Time for which digests list a node that has changed first.
 const CHANGE_TOLD: Millis = Millis(1_000);
+/// Most changed nodes in one digest.
 const MOST_CHANGED: usize = 24;
-/// A relay seeks a silent node no more often than this.
+/// A relay sends a heartbeat to a silent address no more often than this.
 const SEEK_EVERY: Millis = Millis(1_000);
-/// A node that relays tell of is counted on for at least so long after it was heard.
+/// Least time for which a node that a digest lists counts as alive after it was heard.
 const LEAST_KNOWN: Millis = Millis(SILENT_LEAST.0 + PULSE_LATE.0);
-/// Two relays that hear a node hear it within this of each other.
+/// Greatest difference between the times at which two relays last heard the same node, while
+/// both of them hear it.
 const HEARD_ALIKE: Millis = Millis(400);
-/// Loads in a digest: what is left out is at the instances with the least of it.
+/// Most instance loads in a digest; the smallest are left out.
 const MOST_LOADS: usize = 400;
 
-/// The node that speaks.
+/// This node, as its peers know it.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalNode<'a> {
-    /// Where it is heard.
+    /// The address that it sends datagrams from.
     pub address: SocketAddr,
-    /// Its name.
+    /// Its name, which determines its rank.
     pub name: &'a str,
     /// Its data centre.
     pub data_centre: &'a str,
 }
 
-/// A message and where it goes.
+/// A message with its recipients.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outgoing {
-    /// Where.
+    /// The recipients' addresses.
     pub to: Vec<SocketAddr>,
-    /// What.
+    /// The message for each of them.
     pub message: Message,
 }
 
-/// What nodes say together.
+/// The aggregated state of other nodes.
 #[derive(Debug, Clone, Default)]
 pub struct Sums {
     by_model: BTreeMap<u32, Workload>,
     by_instance: BTreeMap<u32, (Load, u8)>,
     acts_by: BTreeMap<SocketAddr, Fence>,
-    /// The part of what is asked that is seen, in 100.
+    /// Percentage of the demand that the nodes have had time to observe: the highest of any node.
     pub seen_percent: u8,
-    /// Whether any of them has seen requests.
+    /// Whether any of them has received requests.
     pub has_traffic: bool,
     /// When the store last answered any of them.
     pub store_answered: Option<Millis>,
 }
 
 impl Sums {
-    /// What is asked of them, by the short names of models.
+    /// The workload that their callers ask for, by the hashes of models' names.
     pub fn work(&self) -> &BTreeMap<u32, Workload> {
         &self.by_model
     }
 
-    /// By what right nodes give orders, with where they are heard.
+    /// The addresses of nodes that may send orders to instances, with their fencing tokens.
     pub fn acts_by(&self) -> impl Iterator<Item = (&SocketAddr, Fence)> {
         self.acts_by.iter().map(|(address, fence)| (address, *fence))
     }
@@ -133,7 +135,7 @@
 }
 
 impl Peers {
-    /// What is to be said now; `heartbeat` is how this node is, `draw` any number.
+    /// The messages to send now; `heartbeat` is this node's heartbeat, `draw` a random number.
     pub fn outgoing(
         &mut self,
         own: &LocalNode<'_>,
@@ -148,7 +150,7 @@
         let mut said = Vec::new();
         let is_established = is_relay && self.hears_near(own, now);
         if is_relay && !is_established {
-            // All near nodes are to notice that this one has become a relay.
+            // Tell all nodes of the data centre that this one has become a relay.
             let near = self.heard(now).filter(|(_, p)| p.heartbeat.data_centre == own.data_centre);
             relays = near.map(|(address, _)| *address).collect();
         }
@@ -176,7 +178,8 @@
         said
     }
 
-    /// What is said to a node of `data_centre` that seeks relays: who they are, first of all.
+    /// The reply to a node of `data_centre` that looks for relays: a digest that lists them in any
+    /// case.
     pub fn answer(
         &mut self,
         own: &LocalNode<'_>,
@@ -193,8 +196,8 @@
         Message::Digest(Box::new(digest))
     }
 
-    /// Whether others hear of more nodes than this one, or none was asked yet: then it may
-    /// take itself or the wrong ones for relays.
+    /// Whether this node knows clearly fewer nodes than its peers do (less than 90%), or has not
+    /// heard any: it may then take itself or the wrong nodes for relays.
     pub fn lacks_nodes(&self, now: Millis) -> bool {
         let heard = self.heard(now).count();
         let most = self.most_heard.map_or(usize::MAX, usize::from);
@@ -207,7 +210,7 @@
         self.ranks_among_first(own.name, own.data_centre, RELAYS_PER_DATA_CENTRE, now)
     }
 
-    /// A digest came. Returns whether it says something that others wait for.
+    /// Handles a digest. Returns whether it contains a change that other nodes wait for.
     pub fn on_digest(
         &mut self,
         own: &LocalNode<'_>,
@@ -227,7 +230,7 @@
         let data_centre = digest.own.data_centre.clone();
         let heard = Heard { digest, at: now };
         match heard.digest.scope {
-            // A relay goes by what it hears itself, once that is all there is.
+            // A relay uses its own totals once it hears the whole fleet.
             Scope::All if self.is_relay(own, now) && self.hears_all(own, now) => {}
             Scope::All => self.of_all = Some(heard),
             Scope::DataCentre => {
@@ -238,7 +241,7 @@
         is_news
     }
 
-    /// A relay tells of a node.
+    /// Handles an entry of a digest. Returns whether the node has stopped serving by it.
     fn on_told(&mut self, told: &WireNode, cycle: Millis, now: Millis) -> bool {
         let heard = now - Millis(u64::from(told.age) * AGE_UNIT_MS);
         let since = self.addresses.entry(told.address).or_insert(heard);
@@ -254,7 +257,7 @@
             return false;
         };
         if told.is_gone {
-            // Who has heard it later says so again.
+            // If it was heard later, another digest will list it as alive again.
             let is_believed = peer.heard <= heard + HEARD_ALIKE && peer.is_heard(now);
             if is_believed {
                 peer.silent_after = LEAST_KNOWN.min(now.since(peer.heard));
@@ -276,7 +279,7 @@
         stops
     }
 
-    /// Notes which nodes of its data centre a relay does not hear any more.
+    /// Notes which nodes of this relay's data centre have gone silent.
     fn note_gone(&mut self, own: &LocalNode<'_>, now: Millis) {
         let is_gone = |peer: &Peer| {
             let is_near = peer.heartbeat.data_centre == own.data_centre;
@@ -291,7 +294,7 @@
         }
     }
 
-    /// The relays of a data centre, this node not among them.
+    /// The relays of a data centre, without this node.
     fn relays(&self, data_centre: &str, now: Millis) -> Vec<SocketAddr> {
         let near = self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == data_centre);
         let mut ranked: Vec<(u32, SocketAddr)> =
@@ -301,9 +304,9 @@
         ranked.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Who is asked although it is no relay: some of those that there may be, by one that
-    /// hears no relay; by relays now and then one that is silent, so that parts of a fleet
-    /// that have lost each other find together again.
+    /// Addresses to contact beyond the relays: a node that hears no relay tries some of all
+    /// possible nodes; a relay now and then tries one silent address, so that a partitioned fleet
+    /// finds together again.
     fn sought(
         &mut self,
         hears_a_relay: bool,
@@ -325,8 +328,8 @@
         all.iter().cycle().skip(start).take(most.min(all.len())).copied().collect()
     }
 
-    /// Whether most nodes of this data centre say to this one how they are: it may have
-    /// become a relay a moment ago, and others have not noticed.
+    /// Whether at least 80% of this data centre's nodes send their heartbeats to this one: if it
+    /// became a relay a moment ago, the others may not have noticed yet.
     fn hears_near(&self, own: &LocalNode<'_>, now: Millis) -> bool {
         let near =
             self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == own.data_centre);
@@ -336,7 +339,7 @@
         direct * 5 >= all * 4
     }
 
-    /// Whether relays of all other data centres say to this node how theirs are, too.
+    /// Whether this node receives the heartbeats of its data centre, and digests of all others.
     fn hears_all(&self, own: &LocalNode<'_>, now: Millis) -> bool {
         let is_fresh = |place: &SmolStr| {
             self.of_data_centres.get(place).is_some_and(|heard| heard.is_fresh(now))
@@ -344,7 +347,7 @@
         self.hears_near(own, now) && self.far(own, now).iter().all(is_fresh)
     }
 
-    /// The other data centres, as far as any node of them is heard.
+    /// The other data centres of which any node is heard.
     pub(super) fn far(&self, own: &LocalNode<'_>, now: Millis) -> BTreeSet<SmolStr> {
         let places = self.heard(now).map(|(_, peer)| &peer.heartbeat.data_centre);
         places.filter(|place| *place != own.data_centre).cloned().collect()
@@ -426,8 +429,9 @@
         }
     }
 
-    /// What all other nodes say together, as far as this node knows: by its relays' word if
-    /// it goes by that, and by its own ears and other relays' digests otherwise.
+    /// The aggregated state of all other nodes: from the digest of all nodes if there is a valid
+    /// one, otherwise from the heartbeats and the digests of other data centres that this node
+    /// receives.
     pub fn sums(&self, now: Millis) -> Sums {
         let mut sums = Sums::default();
         if let Some(heard) = self.fresh_of_all(now) {
@@ -447,8 +451,8 @@
         sums
     }
 
-    /// Whether what all say together holds what this node itself has said: by the relays'
-    /// word it does.
+    /// Whether [`Peers::sums`] include this node's own state: they do if they come from a relay's
+    /// digest.
     pub fn sums_hold_own(&self, now: Millis) -> bool {
         self.fresh_of_all(now).is_some()
     }
@@ -463,7 +467,7 @@
         sums
     }
 
-    /// Nodes that have changed, and the next ones in turn.
+    /// Entries for a digest: nodes that have changed, and the next ones of the round robin.
     fn told_nodes(&mut self, scope: Scope, own: &LocalNode<'_>, now: Millis) -> Vec<WireNode> {
         let is_told = |peer: &Peer| match scope {
             Scope::All => true,
@@ -471,7 +475,7 @@
         };
         let changed = self.changed.iter().filter(|(_, at)| now.since(**at) < CHANGE_TOLD);
         let mut changed: Vec<SocketAddr> = changed.map(|(address, _)| *address).collect();
-        // That a node is gone is told before that one has come.
+        // Nodes that are gone come before nodes that are new.
         changed.sort_by_key(|address| !self.gone.contains(address));
         let first: BTreeSet<SocketAddr> = changed.into_iter().take(MOST_CHANGED).collect();
         let heard: BTreeSet<SocketAddr> = self
@@ -505,14 +509,13 @@
     }
 }
 
-/// How long it takes until one relay alone has told of all its nodes; all of them together
-/// take a third of it.
+/// Time until one relay alone has listed all its nodes; all three together take a third of it.
 fn told_again_after(digest: &Digest) -> Millis {
     let rounds = u64::from(digest.heard).div_ceil(IN_TURN as u64);
     Millis(u64::from(digest.own.next_ms) * rounds)
 }
 
-/// A node that is known by a relay's word alone.
+/// A peer that is known from a digest alone.
 fn as_told(told: &WireNode, heard: Millis, silent_after: Millis) -> Peer {
     Peer {
         name: SmolStr::default(),
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -1,4 +1,5 @@
-//! What nodes tell each other by datagram.
+//! The datagrams that nodes exchange, encoded with postcard. Ages instead of times are sent, since
+//! the clocks of nodes differ.
 
 use std::net::SocketAddr;
 
@@ -24,59 +25,59 @@
 use crate::loads::name_hash;
 use crate::peers::packing;
 
-/// The form of these messages; another one is passed over.
+/// Version of the format of these messages; datagrams of another version are ignored.
 pub const VERSION: u8 = 8;
 
-/// A datagram.
+/// A datagram from one node to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
     /// [`VERSION`].
     pub version: u8,
-    /// The sender's name.
+    /// The sender's node name.
     pub from: SmolStr,
-    /// What it says.
+    /// The content.
     pub message: Message,
 }
 
-/// What a node says.
+/// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// How it is; said several times a second to the relays of its data centre.
+    /// The sender's own state, sent several times a second to the relays of its data centre.
     Heartbeat(Box<Heartbeat>),
-    /// What a relay has put together of many pulses.
+    /// A relay's aggregate of many heartbeats.
     Digest(Box<Digest>),
-    /// What has come to the list of instances since another place in it.
+    /// New records of the instance list.
     News(ListNews),
-    /// What its try to reach an instance showed.
+    /// The result of the sender's probe of an instance.
     Verdict {
-        /// The instance's short id.
+        /// Hash of the instance's identity.
         instance: u32,
-        /// What was seen.
+        /// The result.
         reach: WireReach,
-        /// Who is to try as well.
+        /// Which nodes are to probe it as well.
         ask: Ask,
     },
 }
 
-/// Who is asked to try an instance.
+/// Which nodes are asked to probe an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ask {
-    /// Nobody: this is an answer.
+    /// None: the message is an answer.
     Nobody,
-    /// Those who try it for all nodes; they tell all what they see.
+    /// The nodes that probe it on behalf of all; they send the result to all nodes.
     Witnesses,
-    /// Everybody, before a group is given up for it; only who reaches it answers.
+    /// All nodes, before its group is given up; only those that reach the instance answer.
     All,
 }
 
-/// [`ProbeResult`] as it is sent.
+/// [`ProbeResult`] as it is encoded in a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WireReach {
-    /// It answered.
+    /// It accepted the connection.
     Answers,
-    /// It says nothing.
+    /// It did not answer in time.
     Silent,
-    /// Its process is gone.
+    /// Its machine refused the connection: the process is gone.
     Refused,
 }
 
@@ -100,39 +101,39 @@
     }
 }
 
-/// What one node passes on to another of the list.
+/// Records of the instance list that one node forwards to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListNews {
-    /// The first record that may be among them; all that are newer are.
+    /// Position from which on the records are complete, apart from superseded ones.
     pub from: LogPosition,
-    /// The next record that it would read.
+    /// Position of the next record that the sender would read.
     pub next: LogPosition,
-    /// Records before this one, of the same past, are of the copy that the store came back
-    /// from, or none are.
+    /// Records before this position, of the same era, come from the snapshot that the store was
+    /// restored from; the default if there are none.
     pub copy_end: LogPosition,
-    /// How long ago it asked for what it has, in ms.
+    /// Time since the sender requested its newest records, in ms.
     pub age_ms: u64,
-    /// The newest record of each instance, from `from` on.
+    /// The newest record of each instance, as far as it is at `from` or later.
     #[serde(with = "packing")]
     pub records: Vec<ListRecord>,
 }
 
-/// A record of the list as one node passes it on to another.
+/// A record of the instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListRecord {
-    /// Its place.
+    /// Its position in the store's log.
     pub place: LogPosition,
-    /// The instance.
+    /// The instance's id.
     pub key: SmolStr,
-    /// Its entry as it stands in the store; empty if it is gone.
+    /// Its entry as stored; empty if the instance is gone.
     pub value: Vec<u8>,
 }
 
-/// What callers ask of a node of one model, a second; small whole numbers are short in
-/// a datagram.
+/// The workload per second that a node's callers ask of one model. Units are chosen so that the
+/// values are small integers, which are short in a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireWorkload {
-    /// The model's short name.
+    /// Hash of the model's name.
     pub model: u32,
     /// Requests, in tenths.
     pub requests: u32,
@@ -140,7 +141,7 @@
     pub prompt_tokens: u32,
     /// Events of answers.
     pub events: u32,
-    /// The longest pause that is in time, in ms.
+    /// The longest pause between events that meets the latency goal, in ms.
     pub pause_goal: u32,
 }
 
@@ -148,12 +149,12 @@
 const TOKENS_UNIT: f64 = 10.0;
 
 impl WireWorkload {
-    /// Puts `work` of a model into a datagram.
+    /// Encodes the workload of a model.
     pub fn new(model: &str, work: Workload) -> Self {
         Self::from_hash(name_hash(model), work)
     }
 
-    /// The same for the model with this short name.
+    /// Encodes the workload of the model whose name has this hash.
     pub fn from_hash(model: u32, work: Workload) -> Self {
         Self {
             model,
@@ -164,7 +165,7 @@
         }
     }
 
-    /// What was put in.
+    /// Decodes the workload.
     pub fn work(&self) -> Workload {
         Workload {
             requests: f64::from(self.requests) * REQUESTS_UNIT,
@@ -175,16 +176,16 @@
     }
 }
 
-/// What a node has at an instance, or all nodes that a relay speaks for.
+/// The load that a node has put on an instance, or all nodes that a relay aggregates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireLoad {
-    /// The instance's short id.
+    /// Hash of the instance's identity.
     pub instance: u32,
     /// Requests there.
     pub requests: u16,
-    /// Tokens of prompts that are not read yet, in units of [`UNREAD_UNIT`].
+    /// Prompt tokens that are not processed yet, in units of [`UNREAD_UNIT`].
     pub unread: u16,
-    /// The usual gap between its events, in units of [`GAP_UNIT_MS`].
+    /// Mean time between events of its streams, in units of [`GAP_UNIT_MS`]; 0 if unknown.
     pub gap: u8,
 }
 
@@ -192,12 +193,12 @@
 const GAP_UNIT_MS: f64 = 4.0;
 
 impl WireLoad {
-    /// Puts what a node has at `id` into a datagram.
+    /// Encodes the load at `id`.
     pub fn new(id: &Identity, load: Load, gap_ms: f64) -> Self {
         Self::from_hash(instance_hash(id), load, (gap_ms / GAP_UNIT_MS).min(255.0) as u8)
     }
 
-    /// The same for the instance with this short id; `gap` is in units of a datagram.
+    /// Encodes the load at the instance with this hash; `gap` is already in the datagram's unit.
     pub fn from_hash(instance: u32, load: Load, gap: u8) -> Self {
         Self {
             instance,
@@ -207,135 +208,138 @@
         }
     }
 
-    /// What it has there.
+    /// Decodes the load.
     pub fn load(&self) -> Load {
         Load { requests: u32::from(self.requests), unread: u32::from(self.unread) * UNREAD_UNIT }
     }
 
-    /// The usual gap, if it has seen any.
+    /// Mean time between events; `None` if the sender has not seen any.
     pub fn gap_ms(&self) -> Option<f64> {
         (self.gap > 0).then(|| f64::from(self.gap) * GAP_UNIT_MS)
     }
 }
 
-/// What a digest speaks for.
+/// Which nodes a digest covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// The relay's own data centre; said to the relays of others.
+    /// The relay's own data centre; sent to the relays of the others.
     DataCentre,
-    /// All nodes; said to those that the relay hears and that are no relays.
+    /// All nodes; sent to the nodes that report to the relay and are no relays.
     All,
 }
 
-/// What a relay has put together of the pulses that it hears and of other relays' digests.
-/// Its length grows with heads and changes, not with nodes.
+/// A relay's aggregate of the heartbeats that it receives and of other relays' digests. Its
+/// length grows with the number of group heads and of changes, not with that of nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// What it speaks for.
+    /// The nodes that it covers.
     pub scope: Scope,
-    /// How the relay itself is; what it asks and has at instances is in the sums.
+    /// The relay's own heartbeat, without its workload and loads: the totals include them.
     pub own: Heartbeat,
-    /// Some of the nodes: those that have changed, the others in turn.
+    /// Some of the nodes: those that have changed, and others by round robin.
     pub nodes: Vec<WireNode>,
-    /// How many nodes it hears of, itself included.
+    /// Number of nodes that the relay knows, itself included.
     pub heard: u16,
-    /// By what numbers nodes give orders.
+    /// Addresses of nodes that may send orders to instances, with their fencing tokens.
     pub acts_by: Vec<(SocketAddr, Fence)>,
-    /// How long ago the store last answered any node, in ms.
+    /// Time since the store last answered any of the nodes, in ms.
     pub store_age_ms: u64,
-    /// Whether any node has seen requests.
+    /// Whether any of the nodes has received requests.
     pub has_traffic: bool,
-    /// What callers ask of the nodes, by model.
+    /// The workload that the nodes' callers ask for, by model.
     pub work: Vec<WireWorkload>,
-    /// The part of that which is seen so soon after the first request, in 100.
+    /// Percentage of that workload which the nodes have had time to observe since their first
+    /// request.
     pub seen_percent: u8,
-    /// What the nodes have at instances.
+    /// The load of the nodes at each instance.
     pub loads: Vec<WireLoad>,
 }
 
-/// Another node as a relay tells of it.
+/// An entry of a digest: one node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireNode {
-    /// Where it is heard.
+    /// The address that it sends datagrams from.
     pub address: SocketAddr,
-    /// Where callers connect.
+    /// The address that it listens at for callers.
     pub callers: SocketAddr,
     /// Its data centre.
     pub data_centre: SmolStr,
-    /// Its place in the order that all nodes see alike.
+    /// Its rank, which all nodes compute alike.
     pub rank: u32,
     /// Whether it serves callers.
     pub is_ready: bool,
-    /// Whether it has fallen silent.
+    /// Whether it has gone silent.
     pub is_gone: bool,
-    /// How long ago it was heard, in units of [`AGE_UNIT_MS`].
+    /// Time since it was last heard, in units of [`AGE_UNIT_MS`].
     pub age: u8,
 }
 
-/// The unit of ages of nodes in digests, in milliseconds.
+/// Unit of the ages of nodes in digests, in ms: an age has to fit one byte.
 pub const AGE_UNIT_MS: u64 = 50;
 
-/// How a node is.
+/// A node's own state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Where callers connect.
+    /// The address that it listens at for callers.
     pub callers: SocketAddr,
     /// Its data centre.
     pub data_centre: SmolStr,
-    /// How well it carries work for others, 0 best.
+    /// How well-equipped it is for work as a relay, 0 best.
     pub class: u8,
-    /// When its next one comes at the latest, in ms.
+    /// Time until its next heartbeat at the latest, in ms.
     pub next_ms: u16,
-    /// Whether it serves callers and will go on doing so.
+    /// Whether it serves callers and is not about to stop.
     pub is_ready: bool,
-    /// Whether it has seen requests.
+    /// Whether it has received requests.
     pub has_traffic: bool,
-    /// The configuration that it holds, and how long ago that was the newest, in ms.
+    /// The configuration version that it holds, and the time since that was known to be the
+    /// newest, in ms.
     pub config: Option<(u64, u64)>,
-    /// Where its list of instances ends, and how long ago that was the end, in ms.
+    /// Position at which its instance list ends, and the time since that was known to be the end,
+    /// in ms.
     pub list: Option<(LogPosition, u64)>,
-    /// By what right it gives orders, if it does.
+    /// The fencing token of its orders; `None` if it holds no partition of the lease.
     pub acts_by: Option<Fence>,
-    /// The store's newest past that it has heard of, and for how long, in ms.
+    /// The newest era of the store that it knows, and for how long it has, in ms.
     pub past: Option<(Era, u64)>,
-    /// How long ago the store last answered it, in ms.
+    /// Time since the store last answered it, in ms.
     pub store_age_ms: u64,
-    /// How long ago a reading of the list last failed, in ms and at most
-    /// [`LIST_TROUBLE_MAX_AGE_MS`]; `None` if it goes by what others read.
+    /// Time since a reading of the list last failed, in ms and at most [`LIST_TROUBLE_MAX_AGE_MS`];
+    /// `None` if it does not read the store itself.
     pub list_trouble_ms: Option<u32>,
-    /// Some of those that it hears, drawn anew each time, from one that seeks relays.
+    /// A random sample of the nodes that it hears; only filled in if `seeks` is set.
     pub hears: Vec<SocketAddr>,
-    /// Whether it hears no relay, and wants a digest of whoever takes this.
+    /// Whether it looks for relays and wants a digest in reply.
     pub seeks: bool,
-    /// What callers ask of it, by model.
+    /// The workload that its callers ask for, by model.
     pub work: Vec<WireWorkload>,
-    /// The part of that which is seen so soon after its first request, in 100.
+    /// Percentage of that workload which it has had time to observe since its first request.
     pub seen_percent: u8,
-    /// What it has at instances.
+    /// Its load at each instance.
     pub loads: Vec<WireLoad>,
-    /// Some of the requests that ended whoever ran them: those of which something is new.
+    /// Some quarantine records, those with changes.
     pub requests: Vec<WireQuarantineEntry>,
-    /// Some of the limits that instances name, or have ceased to name.
+    /// Some rate limits that instances announce, or have withdrawn.
     pub limits: Vec<WireLimit>,
-    /// Short ids of lives that have said in their answers that they leave, the last ones.
+    /// Hashes of the latest incarnations that said in their answers that they are shutting down.
     pub leaving: Vec<u32>,
 }
 
-/// How much an instance takes, as one node tells another of it.
+/// An instance's rate limit as it is encoded in a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireLimit {
-    /// The instance's short id.
+    /// Hash of the instance's identity.
     pub instance: u32,
-    /// Requests a second, in thousandths.
+    /// Requests a second, in thousandths; `None` if it has no limit.
     pub limit: Option<u32>,
-    /// How long ago the request left whose answer said so, in ms.
+    /// Time since the request was sent whose answer named the limit, in ms.
     pub asked_ms: u64,
-    /// How long ago that answer came, in ms.
+    /// Time since that answer arrived, in ms.
     pub heard_ms: u64,
 }
 
 impl WireLimit {
-    /// Puts what is known at `now` into a datagram.
+    /// Encodes a rate limit, with ages at `now`.
     pub fn new(id: &Identity, word: LimitReport, now: Millis) -> Self {
         Self {
             instance: instance_hash(id),
@@ -345,7 +349,7 @@
         }
     }
 
-    /// What was put in, as it is known if it was said at `at`.
+    /// Decodes the rate limit, taking its ages to be those at `at`.
     pub fn word(&self, at: Millis) -> LimitReport {
         LimitReport {
             limit: self.limit.map(Rate),
@@ -355,21 +359,22 @@
     }
 }
 
-/// A request that ended whoever ran it, as one node tells another of it.
+/// A quarantine record as it is encoded in a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireQuarantineEntry {
-    /// What it asks.
+    /// Hash of what the request asks for.
     pub fingerprint: u128,
-    /// The mark of who asks.
+    /// Hash of the caller's name.
     pub caller: u32,
-    /// How long ago it was cleared, in ms.
+    /// Time since it was last cleared, in ms.
     pub cleared_ms: Option<u64>,
-    /// Lives that ended under it: which, the mark of where, and how long ago, in ms.
+    /// Incarnations whose process it ended: hash of the incarnation, hash of its place, and the
+    /// time since then, in ms.
     pub ends: Vec<(u64, u32, u64)>,
 }
 
 impl WireQuarantineEntry {
-    /// Puts what is known at `now` into a datagram.
+    /// Encodes a record, with ages at `now`.
     pub fn new(known: &QuarantineRecord, now: Millis) -> Self {
         let RequestKey { fingerprint, caller } = known.request_key;
         let ends = known.ends.iter().map(|end| (end.incarnation, end.place, now.since(end.at).0));
@@ -381,7 +386,7 @@
         }
     }
 
-    /// What was put in, as it is known at `now`.
+    /// Decodes the record, taking its ages to be those at `now`.
     pub fn known(&self, now: Millis) -> QuarantineRecord {
         let ends = self.ends.iter();
         let ends = ends.map(|(incarnation, place, age)| ProcessEnd {
@@ -398,5 +403,5 @@
     }
 }
 
-/// Trouble with the list that is older is told no more.
+/// Age in ms from which on a failure to read the list is not reported any more.
 pub const LIST_TROUBLE_MAX_AGE_MS: u32 = 60_000;
--- a/crates/workshold-gateway/src/peers/news.rs
+++ b/crates/workshold-gateway/src/peers/news.rs
@@ -1,12 +1,12 @@
-//! Passing on what has come to the list of instances: who tells whom, in how many
-//! datagrams, and when a node that has missed something asks for it.
+//! Forwarding of new records of the instance list: which node forwards to which, how records are
+//! split into datagrams, and when a node that has missed some fetches them.
 //!
-//! The nodes of a data centre stand in a tree, in the order that all see alike. The first of
-//! them, who read the store, are its roots; each node tells [`CHILDREN`] others, once it has
-//! heard something new itself. So what a node sends does not grow with the number of nodes,
-//! and the last of 340 hears of a change after three steps. Datagrams are lost and nodes
-//! die, so nobody relies on the tree alone: pulses and digests say where the list ends, and
-//! whoever is behind that for [`PATIENCE`] asks one that is not.
+//! The nodes of a data centre form a tree by their rank. The first of them, which read the
+//! store, are its roots. Each node forwards new records to [`CHILDREN`] others once it has
+//! received them. So the traffic of a node does not grow with the number of nodes, and the last
+//! of 340 nodes receives a change after three hops. Datagrams get lost and nodes die, so the
+//! tree is not relied on alone: heartbeats and digests tell where the list ends, and a node
+//! that has been behind that for [`PATIENCE`] fetches the missing records from a peer.
 
 use std::net::SocketAddr;
 
@@ -19,26 +19,27 @@
 use crate::peers::exchange::LocalNode;
 use crate::peers::packing::packed_len;
 
-/// Nodes of a data centre that read the store for all of it: so many that a third of them
-/// may be turned away.
+/// Number of nodes of a data centre that read the store on behalf of all: enough that the store
+/// may turn a third of them away.
 pub const STORE_READERS: usize = 4;
-/// Nodes that each one tells.
+/// Number of nodes that each node forwards to.
 pub const CHILDREN: usize = 4;
-/// The most bytes of packed entries in one datagram: with what stands beside them it has to
-/// fit into what a node takes.
+/// Most bytes of compressed records in one datagram, which together with the other fields has
+/// to fit the receive buffer of 8 KiB.
 const MOST_BYTES: usize = 7 * 1024;
-/// The most bytes of entries that are tried to be packed into one: they become a third to a
-/// tenth of it.
+/// Most bytes of uncompressed records for which compression into one datagram is tried: they
+/// shrink to between a third and a tenth.
 const MOST_UNPACKED: usize = 64 * 1024;
-/// The most datagrams for what has changed between two of them: more is a whole list of
-/// thousands of instances, for which nodes ask.
+/// Most datagrams for one update. More would be the whole list of thousands of instances, which
+/// nodes fetch instead.
 const MOST_PIECES: usize = 32;
-/// What is behind for this long has been missed: the tree takes three steps of some
-/// milliseconds, and those who tell wait up to 40 ms for more.
+/// Records that are outstanding for this long count as missed: the tree takes three hops of some
+/// milliseconds, and each forwarding node waits up to 40 ms to batch records.
 pub const PATIENCE: Millis = Millis(120);
 
 impl Peers {
-    /// Whom a node tells what is new to it. `is_first` says that it read it itself.
+    /// The nodes to which this one forwards new records; `is_first` tells that it read them from
+    /// the store itself, and forwards them to the other data centres too.
     pub fn news_recipients(
         &self,
         own: &LocalNode<'_>,
@@ -48,7 +49,7 @@
         let near = self.in_order(own.data_centre, now);
         let own_rank = super::rank(own.name, self.class);
         let place = near.partition_point(|(rank, _)| *rank < own_rank);
-        // With this node at its place, all others stand one farther.
+        // `near` lacks this node, so that the nodes behind its place have an index one lower.
         let at = |i: usize| near.get(if i > place { i - 1 } else { i });
         let first_child = STORE_READERS + place * CHILDREN;
         let children = first_child..first_child + CHILDREN;
@@ -61,8 +62,7 @@
         told
     }
 
-    /// The nodes of a data centre that are heard, this one not among them, in the order that
-    /// all see alike.
+    /// The nodes of a data centre that are heard, without this one, ordered by rank.
     fn in_order(&self, data_centre: &str, now: Millis) -> Vec<(u32, SocketAddr)> {
         let near = self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == data_centre);
         let mut near: Vec<_> = near.map(|(address, peer)| (peer.rank, *address)).collect();
@@ -70,16 +70,16 @@
         near
     }
 
-    /// The first root of each other data centre.
+    /// The first node by rank of each other data centre.
     fn first_of_others(&self, own: &LocalNode<'_>, now: Millis) -> Vec<SocketAddr> {
         let places = self.far(own, now);
         let first = |place: &_| self.in_order(place, now).first().map(|(_, address)| *address);
         places.iter().filter_map(|place| first(place)).collect()
     }
 
-    /// Who is asked by a node whose list ends at `next`: one whose list is known to go on, a
-    /// near one if there is any. `draw` is any number: all who missed the same would
-    /// otherwise ask the same node.
+    /// The peer from which a node whose list ends at `next` fetches records: one whose list goes on
+    /// beyond that, of the same data centre if possible. It is selected by the random number
+    /// `draw`, or all nodes that missed the same records would ask the same peer.
     pub fn fetch_source(
         &self,
         own: &LocalNode<'_>,
@@ -97,7 +97,7 @@
     }
 }
 
-/// What is missing between what a node has and what others say that there is.
+/// Tracks whether peers have records of the list that this node lacks.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ListGap {
     end: LogPosition,
@@ -105,8 +105,8 @@
 }
 
 impl ListGap {
-    /// Somebody's list ends at `end`, this node's at `own`. Returns whether that is the
-    /// first word of something missing.
+    /// Notes that a peer's list ends at `end` and this node's at `own`. Returns whether records
+    /// are missing now and none were before.
     pub fn on_peer_list_end(
         &mut self,
         own: Option<LogPosition>,
@@ -122,28 +122,28 @@
         is_first
     }
 
-    /// This node's list ends at `own` now.
+    /// Notes that this node's list now ends at `own`.
     pub fn on_own_list_end(&mut self, own: LogPosition) {
         if own >= self.end {
             self.since = None;
         }
     }
 
-    /// How long from `now` until a peer is asked, if anything is missing.
+    /// Time from `now` until missing records are fetched from a peer; `None` if none are missing.
     pub fn time_until_fetch(&self, now: Millis) -> Option<Millis> {
         self.since.map(|since| (since + PATIENCE).since(now))
     }
 }
 
 impl ListNews {
-    /// The same in as many pieces as fit into one datagram each, every one going on where
-    /// the last one ended; none if that were too many.
+    /// Splits the records so that each part fits one datagram and starts where the last one ends.
+    /// Returns none if that takes more than [`MOST_PIECES`] parts, or one record alone is too long.
     pub fn into_datagrams(mut self) -> Vec<Self> {
         let mut records = std::mem::take(&mut self.records);
         records.sort_by_key(|record| record.place);
         let mut parts = Vec::new();
         split(&records, &mut parts);
-        // What was halved to the last fits, but for a record that alone is too long.
+        // Parts of several records have been halved until they fit; a single record may not.
         let is_too_long = |part: &&[ListRecord]| part.len() == 1 && packed_len(part) > MOST_BYTES;
         if parts.len() > MOST_PIECES || parts.iter().any(is_too_long) {
             return Vec::new();
@@ -159,7 +159,7 @@
     }
 }
 
-/// Halves records until each part fits into one datagram.
+/// Halves the records until each part fits one datagram or is a single record.
 fn split<'a>(records: &'a [ListRecord], parts: &mut Vec<&'a [ListRecord]>) {
     let len: usize = records.iter().map(|record| record.value.len()).sum();
     let fits = len <= MOST_UNPACKED && packed_len(records) <= MOST_BYTES;
--- a/crates/workshold-gateway/src/peers/packing.rs
+++ b/crates/workshold-gateway/src/peers/packing.rs
@@ -1,5 +1,5 @@
-//! How records of the list are packed: entries of hundreds of instances say nearly the same,
-//! and nodes with links of 20 Mbit/s pass them on to several others.
+//! Compression (LZ4) of records of the instance list: the entries of hundreds of instances are
+//! nearly alike, and nodes with links of 20 Mbit/s forward them to several others.
 
 use serde::Deserialize;
 use serde::Deserializer;
@@ -10,12 +10,12 @@
 
 use crate::peers::ListRecord;
 
-/// The longest list that is unpacked, in bytes: ten times that of a thousand instances.
+/// Most bytes that are accepted after decompression: ten times the list of a thousand instances.
 const MOST_UNPACKED: usize = 8 * 1024 * 1024;
-/// No packed byte stands for more than this.
+/// Upper bound of LZ4's compression ratio; a longer claimed length is false.
 const MOST_OF_A_BYTE: usize = 255;
 
-/// Records as they are sent.
+/// Compressed records, with the length that they have uncompressed.
 #[derive(Serialize, Deserialize)]
 struct Packed {
     unpacked_len: u32,
@@ -28,30 +28,30 @@
     Ok(Packed { unpacked_len, bytes: lz4_flex::block::compress(&bytes) })
 }
 
-/// Bytes that records take where they are sent.
+/// Compressed length of the records in bytes.
 pub fn packed_len(records: &[ListRecord]) -> usize {
     pack(records).map_or(usize::MAX, |packed| packed.bytes.len())
 }
 
-/// Packs records.
+/// Compresses and serializes records.
 ///
 /// # Errors
 ///
-/// What the serializer says.
+/// Errors of the serializer.
 pub fn serialize<S: Serializer>(records: &[ListRecord], to: S) -> Result<S::Ok, S::Error> {
     pack(records).map_err(S::Error::custom)?.serialize(to)
 }
 
-/// Unpacks records.
+/// Deserializes and decompresses records.
 ///
 /// # Errors
 ///
-/// If they are no such records, or more than any list has.
+/// If the data are malformed, or claim a length beyond what any list has.
 pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<ListRecord>, D::Error> {
     let packed = Packed::deserialize(from)?;
     let len = packed.unpacked_len as usize;
     if len > MOST_UNPACKED.min(packed.bytes.len() * MOST_OF_A_BYTE) {
-        return Err(D::Error::custom("more than any list has"));
+        return Err(D::Error::custom("uncompressed length of the list records is too large"));
     }
     let bytes = lz4_flex::block::decompress(&packed.bytes, len).map_err(D::Error::custom)?;
     postcard::from_bytes(&bytes).map_err(D::Error::custom)
