--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -1,9 +1,10 @@
-//! What all parts of a node share.
+//! State that all tasks and request handlers of a node share.
 //!
-//! - [`reading`]: who reads the store for whom, and what follows from its answers.
-//! - [`doubts`]: who cannot be reached.
-//! - [`held`]: which requests are kept from instances.
-//! - [`repeats`]: what may be repeated.
+//! - [`reading`]: which nodes read the store, and how its answers are accepted.
+//! - [`doubts`]: instances that cannot be reached.
+//! - [`held`]: quarantined requests.
+//! - [`instance_limits`]: rate limits, backoffs and departures that instances announce.
+//! - [`repeats`]: the retry budget of each upstream.
 
 mod instance_limits;
 mod quarantine;
@@ -68,61 +69,62 @@
 pub use self::suspicions::Probe;
 pub use self::suspicions::ProbeTask;
 
-/// The list of instances as this node has it.
+/// This node's copy of the instance list.
 #[derive(Debug, Default)]
 pub struct List {
-    /// The entries.
+    /// The decoded entries.
     pub roster: Roster,
-    /// Whether they can be taken at their word.
+    /// Whether an entry that is missing shows that its instance is gone.
     pub trust: ListTrust,
-    /// The next record to read; `None` before the first reading.
+    /// Position of the next record to read; `None` before the first reading.
     pub next: Option<LogPosition>,
-    /// The past of the store that the entries are of, once there are any.
+    /// Era of the store that the entries belong to; `None` before the first entries.
     pub past: Option<Era>,
-    /// Records of its past before this one are of the copy that the store came back from.
+    /// Records of the current era before this position come from the snapshot that the store was
+    /// restored from.
     pub copy_end: LogPosition,
-    /// When the last reading that was answered was sent.
+    /// When the last read request that was answered was sent.
     pub read_at: Millis,
-    /// The newest record of each instance as it was read, for peers.
+    /// The newest record of each instance, undecoded, for forwarding to peers.
     pub raw: BTreeMap<SmolStr, (LogPosition, Bytes)>,
-    /// Instances by the short names that datagrams use.
+    /// Instances by the hash that stands for them in datagrams.
     pub by_instance_hash: HashMap<u32, Identity>,
-    /// What others have of it and this node lacks.
+    /// Records that peers have and this node lacks.
     pub gap: ListGap,
-    /// Whether this node itself has read something new that it has not passed on.
+    /// Whether this node has read records from the store that it has not forwarded yet.
     pub has_own_news: bool,
 }
 
-/// From what the table was last made, and when.
+/// The roster version that the routing table was last built from, and when it was built.
 #[derive(Debug, Clone, Copy, Default)]
 struct MadeTable {
     version: u64,
     at: Millis,
 }
 
-/// This node's right to give orders.
+/// This node's part of the stewards' lease, which permits it to send orders to instances.
 #[derive(Debug, Clone, Default)]
 pub struct Lease {
-    /// The right that its orders go by.
+    /// The fencing token that its orders carry.
     pub fence: Fence,
-    /// The parts that are this node's.
+    /// The partitions of the lease that this node holds.
     pub parts: BTreeMap<u64, PartitionLease>,
-    /// When the last renewal that was answered was sent.
+    /// When the last renewal that was answered was sent; the lease's time counts from then.
     pub renewed_at: Millis,
-    /// An instance has refused this one: another node has a higher one.
+    /// The fencing token that an instance refused because it has seen a higher one.
     pub outranked: Option<Fence>,
-    /// The highest by which any other node acts.
+    /// The highest fencing token that another node is known to use.
     pub heard: Fence,
 }
 
 impl Lease {
-    /// The right by which this node gives orders, if it may hold any part.
+    /// The fencing token for this node's orders; `None` if it holds no partition.
     pub fn acts_by(&self) -> Option<Fence> {
         (!self.parts.is_empty()).then_some(self.fence)
     }
 }
 
-/// Why a node does not serve.
+/// Why a node is not ready to serve callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum NotReady {
     /// it has no configuration yet
@@ -139,76 +141,77 @@
     Leaving,
 }
 
-/// What all parts of a node share.
+/// State that all tasks and request handlers of a node share, each part under its own lock.
 pub struct Node {
     settings: RwLock<Arc<Settings>>,
     clock: Box<dyn Clock>,
     began: Millis,
-    /// The store's client.
+    /// Client of the store for everything but the configuration and the instance list.
     pub store: Store,
-    /// The same for the configuration alone: whether it is on its way shows there.
+    /// Client for the configuration alone: its count of received bytes shows whether an answer
+    /// with the configuration is arriving.
     pub config_store: Store,
-    /// The same for the list of instances.
+    /// Client for the instance list alone, for the same reason.
     pub list_store: Store,
     serving_config: RwLock<Option<(Arc<ServingConfig>, Bytes)>>,
     config_freshness: Mutex<ConfigFreshness>,
-    /// The list of instances.
+    /// The instance list.
     pub list: Mutex<List>,
     routing_table: RwLock<Arc<RoutingTable>>,
     made: Mutex<MadeTable>,
-    /// Who cannot be reached.
+    /// Instances that this node or its peers cannot reach.
     pub suspicions: Mutex<Suspicions<Identity>>,
-    /// Changes whenever suspicions do.
+    /// Incremented on each change of the suspicions or the quarantine, to wake waiting requests.
     pub suspicion_changed: watch::Sender<u64>,
-    /// The usual gaps between events.
+    /// Mean time between the events of a stream, by instance.
     pub gaps: Mutex<EventGaps<Identity>>,
-    /// Which requests end whoever begins to run them.
+    /// Requests whose start ended the process of an instance.
     pub quarantine: Mutex<Quarantine>,
     is_quarantine_read: AtomicBool,
-    /// Wakes the one who keeps what outlives this node.
+    /// Wakes the task that saves the quarantine to the store.
     pub keep_wanted: Notify,
-    /// Instances that fail more than others.
+    /// Outlier detection: targets that fail more often than others.
     pub outliers: Mutex<OutlierDetector<Identity>>,
-    /// How much instances take.
+    /// Rate limits, backoffs and departures that instances have announced.
     pub instance_limits: Mutex<InstanceLimits<Identity>>,
-    /// Requests at instances.
+    /// Number of requests at each instance, from this node and from its peers.
     pub loads: Loads,
-    /// What is counted.
+    /// Counters and gauges for `/metrics`.
     pub metrics: Metrics,
-    /// What callers ask of this node.
+    /// The workload that this node's callers ask for.
     pub demand: Mutex<Demand>,
     budgets: Mutex<HashMap<ServiceName, RetryBudget>>,
-    /// Other nodes.
+    /// What this node knows of the other nodes.
     pub peers: Mutex<Peers>,
-    /// The right to give orders.
+    /// This node's part of the stewards' lease.
     pub lease: Mutex<Lease>,
-    /// Wakes the steward.
+    /// Wakes the task that plans groups and sends orders.
     pub steward_wanted: Notify,
-    /// Wakes the one who sends pulses.
+    /// Wakes the task that sends heartbeats.
     pub heartbeat_wanted: Notify,
-    /// Wakes the one who catches up from peers.
+    /// Wakes the task that fetches a newer configuration from a peer.
     pub catch_up_wanted: Notify,
-    /// Wakes the one who passes news of the list on.
+    /// Wakes the task that forwards new list records to peers.
     pub news_wanted: Notify,
-    /// Wakes the one who asks for what this node lacks of the list.
+    /// Wakes the task that fetches missing list records from a peer.
     pub list_gap_seen: Notify,
-    /// Wakes the one who reads the list.
+    /// Wakes the task that reads the list from the store.
     pub list_wanted: Notify,
-    /// Ends a reading that waits: one that began later is needed.
+    /// Ends a long poll of the list that is waiting: a reading that began later is needed.
     pub list_wanted_anew: Notify,
-    /// The same for the configuration.
+    /// Ends a long poll of the configuration that is waiting.
     pub config_wanted_anew: Notify,
-    /// Wakes the one who makes the table anew.
+    /// Wakes the task that rebuilds the routing table.
     pub table_wanted: Notify,
-    /// Wakes the one who renews the lease.
+    /// Wakes the task that renews the lease.
     pub lease_wanted: Notify,
-    /// Epochs that this process has issued.
+    /// Counter of the group epochs that this process has issued.
     pub epochs_issued: Arc<AtomicU64>,
-    /// Whether the steward waits for statements.
+    /// Whether the steward waits for list entries that show the effect of its orders.
     pub is_steward_busy: AtomicBool,
-    /// Instances to try to reach, with what to do about others.
+    /// Queue of probes to run or to announce to peers.
     pub probes: tokio::sync::mpsc::UnboundedSender<Probe>,
-    /// What is known of the store's pasts.
+    /// Eras of the store that this process has seen, and when the store last answered.
     pub store_monitor: StoreMonitor,
     has_traffic: AtomicBool,
     is_leaving: AtomicBool,
@@ -218,20 +221,20 @@
     looks: Mutex<HashMap<Identity, Millis>>,
     asked: Mutex<HashMap<Identity, Millis>>,
     all_peers_asked: Mutex<HashMap<Identity, Millis>>,
-    /// How silence is judged.
+    /// When a stream without events is probed and when it is moved.
     pub stall: StallRules,
 }
 
-/// What callers ask of all nodes.
+/// The workload that the callers of all nodes ask for.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ObservedDemand {
-    /// By model, a second.
+    /// Workload per second, by model.
     pub by_model: BTreeMap<ModelName, Workload>,
-    /// The part of it that is seen so soon after the first request.
+    /// Fraction of the demand that the nodes have had time to observe since their first request.
     pub observed_fraction: f64,
 }
 
-/// Failures in a row, and what follows, of plain services and heads.
+/// Outlier rules for instances of plain services and for group heads.
 const OUTLIERS: OutlierRules = OutlierRules {
     slow_factor: 4.0,
     failures: 2,
@@ -240,13 +243,14 @@
     smoothing: 0.2,
 };
 
-/// Tables are made anew no more often than this for changes of the list.
+/// Least time between two rebuilds of the routing table on list changes.
 pub const TABLE_GAP: Millis = Millis(60);
-/// A table is made anew after this whatever has changed.
+/// Age at which the routing table is rebuilt even if nothing has changed.
 const TABLE_STANDS: Millis = Millis(2_000);
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node that has not read anything from the store and has not heard any peer;
+    /// `probes` takes the probes that it wants to be run.
     pub fn new(
         settings: Settings,
         clock: Box<dyn Clock>,
@@ -258,7 +262,7 @@
         let config_store = Store::new(&settings.store.address);
         let list_store = Store::new(&settings.store.address);
         Self {
-            // At the very first start of all nothing is kept.
+            // At the first start of the fleet the store holds no quarantine records.
             is_quarantine_read: AtomicBool::new(is_first_start),
             settings: RwLock::new(Arc::new(settings)),
             began: clock.now(),
@@ -310,12 +314,12 @@
         }
     }
 
-    /// The node's clock.
+    /// Time of the monotonic clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// The time of day, as this machine believes it.
+    /// Wall-clock time of this machine; the clocks of machines differ.
     pub fn wall(&self) -> Millis {
         self.clock.wall()
     }
@@ -325,22 +329,23 @@
         Arc::clone(&self.settings.read())
     }
 
-    /// Puts changed settings in force.
+    /// Replaces the settings in force.
     pub fn set_settings(&self, settings: Settings) {
         *self.settings.write() = Arc::new(settings);
     }
 
-    /// The configuration in force.
+    /// The configuration in force; `None` before the first one is read.
     pub fn serving_config(&self) -> Option<Arc<ServingConfig>> {
         self.serving_config.read().as_ref().map(|(serving_config, _)| Arc::clone(serving_config))
     }
 
-    /// The configuration as the operator wrote it, for peers.
+    /// The configuration in force as the operator wrote it, for forwarding to peers.
     pub fn config_bytes(&self) -> Option<Bytes> {
         self.serving_config.read().as_ref().map(|(_, bytes)| bytes.clone())
     }
 
-    /// Takes a configuration that was the newest at `at`; an older one changes nothing.
+    /// Installs a configuration that was the newest at `at`; an older version than the one in
+    /// force is ignored.
     pub fn install_config(&self, serving_config: ServingConfig, bytes: Bytes, at: Millis) {
         let version = serving_config.version;
         let len = bytes.len();
@@ -356,19 +361,20 @@
         self.heartbeat_wanted.notify_one();
     }
 
-    /// Somebody saw that `version` was the newest at `at`; whether this node lacks it.
+    /// Notes that `version` was the newest configuration at `at`. Returns whether this node
+    /// lacks it.
     pub fn confirm_config(&self, version: u64, at: Millis) -> bool {
         self.config_freshness.lock().confirm(version, at)
     }
 
-    /// The version in force and its age.
+    /// The version in force, and how long ago it was last known to be the newest.
     pub fn config_age(&self) -> Option<(u64, Millis)> {
         let config_freshness = *self.config_freshness.lock();
         Some((config_freshness.version()?, config_freshness.age(self.now())?))
     }
 
-    /// Whether keys can be believed now: they are current, or this deployment would
-    /// rather serve by the last configuration known than not at all.
+    /// Whether API keys can be checked now: the configuration is recent enough, or the settings
+    /// allow serving by the last known configuration however old it is.
     pub fn are_keys_trusted(&self) -> bool {
         let settings = self.settings();
         let bound = settings.max_key_age();
@@ -378,12 +384,12 @@
             || config_freshness.is_within(self.now(), bound)
     }
 
-    /// Where requests can be sent.
+    /// The routing table: targets that requests can be sent to.
     pub fn routing_table(&self) -> Arc<RoutingTable> {
         Arc::clone(&self.routing_table.read())
     }
 
-    /// Takes over what trouble with the list those had who read it for this node.
+    /// Takes over failures to read the list from the nodes that read it for this node.
     pub fn hear_of_list_trouble(&self) {
         if self.is_store_reader() {
             return;
@@ -396,7 +402,7 @@
         }
     }
 
-    /// Makes the table anew.
+    /// Rebuilds the routing table.
     pub fn rebuild_table(&self) {
         self.hear_of_list_trouble();
         let Some(serving_config) = self.serving_config() else { return };
@@ -409,8 +415,9 @@
         *self.made.lock() = made;
     }
 
-    /// The list has changed: the table is made anew, at once or a moment later if that was
-    /// just done. At a start the entries of hundreds of instances change many times a second.
+    /// Called when the list has changed: rebuilds the routing table now, or after [`TABLE_GAP`] if
+    /// it was rebuilt within that time. At a start the entries of hundreds of instances change
+    /// many times a second.
     pub fn list_changed(&self) {
         let since = self.now().since(self.made.lock().at);
         if since >= TABLE_GAP {
@@ -420,8 +427,9 @@
         }
     }
 
-    /// Makes the table anew if the list has changed, or time alone may change what it says:
-    /// entries that are missing are excused for a while after the store was away.
+    /// Rebuilds the routing table if the list has changed, or if its content may have changed by
+    /// time alone: entries that went missing while the store was unavailable count as present
+    /// for a while.
     pub fn renew_table(&self) {
         self.hear_of_list_trouble();
         let now = self.now();
@@ -435,7 +443,7 @@
         }
     }
 
-    /// Whether another target of the same kind has room for one more.
+    /// Whether another target of the same kind has a free slot for one more request.
     pub fn has_alternative_to(&self, target: &Target) -> bool {
         let routing_table = self.routing_table();
         let others = routing_table.like(target);
@@ -446,14 +454,15 @@
         })
     }
 
-    /// What is asked of this node by model, a second, and which part of it is seen.
+    /// The workload per second that this node's callers ask for, by model, and the observed
+    /// fraction of it.
     pub fn own_work(&self) -> (Vec<(SmolStr, Workload)>, f64) {
         let now = self.now();
         let demand = self.demand.lock();
         (demand.all(self.expected_answer_events(), now), demand.observed_fraction(now))
     }
 
-    /// What is asked of all nodes of the models of `engine`.
+    /// The workload that the callers of all nodes ask for, for the models of `engine`.
     pub fn work(&self, engine: &Engine) -> ObservedDemand {
         let (own, observed_fraction) = self.own_work();
         let now = self.now();
@@ -473,7 +482,8 @@
         ObservedDemand { by_model, observed_fraction }
     }
 
-    /// Events of an answer, as the operator expects them.
+    /// Number of events in a typical answer by the operator's configuration: the highest of all
+    /// engines, 1 without any.
     pub fn expected_answer_events(&self) -> f64 {
         let engine = |serving_config: Arc<ServingConfig>| {
             let engines = serving_config.upstreams.values().filter_map(|up| up.engine.as_ref());
@@ -483,25 +493,25 @@
         self.serving_config().map_or(1.0, engine)
     }
 
-    /// Notes that a request came.
+    /// Notes that a request has arrived; the first one is announced to peers at once.
     pub fn note_traffic(&self) {
         if !self.has_traffic.swap(true, Ordering::Relaxed) {
             self.heartbeat_wanted.notify_one();
         }
     }
 
-    /// Whether requests have come, here or at a peer.
+    /// Whether this node or a peer has received requests.
     pub fn has_traffic(&self) -> bool {
         let now = self.now();
         self.has_traffic.load(Ordering::Relaxed) || self.peers.lock().sums(now).has_traffic
     }
 
-    /// Whether this node itself has seen requests.
+    /// Whether this node itself has received requests.
     pub fn has_own_traffic(&self) -> bool {
         self.has_traffic.load(Ordering::Relaxed)
     }
 
-    /// Begins a planned stop.
+    /// Begins a planned stop: this node reports that it is not ready.
     pub fn leave(&self) {
         self.is_leaving.store(true, Ordering::Relaxed);
         self.heartbeat_wanted.notify_one();
@@ -512,45 +522,45 @@
         self.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// From here on connections end with their answer.
+    /// Closes each connection after its current response from now on, and refuses streams.
     pub fn close(&self) {
         self.is_closing.store(true, Ordering::Relaxed);
     }
 
-    /// From here on nothing is taken: it could not be finished before the end.
+    /// Refuses all requests from now on: they could not be finished before the process ends.
     pub fn refuse_requests(&self) {
         self.takes_nothing.store(true, Ordering::Relaxed);
     }
 
-    /// Whether a request of this kind is still taken by a node that is stopping: a
-    /// stream may last longer than is left, and what is cut is lost.
+    /// Whether requests of this kind are still accepted. A stopping node refuses streams first: a
+    /// stream may last longer than the time that is left, and a stream that is cut is lost.
     pub fn takes(&self, kind: RequestKind) -> bool {
         let takes_streams = !self.is_closing();
         !self.takes_nothing.load(Ordering::Relaxed)
             && (takes_streams || kind != RequestKind::Stream)
     }
 
-    /// Whether connections end with their answer.
+    /// Whether each connection is closed after its current response.
     pub fn is_closing(&self) -> bool {
         self.is_closing.load(Ordering::Relaxed)
     }
 
-    /// One more request is under way, until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn begin_request(self: &Arc<Self>) -> RequestGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         RequestGuard(Arc::clone(self))
     }
 
-    /// Requests under way.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Whether this node serves callers.
+    /// Whether this node is ready to serve callers.
     ///
     /// # Errors
     ///
-    /// [`NotReady`]: the first reason why not.
+    /// [`NotReady`]: the first reason why it is not.
     pub fn readiness(&self) -> Result<(), NotReady> {
         if self.is_leaving() {
             return Err(NotReady::Leaving);
@@ -573,13 +583,13 @@
         Ok(())
     }
 
-    /// How long ago this process began.
+    /// Time since this process started.
     pub fn age(&self) -> Millis {
         self.now().since(self.began)
     }
 }
 
-/// A request under way.
+/// Counts a request as in flight for as long as it lives.
 pub struct RequestGuard(Arc<Node>);
 
 impl Drop for RequestGuard {
--- a/crates/workshold-gateway/src/node/instance_limits.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -1,4 +1,5 @@
-//! How much instances take, by their own word, and what this node may send them.
+//! Rate limits, backoffs and departures that instances announce, and what this node may send
+//! them.
 
 use std::time::Duration;
 
@@ -25,23 +26,24 @@
 use crate::node::Node;
 use crate::peers::WireLimit;
 
-/// Limits in one pulse: news first, then the others in turn.
+/// Most rate limits in one heartbeat: changed ones first, then the others in turn.
 const MOST_TOLD: usize = 8;
-/// That an instance leaves is told for so long after it was first heard, and of so many.
+/// Time for which heartbeats tell that an instance is leaving, after it was first heard.
 const LEAVING_TOLD: Millis = Millis(5_000);
+/// Most leaving instances in one heartbeat.
 const MOST_LEAVING_TOLD: usize = 32;
 
-/// The right to send one request to an instance, taken out of what it takes. Requests are sent
-/// by this alone, so that no way to an instance can forget to ask.
+/// Permission to send one request to an instance, counted against its rate limit. Requests can
+/// be sent only through a permit, so that no code path can bypass the limit.
 #[derive(Debug)]
 pub struct Permit(());
 
 impl Permit {
-    /// Sends a request.
+    /// Sends the request and waits for the response's head for at most `within`.
     ///
     /// # Errors
     ///
-    /// [`CallError`] as of the connection.
+    /// [`CallError`] of the connection.
     pub async fn send(
         self,
         connected: Connected,
@@ -53,7 +55,7 @@
 }
 
 impl Node {
-    /// The answer to a request that left at `asked` names a limit, or none.
+    /// Handles the rate limit, or the absence of one, in the answer to a request sent at `asked`.
     pub fn on_rate_limit(&self, id: &Identity, limit: Limit, asked: Millis) {
         let limit = match limit {
             Limit::PerSecond(limit) => Some(Rate::per_s(limit)),
@@ -63,7 +65,7 @@
         self.hear_word(id, LimitReport { limit, asked, heard: self.now() });
     }
 
-    /// A refusal asks this node for so much rest, or for none.
+    /// Handles the backoff that a refusal asks of this node, if it names one.
     pub fn on_backoff(&self, id: &Identity, rest: Option<Millis>) {
         let Some(rest) = rest else { return };
         self.instance_limits.lock().on_backoff(id, rest, self.now());
@@ -71,7 +73,7 @@
         emit(Event::InstanceRests, &[("instance", id.as_str()), ("rest_ms", &*rest_ms)]);
     }
 
-    /// An answer says whether its instance leaves.
+    /// Handles whether an answer says that its instance is shutting down.
     pub fn on_leaving(&self, id: &Identity, leaves: bool) {
         if !leaves || !self.instance_limits.lock().on_leaving(id, self.now()) {
             return;
@@ -83,7 +85,7 @@
         self.heartbeat_wanted.notify_one();
     }
 
-    /// Other nodes tell of lives that leave.
+    /// Handles a peer's report of incarnations that are shutting down, by their hashes.
     pub fn hear_of_leaving(&self, told: &[u32]) {
         for instance in told {
             let id = self.list.lock().by_instance_hash.get(instance).cloned();
@@ -93,13 +95,13 @@
         }
     }
 
-    /// What this node tells others of lives that leave.
+    /// Hashes of the incarnations that this node reports to peers as shutting down.
     pub fn told_leaving(&self) -> Vec<u32> {
         let leaving = self.instance_limits.lock().recently_leaving(LEAVING_TOLD, self.now());
         leaving.iter().take(MOST_LEAVING_TOLD).map(instance_hash).collect()
     }
 
-    /// Other nodes tell of limits, in a datagram that came after `since`.
+    /// Handles rate limits in a peer's datagram that arrived after `since`.
     pub fn hear_of_limits(&self, told: &[WireLimit], since: Millis) {
         for told in told {
             let id = self.list.lock().by_instance_hash.get(&told.instance).cloned();
@@ -124,28 +126,28 @@
         emit(Event::InstanceLimited, &fields);
     }
 
-    /// What this node tells others of limits.
+    /// Rate limits that this node reports to peers.
     pub fn told_limits(&self) -> Vec<WireLimit> {
         let now = self.now();
         let told = self.instance_limits.lock().next_to_gossip(MOST_TOLD);
         told.iter().map(|(id, word)| WireLimit::new(id, *word, now)).collect()
     }
 
-    /// Whether an instance takes a request of this node now.
+    /// Checks whether an instance accepts a request of this node now, without counting one.
     ///
     /// # Errors
     ///
-    /// [`Withheld`] if not.
+    /// [`Withheld`] if it does not.
     pub fn check_instance_limits(&self, id: &Identity) -> Result<(), Withheld> {
         let part = self.part(id);
         self.instance_limits.lock().look(id, part, self.now())
     }
 
-    /// Takes the right to send one request to an instance, just before it is sent.
+    /// Takes the permit for one request to an instance; called just before it is sent.
     ///
     /// # Errors
     ///
-    /// [`Withheld`] if it takes none of this node now.
+    /// [`Withheld`] if the instance accepts no request of this node now.
     pub fn permit(&self, id: &Identity) -> Result<Permit, Withheld> {
         let part = self.part(id);
         let taken = self.instance_limits.lock().take(id, part, self.now());
@@ -153,7 +155,7 @@
         Ok(Permit(()))
     }
 
-    /// This node's part of an instance's limit, if it names one.
+    /// This node's share of an instance's rate limit. Without a limit every node may send.
     fn part(&self, id: &Identity) -> SenderShare {
         let limit = self.instance_limits.lock().limit(id);
         let Some(limit) = limit else { return SenderShare { is_sender: true, senders: 1 } };
--- a/crates/workshold-gateway/src/node/quarantine.rs
+++ b/crates/workshold-gateway/src/node/quarantine.rs
@@ -1,4 +1,5 @@
-//! Which requests are kept from instances, as this node sees and hears of them.
+//! The quarantine: requests that are not sent to instances since they ended the process of
+//! those that started them.
 
 use std::sync::atomic::Ordering;
 
@@ -19,7 +20,7 @@
 use crate::routing_table::Target;
 
 impl Node {
-    /// Until when a request is kept from all instances, if it is.
+    /// Until when a request is quarantined; `None` if it is not.
     pub fn quarantined_until(&self, fingerprint: Fingerprint) -> Option<Millis> {
         match self.quarantine.lock().status(fingerprint, self.now()) {
             QuarantineStatus::Held(until) => Some(until),
@@ -27,14 +28,14 @@
         }
     }
 
-    /// Whether one more end would keep a request from instances.
+    /// Whether one more ended process would quarantine a request.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.quarantine.lock().is_suspect(fingerprint, self.now())
     }
 
-    /// The connection to a target broke while a request began there. Returns whether the
-    /// target's end would keep that request from others. One that leaves with a plan ends
-    /// for its own reasons.
+    /// Notes that the connection to a target broke while a request was starting there. Returns
+    /// whether the end of the target's process would quarantine the request. A target that shuts
+    /// down as planned is not counted: its process ends for other reasons.
     pub fn note_connection_lost(&self, job: &AdmittedRequest, target: &Target) -> bool {
         let now = self.now();
         let (domain, is_leaving) = {
@@ -55,25 +56,25 @@
         self.is_suspect(job.fingerprint)
     }
 
-    /// A life of an instance has ended.
+    /// Notes that an incarnation of an instance has ended.
     pub(super) fn note_ended(&self, id: &Identity) {
         let now = self.now();
         self.change_quarantine(|known| known.on_process_ended(quarantine::incarnation(id), now));
     }
 
-    /// A request ran to its end.
+    /// Notes that a request ran to its end, which clears its fingerprint.
     pub fn note_finished(&self, job: &AdmittedRequest) {
         let now = self.now();
         self.change_quarantine(|known| known.on_completed(job.fingerprint, now));
     }
 
-    /// An operator lets a request go; whether it was known.
+    /// Clears a request on an operator's order. Returns whether there was anything to clear.
     pub fn release(&self, fingerprint: Fingerprint) -> bool {
         let now = self.now();
         self.change_quarantine(|known| known.clear(fingerprint, now))
     }
 
-    /// Another node, or the store, says this of requests.
+    /// Merges quarantine records of a peer or of the store. Returns whether any was new.
     pub fn hear_of_requests(&self, told: &[QuarantineRecord]) -> bool {
         let settings = self.settings();
         let is_relay = self.peers.lock().is_relay(&settings.own(), self.now());
@@ -83,8 +84,9 @@
         })
     }
 
-    /// Changes what is known of requests. What is news goes to the others at once, and
-    /// whatever waits unread at an instance is looked at again.
+    /// Applies a change to the quarantine. If it changes anything, the records are saved to the
+    /// store, peers are told at once, and requests that wait at an instance without having
+    /// started check again whether they are quarantined.
     fn change_quarantine(&self, change: impl FnOnce(&mut Quarantine) -> bool) -> bool {
         let now = self.now();
         let mut quarantine = self.quarantine.lock();
@@ -105,12 +107,12 @@
         true
     }
 
-    /// Whether what the store keeps of requests was read, or is not waited for.
+    /// Whether the store's quarantine records have been read, or are not waited for any more.
     pub fn is_quarantine_read(&self) -> bool {
         self.is_quarantine_read.load(Ordering::Relaxed)
     }
 
-    /// What the store keeps of requests has been read, or is not waited for any more.
+    /// Notes that the store's quarantine records have been read, or are not waited for any more.
     pub fn quarantine_read(&self) {
         self.is_quarantine_read.store(true, Ordering::Relaxed);
     }
--- a/crates/workshold-gateway/src/node/reading.rs
+++ b/crates/workshold-gateway/src/node/reading.rs
@@ -1,4 +1,4 @@
-//! Who reads the store for whom, and what follows from its answers.
+//! Which nodes read the store on behalf of others, and how its answers are accepted.
 
 use workshold_core::hosted::store_era::Era;
 use workshold_core::hosted::store_era::EraOrder;
@@ -13,23 +13,25 @@
 use crate::peers::news;
 use crate::peers::rank;
 
-/// Up to so many nodes, each reads the store for itself.
+/// With fewer other nodes than this, each node reads the store itself.
 const ALL_READ: usize = 12;
-/// So many of each data centre write again what the store has lost.
+/// Nodes per data centre that write again what the store lost in a restore.
 const KEEPERS: usize = 2;
-/// A node that starts has heard the others by then, or there is nobody whom it hears.
+/// A starting node has heard its peers by this age, or cannot hear any.
 const HEARS_WITHIN: Millis = Millis(2_500);
-/// The store has not answered a reader for longer than this if it is cut off: more than it
-/// takes to renew a lease without parts, with an answer and a pulse that are late. With the
-/// look at it and an answer that is 2.5 s; 3 s are allowed to nodes that are not cut off.
+/// The nodes that read the store count as cut off from it if it has not answered them for
+/// longer than this: more than the renewal interval of a lease without partitions, plus a late
+/// answer and a late heartbeat. With the check of it and an answer that makes 2.5 s, within the
+/// 3 s that are allowed to nodes that are not cut off.
 const READERS_SILENT: Millis = Millis(1_800);
-/// Over how long nodes begin to read and to hold the lease at the first start of all: some
-/// seconds before the first callers, and long enough that the first of hundreds have what
-/// the others need.
+/// Time over which the nodes of a fleet that starts for the first time are staggered before
+/// they read the store and take the lease. The first callers come some seconds later, and it
+/// is long enough that the first of hundreds of nodes have read what the others need.
 const FIRST_START_SPREAD: Millis = Millis(800);
 
 impl Node {
-    /// Whether a part of the lease waits for a reading of the list that began later.
+    /// Whether a partition of the lease waits for a reading of the list that began after it was
+    /// taken.
     pub fn wants_list_anew(&self) -> bool {
         let read_at = self.list.lock().read_at;
         self.lease
@@ -39,10 +41,10 @@
             .any(|partition_lease| partition_lease.needs_list_reread(read_at))
     }
 
-    /// Whether this node knows the others, as far as it can: there is nobody whom it could
-    /// ask, or it hears of as many as those do whom it asked. At the very first start all
-    /// nodes begin at once; each gives those before it in the order of all a moment, so that
-    /// there is somebody to ask.
+    /// Whether this node knows its peers as far as it can: there are no addresses to ask, or it
+    /// knows of about as many nodes as the relays that it asked. At the first start of a fleet all
+    /// nodes start at once; each waits for a time that grows with its rank, so that there are nodes
+    /// to ask.
     pub fn is_settled(&self) -> bool {
         let settings = self.settings();
         let turn = (u64::from(rank(&settings.node.name, settings.limits.class()))
@@ -54,14 +56,14 @@
         !self.peers.lock().lacks_nodes(self.now())
     }
 
-    /// Whether this node reads the store itself, or goes by what others read: with
-    /// many nodes a few of them are enough.
+    /// Whether this node reads the store itself. With many nodes only a few of each data centre
+    /// do, and the others rely on what these have read.
     pub fn is_store_reader(&self) -> bool {
         !self.has_followers() || self.is_among_first(news::STORE_READERS)
     }
 
-    /// Whether the store has not answered any of those who read it for this node for so long
-    /// that they may be cut off from it, and this node may not be.
+    /// Whether the nodes that read the store for this one may be cut off from it, while this
+    /// node may still reach it: the store has not answered any of them for [`READERS_SILENT`].
     pub fn are_readers_cut_off(&self) -> bool {
         let settings = self.settings();
         let now = self.now();
@@ -69,16 +71,17 @@
         answered.is_some_and(|at| now.since(at) > READERS_SILENT)
     }
 
-    /// Whether this node hears fewer than half of the others that may be there: then news
-    /// that they tell each other may not come to it.
+    /// Whether this node hears fewer than half of the other nodes that may exist: then updates
+    /// that they send each other may not reach it.
     pub fn hears_few(&self) -> bool {
         let peers = self.peers.lock();
         let others = peers.max_node_count() - 1;
         peers.heard(self.now()).count() * 2 < others
     }
 
-    /// How long ago a reading of the list failed, in ms, if this node reads it: told to
-    /// those who go by it.
+    /// Milliseconds since a reading of the list last failed, capped at [`LIST_TROUBLE_MAX_AGE_MS`];
+    /// `None` if this node does not read the store. Heartbeats carry it to the nodes that rely on
+    /// this one's readings.
     pub fn list_failure_age_ms(&self) -> Option<u32> {
         if !self.is_store_reader() {
             return None;
@@ -94,16 +97,16 @@
         self.peers.lock().ranks_among_first(&settings.node.name, data_centre, most, self.now())
     }
 
-    /// Whether there are nodes that go by what others read.
+    /// Whether there are so many nodes that some rely on what others read.
     pub fn has_followers(&self) -> bool {
         self.peers.lock().heard(self.now()).count() >= ALL_READ
     }
 
-    /// The store answered a question that was sent at `sent`; what it says.
+    /// Accepts the store's answer to a request sent at `sent` and returns its content.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Earlier`]: nothing, for it is of a past that is over.
+    /// [`StoreError::Earlier`] if the answer belongs to an era of the store that is over.
     pub fn take_answer<T>(&self, answer: Answer<T>, sent: Millis) -> Result<T, StoreError> {
         let (said, has_returned) = self.store_monitor.take(answer, sent, self.now())?;
         if has_returned {
@@ -112,15 +115,15 @@
         Ok(said)
     }
 
-    /// Another node has known this past of the store since `since`.
+    /// Handles a peer's report that it has known this era of the store since `since`.
     pub fn hear_of_past(&self, era: Era, since: Millis) {
         if self.store_monitor.observe(era, since) == EraOrder::Newer {
             self.store_returned();
         }
     }
 
-    /// The store has come back from a copy. What this node holds of it stands, but is read
-    /// anew, and what was kept there and may be lost is kept again.
+    /// Called when the store was restored from a snapshot. The data that this node holds stays in
+    /// use but is read again, and records that the restore may have lost are written again.
     fn store_returned(&self) {
         emit(Event::StoreReturned, &[("era", &self.store_monitor.era().to_string())]);
         if self.keeps_anew() {
@@ -134,14 +137,14 @@
         self.config_wanted_anew.notify_one();
     }
 
-    /// Whether this node writes again what the store has lost: two of each data centre do,
-    /// so that one of them may be gone, and hundreds do not write the same.
+    /// Whether this node writes again what the store lost in a restore. Two nodes of each data
+    /// centre do, so that one of them may be down and hundreds do not write the same records.
     pub fn keeps_anew(&self) -> bool {
         self.is_among_first(KEEPERS)
     }
 
-    /// Whether a configuration that the store gave may be one of its past: after a return
-    /// from a copy others may hold a newer one, whom a node that starts has not heard yet.
+    /// Whether a configuration read from the store may be outdated: after a restore from a snapshot
+    /// a peer may hold a newer one, and a starting node may not have heard that peer yet.
     pub fn is_surpassed(&self, version: u64) -> bool {
         if self.store_monitor.era() == Era::default() {
             return false;
@@ -156,7 +159,7 @@
         !is_held && (newest > Some(version) || (is_new && (is_alone || !self.is_settled())))
     }
 
-    /// How long ago a question was sent that the store answered.
+    /// Time since the last request was sent that the store has answered.
     pub fn store_silent_for(&self) -> Millis {
         self.now().since(self.store_monitor.answered())
     }
--- a/crates/workshold-gateway/src/node/retry_budget.rs
+++ b/crates/workshold-gateway/src/node/retry_budget.rs
@@ -1,4 +1,4 @@
-//! What this node may repeat of each upstream's requests.
+//! The retry budget of each upstream on this node.
 
 use workshold_core::hosted::retry_policy::RetryBudget;
 use workshold_core::hosted::retry_policy::RetryBudgetUsage;
@@ -10,7 +10,7 @@
 use crate::node::Node;
 
 impl Node {
-    /// Takes one repeat out of the budget of a service.
+    /// Takes one retry out of a service's budget. Returns whether the budget allowed it.
     pub fn take_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let nodes = self.peers.lock().max_node_count();
@@ -25,12 +25,12 @@
         is_taken
     }
 
-    /// Gives a repeat back to the budget of a service: it never left.
+    /// Returns a retry to a service's budget because its request was never sent.
     pub fn return_retry(&self, service: &ServiceName) {
         self.budget(service, RetryBudget::refund);
     }
 
-    /// Counts a request towards the budget of a service.
+    /// Counts a request, which raises the number of retries that a service's budget allows.
     pub fn count_request(&self, service: &ServiceName) {
         let now = self.now();
         self.budget(service, |budget| budget.on_request(now));
--- a/crates/workshold-gateway/src/node/suspicions.rs
+++ b/crates/workshold-gateway/src/node/suspicions.rs
@@ -1,4 +1,5 @@
-//! Who cannot be reached: what this node's own tries and others' words show, and who is asked.
+//! Suspicions of unreachable instances: results of this node's own probes and reports of peers,
+//! and which nodes are asked to probe.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,68 +19,67 @@
 use crate::peers::Peers;
 use crate::routing_table::Target;
 
-/// A look at a group's members serves all its streams for this long.
+/// A probe of all members of a group counts for all its streams for this long.
 const LOOK_GOOD_FOR: Millis = Millis(250);
-/// With fewer nodes than this all of them try a silent instance when one asks.
+/// With fewer nodes than this, all of them probe a suspected instance when one asks.
 const FEW_NODES: usize = 24;
-/// Beyond that, so many of each data centre do.
+/// With more, this many of each data centre do.
 const WITNESSES: usize = 4;
-/// All who were asked have answered by then, and had the question twice.
+/// Time within which all nodes that were asked have answered; the question is sent twice in it.
 const ALL_ANSWER: Millis = Millis(300);
-/// What all answered holds for so long; then they are asked again.
+/// Time for which the answers of all nodes hold; then they are asked again.
 const ASKED_FOR: Millis = Millis(10_000);
-/// Many nodes ask at once when an instance falls silent: one try answers all who ask
-/// within this.
+/// Many nodes ask at once when an instance falls silent: one probe answers all requests
+/// within this time.
 const ASKED_AGAIN: Millis = Millis(200);
 
-/// An instance that somebody could not reach.
+/// A task about an instance that this node or a peer could not reach.
 #[derive(Debug, Clone)]
 pub struct Probe {
-    /// Which.
+    /// The instance.
     pub id: Identity,
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SmolStr,
-    /// What is to be done about it.
+    /// What to do about it.
     pub task: ProbeTask,
 }
 
-/// What is to be done about an instance in doubt.
+/// What to do about a suspected instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeTask {
-    /// To try it, for this node's own sake.
+    /// Probe it for this node's own use.
     Look,
-    /// To try it because another node asked, and to tell all what it showed.
+    /// Probe it because a peer asked, and send the result to all nodes.
     AnswerOthers,
-    /// To try it because this node asked all, and to tell it if the instance answers.
+    /// Probe it because the node at this address asked all, and reply if the instance answers.
     AnswerOne(SocketAddr),
-    /// To tell the others what this node's own try showed.
+    /// Send the result of this node's own probe to all nodes.
     Tell {
-        /// What it showed.
+        /// The result.
         reach: ProbeResult,
-        /// Who is to try as well.
+        /// Which nodes are to probe it as well.
         asks: Ask,
     },
 }
 
 impl Node {
-    /// How sure it is that an instance is lost.
+    /// How certain it is that an instance is lost.
     pub fn loss(&self, id: &Identity) -> Loss {
         let peers = self.peers.lock().heard(self.now()).count();
         self.suspicions.lock().loss(id, peers)
     }
 
-    /// Whether a member of a target's group cannot be reached from here, or by
-    /// anybody.
+    /// Whether a member of a target's group cannot be reached, by this node or by any node.
     pub fn is_suspected(&self, target: &Target) -> bool {
         self.suspected_member(target).is_some()
     }
 
-    /// Whether another life has begun at a target's id.
+    /// Whether a newer incarnation has started under a target's instance id.
     pub fn is_superseded(&self, target: &Target) -> bool {
         self.suspicions.lock().is_superseded(&target.id)
     }
 
-    /// The first member of a target's group that cannot be reached.
+    /// The first member of a target's group that cannot be reached; `None` if all can.
     pub fn suspected_member(&self, target: &Target) -> Option<SmolStr> {
         let suspicions = self.suspicions.lock();
         let is_out = |member: &&Arc<Instance>| suspicions.is_unreachable(&member.identity);
@@ -87,8 +87,8 @@
         doubted.map(|member| SmolStr::new(member.identity.as_str()))
     }
 
-    /// What this node's own try to reach an instance showed; tells the others, and asks
-    /// them unless another one has.
+    /// Records the result of this node's own probe of an instance. A changed result is sent to
+    /// the peers, who are asked to probe as well unless a peer has reported the instance before.
     pub fn on_probe_result(&self, id: &Identity, address: &SmolStr, reach: ProbeResult) {
         let is_first = !self.suspicions.lock().is_reported_by_peers(id);
         let is_asking = reach != ProbeResult::Answers && is_first;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Notes what this node's own try showed; whether that is news.
+    /// Records the result of this node's own probe. Returns whether it differs from the last one.
     pub fn record_probe_result(&self, id: &Identity, reach: ProbeResult) -> bool {
         let now = self.now();
         let was = self.suspicions.lock().is_unreachable_from_here(id);
@@ -116,7 +116,8 @@
         true
     }
 
-    /// Another life has begun at an instance's id: whoever waits for this one waits in vain.
+    /// A newer incarnation has started under an instance's id: `life` has ended, and requests that
+    /// wait for it must not go on waiting.
     pub fn note_superseded(&self, life: &Identity) {
         self.suspicions.lock().on_superseded(life, self.now());
         self.note_ended(life);
@@ -125,14 +126,15 @@
         self.suspicions_changed();
     }
 
-    /// Has something done about an instance in doubt.
+    /// Queues a task about a suspected instance.
     pub fn probe(&self, id: &Identity, address: &SmolStr, task: ProbeTask) {
-        // The one who takes probes lives as long as the node.
+        // The receiver lives as long as the node, so that sending fails only while it ends.
         let _ = self.probes.send(Probe { id: id.clone(), address: address.clone(), task });
     }
 
-    /// Whether this node tries an instance for all nodes when one of them asks: a few of
-    /// each data centre do, and whoever may have to act on it.
+    /// Whether this node probes an instance on behalf of all nodes when one of them asks: a few of
+    /// each data centre do, and every node that holds a partition of the stewards' lease, since it
+    /// may have to act on the result.
     pub fn is_witness(&self, id: &Identity) -> bool {
         let acts = self.lease.lock().acts_by().is_some();
         let settings = self.settings();
@@ -143,8 +145,8 @@
             || peers.is_witness(&settings.own(), instance_hash(id), WITNESSES, now)
     }
 
-    /// Whether all nodes were asked whether they reach an instance, and have had the time to
-    /// answer; the first question has that begun. Few nodes are all asked from the start.
+    /// Whether all nodes were asked to probe an instance and have had the time to answer. The
+    /// first call sends the question. With few nodes all of them are asked at once anyway.
     pub fn have_all_peers_probed(&self, id: &Identity, address: &SmolStr) -> bool {
         let now = self.now();
         if are_few(&self.peers.lock(), now) {
@@ -161,8 +163,8 @@
         at.is_some_and(|at| now.since(at) >= ALL_ANSWER)
     }
 
-    /// Whether an instance is to be tried because another node asks: not if it was
-    /// just now, for the same reason.
+    /// Whether an instance has to be probed because a peer asks: not if it was probed for a peer
+    /// within [`ASKED_AGAIN`].
     pub fn is_probe_due(&self, id: &Identity) -> bool {
         let now = self.now();
         let mut asked = self.asked.lock();
@@ -174,13 +176,13 @@
         true
     }
 
-    /// Whether a target's members were all tried just now.
+    /// Whether all members of a target's group were probed within [`LOOK_GOOD_FOR`].
     pub fn was_probed_recently(&self, id: &Identity) -> bool {
         let now = self.now();
         self.looks.lock().get(id).is_some_and(|at| now.since(*at) < LOOK_GOOD_FOR)
     }
 
-    /// A target's members were all tried.
+    /// Notes that all members of a target's group have been probed.
     pub fn note_group_probe(&self, id: &Identity) {
         let now = self.now();
         let mut looks = self.looks.lock();
@@ -188,14 +190,14 @@
         looks.insert(id.clone(), now);
     }
 
-    /// Wakes whoever waits on an instance that may be lost.
+    /// Wakes the requests that wait on a suspected instance, and the steward.
     pub fn suspicions_changed(&self) {
         self.suspicion_changed.send_modify(|version| *version += 1);
         self.steward_wanted.notify_one();
     }
 }
 
-/// Whether there are so few nodes that all of them try a silent instance.
+/// Whether there are so few nodes that all of them probe a suspected instance.
 fn are_few(peers: &Peers, now: Millis) -> bool {
     peers.heard(now).count() < FEW_NODES
 }
