--- a/crates/workshold-gateway/src/tasks.rs
+++ b/crates/workshold-gateway/src/tasks.rs
@@ -1,4 +1,4 @@
-//! What runs beside the callers.
+//! Background tasks of a node, which run beside the handling of requests.
 
 pub mod gossip;
 pub mod leasing;
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -1,4 +1,5 @@
-//! Pulses, digests and verdicts between nodes, by datagram; and catching up from a peer.
+//! Sending and receiving of datagrams between nodes, and fetching of a configuration or list
+//! records from a peer over HTTP.
 
 use std::io;
 use std::net::SocketAddr;
@@ -37,54 +38,55 @@
 use crate::peers::WireWorkload;
 use crate::tasks::store_sync;
 
-/// How often a node says how it is: the fresher the loads of others, the better is the
-/// choice of a group.
+/// Bounds of the interval between heartbeats: the fresher the loads of other nodes are, the
+/// better groups are chosen.
 const PULSE_LEAST: Millis = Millis(100);
 const PULSE_MOST: Millis = Millis(300);
-/// It says so less often by this much for each node that there may be, up to that: what a
-/// relay takes grows with them.
+/// Heartbeat interval per known node, within these bounds: the number of heartbeats that a
+/// relay receives grows with the number of nodes.
 const PULSE_FOR_EACH: Millis = Millis(16);
-/// However much is new, it says so no more often than this.
+/// Least time between two heartbeats, however many changes there are.
 const PULSE_GAP: Millis = Millis(100);
-/// News of the list is passed on no more often than this, several changes at once.
+/// New list records are forwarded no more often than this, several changes in one batch.
 const NEWS_EVERY: Duration = Duration::from_millis(40);
-/// So many pieces of long news go out at once, to up to eleven nodes: 150 KB, or a third of
-/// what a link of 100 Mbit/s takes in the time between.
+/// Datagrams of a long update that are sent at once, to up to eleven nodes: 150 KB, a third of
+/// what a link of 100 Mbit/s carries in [`NEWS_EVERY`].
 const PIECES_AT_ONCE: usize = 2;
-/// A peer is asked for its list no more often than this.
+/// Least time between two fetches of list records from a peer.
 const FETCH_EVERY: Duration = Duration::from_millis(200);
-/// Nodes that miss the same ask up to this much apart.
+/// Random delay before a fetch, so that nodes that miss the same records do not fetch at once.
 const FETCH_SPREAD: Millis = Millis(60);
-/// Others' loads are summed up anew so many times between two pulses, however many come.
+/// Most recomputations of the peers' summed loads in one heartbeat interval, however many
+/// heartbeats arrive.
 const LOADS_SUMMED: u64 = 5;
-/// Requests that ended whoever ran them, in one pulse: those that were beside the one that
-/// ended an instance are told of once and cleared, so that what matters most goes first.
+/// Most quarantine records in one heartbeat. Requests that only ran beside the one that ended an
+/// instance are sent once and then cleared, so the most important records go first.
 const MOST_REQUESTS: usize = 16;
-/// The largest datagram that is read.
+/// Size of the receive buffer, and so of the largest datagram, in bytes.
 const MOST_BYTES: usize = 8 * 1024;
-/// How often a node sees that no datagram waits, if none comes: what comes then looks older
-/// than it is by up to this, a fraction of what keys are believed for.
+/// Interval at which a node finds that no datagram is waiting, while none arrives. The next one
+/// looks older than it is by up to this, a fraction of the time for which keys are trusted.
 const LOOK_FOR_WAITING: Duration = Duration::from_millis(100);
-/// How often a node looks whether a peer knows more.
+/// Interval at which a node checks whether a peer has newer data.
 const CATCH_UP_EVERY: Duration = Duration::from_millis(300);
-/// A newer configuration is asked of a peer if the store has not given it by then.
+/// A newer configuration is fetched from a peer if the store has not delivered it by then.
 const STORE_FIRST: Millis = Millis(500);
-/// While the store is giving it, a peer is asked only after this: a reading that is not
-/// whole by then may never be.
+/// While an answer of the store is arriving, a peer is asked only after this time: an answer
+/// that is incomplete by then may never be completed.
 const STORE_MOST: Millis = Millis(1_500);
-/// Time for a peer's answer.
+/// Timeout of a fetch from a peer.
 const PEER_TIME: Duration = Duration::from_millis(600);
 
-/// Opens the socket for other nodes.
+/// Opens the UDP socket for datagrams between nodes.
 ///
 /// # Errors
 ///
-/// What the machine says.
+/// The operating system's error if the address cannot be bound.
 pub async fn open(node: &Node) -> io::Result<UdpSocket> {
     UdpSocket::bind(node.settings().control()).await
 }
 
-/// Says how this node is, and what it has put together as a relay, until the node ends.
+/// Sends this node's heartbeats, and its digests if it is a relay, until the node ends.
 pub async fn send_heartbeats(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         let every = pulse_every(node.peers.lock().addresses().len());
@@ -110,8 +112,8 @@
     Millis(PULSE_FOR_EACH.0 * nodes as u64).clamp(PULSE_LEAST, PULSE_MOST)
 }
 
-/// Passes on what is new of the list until the node ends, if there are nodes that go by what
-/// others read.
+/// Forwards new list records until the node ends, if there are nodes that rely on what others
+/// read.
 pub async fn send_news(node: Arc<Node>, socket: Arc<UdpSocket>) {
     let mut from = None;
     loop {
@@ -140,19 +142,19 @@
     node.peers.lock().news_recipients(&settings.own(), is_first, node.now())
 }
 
-/// Sends a message to all nodes that may be there.
+/// Sends a message to all addresses at which there may be a node.
 pub async fn broadcast(node: &Node, socket: &UdpSocket, message: Message) {
     let addresses = node.peers.lock().addresses();
     send(node, socket, &addresses, message).await;
 }
 
-/// Sends a message.
+/// Sends a message to each address; datagrams that cannot be sent are dropped.
 pub async fn send(node: &Node, socket: &UdpSocket, to: &[SocketAddr], message: Message) {
     let from = SmolStr::new(&node.settings().node.name);
     let datagram = Datagram { version: VERSION, from, message };
     let bytes = postcard::to_stdvec(&datagram).expect("datagrams have only plain fields");
     for address in to {
-        // A datagram that cannot be sent is as good as lost, which happens anyway.
+        // Receivers cope with lost datagrams, so that a failed send needs no handling.
         let _ = socket.send_to(&bytes, address).await;
     }
 }
@@ -161,7 +163,7 @@
     let settings = node.settings();
     let config = node.config_age().map(|(version, age)| (version, age.0));
     let (work, observed_fraction) = node.own_work();
-    // No lock may be held while the next part is asked for.
+    // Taken before the struct is built: no lock may be held while the other fields are computed.
     let acts_by = node.lease.lock().acts_by();
     Heartbeat {
         callers: settings.listen.callers,
@@ -193,7 +195,8 @@
     told.iter().map(|known| WireQuarantineEntry::new(known, now)).collect()
 }
 
-/// Nothing else is locked beside the gaps: whoever takes pulses locks the list first.
+/// The gaps are locked without any other lock: handling of heartbeats locks the list before
+/// them.
 fn told_loads(node: &Node) -> Vec<WireLoad> {
     let loads = node.loads.own_loads();
     let gaps = node.gaps.lock();
@@ -206,11 +209,13 @@
     list.next.map(|next| (next, node.now().since(list.read_at).0))
 }
 
-/// Takes datagrams until the node ends.
+/// Receives and handles datagrams until the node ends.
 ///
-/// When one came is not known, only when nothing waited: a node that stood still, or whose
-/// machine slept, reads afterwards what came meanwhile, and the ages in it have grown by
-/// up to that. Without this a key that was taken away is believed for as much longer.
+/// The time at which a datagram arrived is unknown; known is when none was waiting. A process
+/// that stalled, or whose machine was suspended, afterwards reads the datagrams that arrived
+/// meanwhile, and the ages in them have grown by up to that pause. Ages are therefore counted
+/// from when no datagram was waiting; otherwise a revoked key would be trusted for longer by
+/// the length of the pause.
 pub async fn receive(node: Arc<Node>, socket: Arc<UdpSocket>) {
     let mut buf = vec![0; MOST_BYTES];
     let mut none_waited = node.now();
@@ -227,16 +232,16 @@
             }
             Err(err) if err.kind() == io::ErrorKind::WouldBlock => {
                 none_waited = looked;
-                // Whoever is not woken by a datagram looks again all the same.
+                // Without a datagram, check again after the timeout to advance `none_waited`.
                 let _ = tokio::time::timeout(LOOK_FOR_WAITING, socket.readable()).await;
             }
-            // The machine reports a refused datagram of ours here.
+            // The operating system reports here that a datagram sent earlier was refused.
             Err(_) => tokio::task::yield_now().await,
         }
     }
 }
 
-/// Takes a datagram that came after `since`; says what is answered, if anything is.
+/// Handles a datagram that arrived after `since`. Returns the reply, if there is one.
 fn take(node: &Node, from: SocketAddr, datagram: Datagram, since: Millis) -> Option<Message> {
     match datagram.message {
         Message::Heartbeat(heartbeat) => {
@@ -272,7 +277,8 @@
     let is_news = node.peers.lock().on_heartbeat(own.address, from, name, said, now);
     pass_on(node, is_news);
     sum_loads(node, true);
-    // What this node itself is asked and has at instances comes with its pulses.
+    // The reply holds this node's own state as well: its heartbeat is built without holding the
+    // lock of the peers.
     let data_centre = seeks?;
     let own_pulse = heartbeat(node, PULSE_MOST.0 as u16);
     let mut peers = node.peers.lock();
@@ -292,8 +298,8 @@
     sum_loads(node, is_of_some);
 }
 
-/// What a node says, in a datagram that came after `since`, of the configuration and the
-/// list that it holds.
+/// Handles the parts of a heartbeat that do not concern membership, from a datagram that arrived
+/// after `since`: era, configuration, list position, departures, rate limits and quarantine.
 fn take_statement(node: &Node, said: &Heartbeat, since: Millis) {
     let now = node.now();
     if let Some((era, age)) = said.past {
@@ -316,7 +322,7 @@
     }
 }
 
-/// A relay passes on at once what others wait for.
+/// Makes a relay send its digests at once if they contain a change that other nodes wait for.
 fn pass_on(node: &Node, is_news: bool) {
     let settings = node.settings();
     if is_news && node.peers.lock().is_relay(&settings.own(), node.now()) {
@@ -324,7 +330,8 @@
     }
 }
 
-/// Sums up others' loads anew; where many parts make up the sum, not for each of them.
+/// Recomputes the sum of the peers' loads; if the datagram is one of many that the sum is made
+/// of (`is_of_many`), no more often than [`LOADS_SUMMED`] times per heartbeat interval.
 fn sum_loads(node: &Node, is_of_many: bool) {
     let now = node.now();
     let peers = node.peers.lock();
@@ -336,7 +343,8 @@
     }
 }
 
-/// A peer acts by a later number than this node: the parts have been dealt anew.
+/// Notes a peer's fencing token. If it is higher than this node's, the partitions of the lease
+/// have been redistributed, and this node renews its lease at once.
 fn hear_of_lease(node: &Node, acts_by: Option<Fence>) {
     let mut lease = node.lease.lock();
     lease.heard = lease.heard.max(acts_by.unwrap_or_default());
@@ -345,7 +353,7 @@
     }
 }
 
-/// What a datagram may have taken: its age is only known by its sender's word.
+/// Longest time for which a datagram may have been in transit, added to the ages in it.
 const ON_THE_WAY: Millis = Millis(200);
 
 fn take_gaps(node: &Node, loads: &[WireLoad]) {
@@ -392,7 +400,7 @@
     node.suspicions_changed();
 }
 
-/// Fetches from peers what the store does not give, or not in time, until the node ends.
+/// Fetches from peers what the store does not deliver in time, until the node ends.
 pub async fn catch_up(node: Arc<Node>) {
     tokio::join!(catch_up_config(Arc::clone(&node)), catch_up_list(node));
 }
@@ -414,8 +422,8 @@
         }
         newer_since = newer.and(newer_since.or(Some(now)));
         let waited = newer_since.map_or(Millis::ZERO, |since| now.since(since));
-        // What is on its way from the store would fill this node's link and a peer's a
-        // second time: 28 of 61 nodes took 820 KB twice without this.
+        // Data that is already arriving from the store would load this node's link and a
+        // peer's a second time: without this check 28 of 61 nodes received 820 KB twice.
         let is_coming = now.since(received_at) < STORE_FIRST && waited < STORE_MOST;
         let has_waited = waited >= STORE_FIRST && !is_coming;
         if let Some(peer) = newer.filter(|_| has_waited) {
@@ -424,7 +432,7 @@
     }
 }
 
-/// Asks for what this node has missed of the list.
+/// Fetches list records that this node has missed.
 async fn catch_up_list(node: Arc<Node>) {
     loop {
         tokio::select! {
@@ -443,7 +451,8 @@
     }
 }
 
-/// What all who are heard say of where the list ends, in case none of them said it just now.
+/// Compares the end of this node's list with the ends that all peers that are heard reported
+/// last, in case no new datagram reports them.
 fn look_for_gap(node: &Node) {
     let now = node.now();
     let peers = node.peers.lock();
@@ -468,7 +477,7 @@
     )
 }
 
-/// A peer that holds a newer configuration than this node.
+/// A peer that holds a newer configuration than this node; `None` if no peer that is heard does.
 pub fn peer_with_newer_config(node: &Node) -> Option<SocketAddr> {
     let own = node.config_age().map(|(version, _)| version);
     let peers = node.peers.lock();
@@ -477,7 +486,8 @@
     newer.map(|(address, _)| *address).next()
 }
 
-/// A peer saw that the list ends where this node's does, or farther on.
+/// Handles a peer's report that the list ended at `next` at time `at`: this node's list is
+/// current if it ends there too, and otherwise may lack records.
 fn confirm_list(node: &Node, next: LogPosition, at: Millis) {
     let now = node.now();
     let mut list = node.list.lock();
@@ -491,16 +501,16 @@
     }
 }
 
-/// Where a peer answers for its configuration and list.
+/// HTTP path at which a node serves its configuration to peers.
 pub const CONFIG_PATH: &str = "/peer/config";
-/// The list, from a record on.
+/// HTTP path at which a node serves its list records to peers, from a given position on.
 pub const LIST_PATH: &str = "/peer/list";
 
 async fn fetch_config(node: &Node, peer: SocketAddr) {
     let Some(bytes) = fetch(peer, CONFIG_PATH).await else { return };
     let Ok(serving_config) = config::decode(&bytes) else { return };
     let version = serving_config.version.to_string();
-    // How fresh it is comes with the peer's next pulse.
+    // The peer's next heartbeat tells how recent it is.
     node.install_config(serving_config, bytes, Millis::ZERO);
     emit(Event::ConfigFromPeer, &[("version", &version), ("peer", &peer.to_string())]);
 }
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -1,4 +1,4 @@
-//! Holding this node's part of the right to give orders.
+//! Holds this node's partitions of the stewards' lease, which permits it to send orders.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,34 +16,35 @@
 use crate::metrics::Metric;
 use crate::node::Node;
 
-/// The group and topic of the lease.
+/// Name of the lease's group and topic in the store.
 const GROUP: &str = "stewards";
-/// How often a lease is renewed.
+/// Interval at which the lease is renewed.
 const RENEW_EVERY: Duration = Duration::from_millis(450);
-/// The same for a node that holds no part, of more nodes than parts; still within its
-/// time.
+/// The same for a node that holds no partition, as there are more nodes than partitions; still
+/// shorter than the lease's duration.
 const RENEW_EVERY_IDLE: Duration = Duration::from_millis(1_000);
-/// The least time between two renewals, whatever others are heard to act by.
+/// Least time between two renewals, whatever fencing tokens peers announce.
 const RENEW_LEAST: Duration = Duration::from_millis(60);
-/// How often a node that starts looks whether it does.
+/// Interval at which a starting node checks whether it knows its peers.
 const SETTLE_LOOK: Duration = Duration::from_millis(100);
-/// A node that has started knows the others by then, or there are none.
+/// Age by which a starting node takes the lease even if it does not know its peers: there may
+/// be none.
 const SETTLES_WITHIN: Millis = Millis(2_000);
-/// Time for the answer.
+/// Timeout of a call to the store.
 const ANSWER_TIME: Millis = Millis(700);
-/// How often a node asks who else there is. Whoever is new asks at its start, and its
-/// pulses tell the others of it; this is for those who were cut off for long.
+/// Interval at which a node asks the store for other nodes. A new node asks at its start, and its
+/// heartbeats make it known to the others; this is for nodes that were cut off for long.
 const OWNERS_EVERY: Duration = Duration::from_millis(20_000);
-/// The same until it has heard of anybody.
+/// The same until it has heard a peer.
 const OWNERS_EVERY_AT_FIRST: Duration = Duration::from_millis(500);
 
-/// The name under which this life of the node holds its lease: where it is heard,
-/// and a number that no other life has, or the lease of the last one would go on.
+/// The member name of this process in the lease's group: the address of its control port, and a
+/// random number, since without it a restarted node would continue its predecessor's lease.
 fn member(node: &Node) -> String {
     format!("{}/{:08x}", node.settings().control(), rand::random::<u32>())
 }
 
-/// Holds the lease until the node leaves, then gives it back.
+/// Holds the lease until the node stops, then releases it.
 pub async fn hold_lease(node: Arc<Node>) {
     let member = member(&node);
     let ttl = node.settings().lease_ttl();
@@ -56,11 +57,12 @@
         rest(&node).await;
     }
     node.lease.lock().parts.clear();
-    // If this is lost, the lease runs out by itself.
+    // If this call fails, the lease expires by itself.
     let _ = node.store.leave(GROUP, &member, ANSWER_TIME).await;
 }
 
-/// Joins or stays; by a past that is over nothing was heard of the group.
+/// Joins the group or renews the membership. A generation of an earlier era is not passed on,
+/// since it is not valid in the present one.
 async fn join(
     node: &Node,
     member: &str,
@@ -77,15 +79,15 @@
     Ok((joined, fence))
 }
 
-/// Waits at its start until a node knows the others: hundreds that begin at once would each
-/// move all parts.
+/// Waits at the node's start until it knows its peers: each of hundreds of nodes that join at
+/// once would cause a redistribution of all partitions.
 async fn settle(node: &Node) {
     while !node.is_leaving() && !node.is_settled() && node.age() < SETTLES_WITHIN {
         tokio::time::sleep(SETTLE_LOOK).await;
     }
 }
 
-/// Rests before the next renewal: short if others act by a later number.
+/// Waits before the next renewal: a short time if a peer has announced a higher fencing token.
 async fn rest(node: &Node) {
     let has_parts = !node.lease.lock().parts.is_empty();
     let every = if has_parts { RENEW_EVERY } else { RENEW_EVERY_IDLE };
@@ -96,14 +98,14 @@
     }
 }
 
-/// Takes an answer to a renewal that was sent at `sent`: the right, and the parts held.
+/// Applies the answer to a renewal sent at `sent`: the fencing token and the partitions held.
 pub fn take(node: &Node, fence: Fence, parts: &[u64], sent: Millis) {
     let now = node.now();
     let true_from = node.store_monitor.trusted_from();
     let mut lease = node.lease.lock();
     let held = std::mem::take(&mut lease.parts);
-    // By another past, or after the lease's time, the part may have been somebody else's
-    // meanwhile, also if the answer that said so was lost.
+    // If the era has changed or the lease had expired, another node may have held the partition
+    // meanwhile, also if the answer that told so was lost.
     let lasted = sent.since(lease.renewed_at) < node.settings().lease_ttl();
     let is_held_on = lease.fence.era == fence.era && lasted;
     let anew = PartitionLease::new(fence, now).with_earliest_order_at(true_from);
@@ -122,7 +124,7 @@
     let list: Vec<String> = lease.parts.keys().map(u64::to_string).collect();
     drop(lease);
     if is_later {
-        // Who was given a part waits for all who act to have noticed.
+        // The new holder of a partition waits until all other holders have noticed.
         node.heartbeat_wanted.notify_one();
     }
     if is_news {
@@ -133,7 +135,7 @@
     }
 }
 
-/// Learns of other nodes by who holds parts of the lease, until the node ends.
+/// Discovers other nodes as members of the lease's group, until the node ends.
 pub async fn discover_peers(node: Arc<Node>) {
     let own = node.settings().control();
     loop {
--- a/crates/workshold-gateway/src/tasks/long_poll.rs
+++ b/crates/workshold-gateway/src/tasks/long_poll.rs
@@ -1,5 +1,5 @@
-//! Asking the store for the configuration and the list until it answers: what
-//! [`workshold_core::hosted::long_poll`] decides, done with connections.
+//! Long polls of the store for the configuration and the instance list, repeated until it
+//! answers. [`workshold_core::hosted::long_poll`] decides when to poll; this module does the calls.
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -19,22 +19,23 @@
 use crate::metrics::Metric;
 use crate::node::Node;
 
-/// Time for the answer itself, beyond the wait.
+/// Time for the answer itself, beyond the time for which the store holds a long poll.
 const ANSWER_TIME: Millis = Millis(1_200);
-/// Waiting reads answer at least this often.
+/// The store counts as unavailable after this time without an answer, for the event of its
+/// return: long polls are answered more often than that.
 const STORE_LOST_AFTER: Millis = Millis(3_000);
 
-/// What is read.
+/// A topic of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Topic {
-    /// The operator's newest configuration.
+    /// The operator's configuration.
     Config,
-    /// The list of instances.
+    /// The instance list.
     List,
 }
 
 impl Topic {
-    /// What it is called in logs.
+    /// Its name in logs.
     const fn text(self) -> &'static str {
         match self {
             Self::Config => "configuration",
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Each has a client of its own: whether its answer is on its way shows there.
+    /// Its client; each topic has its own, since the client's count of received bytes shows whether
+    /// an answer is arriving.
     const fn store(self, node: &Node) -> &Store {
         match self {
             Self::Config => &node.config_store,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// The store did not answer at `at`: entries may be missing that are there.
+    /// Notes that the store failed at `at`: missing entries then do not prove an instance gone.
     fn note_trouble(self, node: &Node, at: Millis) {
         if self == Self::List {
             node.list.lock().trust.on_store_failure(at);
@@ -72,29 +74,29 @@
     }
 }
 
-/// What a question brought that was answered.
+/// The answer to a poll.
 #[derive(Debug)]
 pub struct Reading {
     /// The records.
     pub records: Records,
-    /// From where on they were asked for; `None` for a whole reading.
+    /// The position from which they were requested; `None` if all were.
     pub from: Option<LogPosition>,
-    /// When the question was sent.
+    /// When the poll was sent.
     pub sent: Millis,
 }
 
-/// How asking ended.
+/// Outcome of polling.
 #[derive(Debug)]
 pub enum PollOutcome {
-    /// With an answer.
+    /// The store answered.
     Read(Reading),
-    /// What was to be read on from is no longer kept.
+    /// The store no longer keeps the position that was asked for.
     Gone,
-    /// Others read for this node.
+    /// Other nodes read for this one by now.
     NotNeeded,
 }
 
-/// A question on its way, the `number`th of its round.
+/// A poll that has been sent, the `number`th of its round.
 #[derive(Debug, Clone, Copy)]
 struct Question {
     number: u32,
@@ -102,8 +104,8 @@
     sent: Millis,
 }
 
-/// Asks for a topic, from the place that `from` gives or for the whole, until an answer comes
-/// or `is_needed` says that none is.
+/// Polls a topic, from the position that `from` returns or for all records, until an answer
+/// arrives or `is_needed` returns that none is needed.
 pub async fn read(
     node: &Node,
     topic: Topic,
@@ -112,7 +114,7 @@
     is_needed: impl Fn() -> bool,
 ) -> PollOutcome {
     let store = topic.store(node);
-    // The whole is there at once.
+    // A request for all records is answered at once.
     let wait = if from().is_some() { rules.wait } else { Millis::ZERO };
     let mut round = PollRound::new(LongPollRules { wait, ..rules }, node.now());
     let mut open = FuturesUnordered::new();
@@ -149,7 +151,7 @@
     }
 }
 
-/// What an answer, or the want of one, comes to; `None` if another question is needed.
+/// Turns an answer or a failure into the outcome; `None` if another poll is needed.
 fn take_answer(
     node: &Node,
     topic: Topic,
@@ -192,7 +194,7 @@
     (question, answer)
 }
 
-/// What the store says, if it is not of a past that is over.
+/// The content of an answer, unless it belongs to an era of the store that is over.
 fn take<T>(node: &Node, answer: Answer<T>, sent: Millis) -> Result<T, StoreError> {
     let was_lost = node.store_silent_for() > STORE_LOST_AFTER && node.config_age().is_some();
     let said = node.take_answer(answer, sent)?;
@@ -202,8 +204,8 @@
     Ok(said)
 }
 
-/// A question that was sent at `sent` has failed. Whether the store has answered another one
-/// that was asked later tells a question that was lost from a store that is away.
+/// Logs that a poll sent at `sent` has failed. Whether the store has answered another request
+/// that was sent later distinguishes a lost poll from an unavailable store.
 fn note_failure(node: &Node, topic: Topic, sent: Millis, err: &StoreError) {
     let age = node.store_silent_for();
     let asked = node.now().since(sent);
--- a/crates/workshold-gateway/src/tasks/probing.rs
+++ b/crates/workshold-gateway/src/tasks/probing.rs
@@ -1,4 +1,4 @@
-//! Looking after instances that somebody could not reach.
+//! Probes of instances that this node or a peer could not reach.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,23 +25,24 @@
 use crate::peers::Message;
 use crate::tasks::gossip;
 
-/// How long an instance may take to accept a connection: several times the way
-/// there and back between data centres, and what it takes to set one up.
+/// Time within which an instance has to accept a connection: several round trips between data
+/// centres, and the time to set up the connection.
 pub const REACH_TIME: Millis = Millis(30);
-/// If a try took this much longer than it may, this node itself stood still, and
-/// the try shows nothing.
+/// If a probe took longer than its timeout by this much, this process itself was stalled and the
+/// probe is void.
 const OWN_DELAY: Millis = Millis(25);
-/// Peers that are tried beside an instance that seems silent: one may itself be gone.
+/// Number of peers that are probed along with an instance that seems silent: a single one may
+/// itself be gone.
 const OTHERS_TRIED: usize = 2;
-/// How often an instance in doubt is tried again.
+/// Interval at which suspected instances are probed again.
 const AGAIN_EVERY: Duration = Duration::from_millis(1_500);
 
-/// The others are asked once more after this, for a datagram may be lost: so soon that
-/// whoever heard the first one need not try again, and has answered before anybody is
-/// taken.
+/// Delay after which peers are asked a second time, since a datagram may be lost. It is so short
+/// that a peer that received the first one does not probe again, and that all answers arrive
+/// before anything is done about the instance.
 const ASK_AGAIN: Duration = Duration::from_millis(100);
 
-/// Tries to reach an instance; `None` if the try shows nothing.
+/// Probes an address once, by opening a connection; `None` if the probe is void.
 pub async fn reach(node: &Node, address: &str) -> Option<ProbeResult> {
     let began = node.now();
     node.metrics.count(Metric::Looks);
@@ -64,11 +65,12 @@
     seen
 }
 
-/// Tries an instance twice before it says that nothing answers: one packet may be
-/// lost. The second time others are tried beside it: a configuration of some hundred
-/// kilobytes fills a small link for a tenth of a second, at all nodes at once. On a day of
-/// planned work with 61 nodes 790 of 1,156 doubts were wrong without this, 19 of 202 with
-/// it, by the nodes' logs.
+/// Probes an instance, and a second time before it reports silence, since one packet may be lost.
+/// The second time other nodes and instances are probed along with it: if they are silent too,
+/// this node's own link may be at fault. A configuration of some hundred kilobytes saturates a
+/// slow link for a tenth of a second, at all nodes at once. By the logs of 61 nodes during a day
+/// of planned maintenance, 790 of 1,156 suspicions were wrong without this check and 19 of 202
+/// with it.
 async fn try_twice(node: &Node, id: &Identity, address: &str) -> Option<ProbeResult> {
     let first = reach(node, address).await;
     if first == Some(ProbeResult::Answers) {
@@ -82,7 +84,7 @@
     conclusive
 }
 
-/// Tries others than `id`, at this moment.
+/// Probes addresses other than that of `id`.
 async fn try_others(node: &Node, id: &Identity) -> OtherProbes {
     let addresses = others(node, id);
     if addresses.is_empty() {
@@ -93,8 +95,8 @@
     if answer.is_ok() { OtherProbes::Answer } else { OtherProbes::Silent }
 }
 
-/// Whom to try beside an instance: peers, and an instance that is not in doubt, for
-/// peers may be lost together with the first one.
+/// Addresses to probe along with an instance: those of peers, and of one instance that is not
+/// suspected, since peers may be lost together with the instance.
 fn others(node: &Node, id: &Identity) -> Vec<SmolStr> {
     let draw: u64 = rand::rng().random();
     let heard = node.peers.lock().sample(draw, node.now());
@@ -111,7 +113,7 @@
     peers.chain(drawn.map(|entry| entry.instance.address.clone())).collect()
 }
 
-/// Whether anything comes back in time, be it a refusal.
+/// Succeeds if the address answers in time, be it by a refusal.
 async fn is_there(address: &str) -> Result<(), ()> {
     match tokio::time::timeout(REACH_TIME.to_duration(), TcpStream::connect(address)).await {
         Ok(Ok(_)) => Ok(()),
@@ -120,7 +122,7 @@
     }
 }
 
-/// Tries an instance, and tells the others if what it shows is news.
+/// Probes an instance, and tells peers if the result has changed; `None` if the probe is void.
 pub async fn probe_instance(node: &Node, id: &Identity, address: &SmolStr) -> Option<ProbeResult> {
     let seen = try_twice(node, id, address).await;
     if let Some(seen) = seen {
@@ -129,7 +131,7 @@
     seen
 }
 
-/// Takes probes until the node ends: tries where asked to, and tells the others.
+/// Works through the queue of probe tasks until the node ends.
 pub async fn run(node: Arc<Node>, socket: Arc<UdpSocket>, mut probes: UnboundedReceiver<Probe>) {
     while let Some(probe) = probes.recv().await {
         let node = Arc::clone(&node);
@@ -137,7 +139,7 @@
         tokio::spawn(async move {
             let (reach, ask) = match probe.task {
                 ProbeTask::Look => {
-                    // What it shows is told by itself, if it is news.
+                    // Announces the result itself if it has changed.
                     probe_instance(&node, &probe.id, &probe.address).await;
                     return;
                 }
@@ -175,7 +177,7 @@
     Message::Verdict { instance: instance_hash(id), reach: reach.into(), ask }
 }
 
-/// Tries instances in doubt again, until the node ends.
+/// Probes suspected instances again at an interval, until the node ends.
 pub async fn retry_probes(node: Arc<Node>) {
     loop {
         tokio::time::sleep(AGAIN_EVERY).await;
--- a/crates/workshold-gateway/src/tasks/quarantine_store.rs
+++ b/crates/workshold-gateway/src/tasks/quarantine_store.rs
@@ -1,5 +1,4 @@
-//! Keeping in the store which requests end whoever begins to run them: nodes have no disk,
-//! and all of them may be killed together.
+//! Saves the quarantine to the store: nodes have no disk, and all of them may be killed at once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,32 +19,32 @@
 use crate::events::emit;
 use crate::node::Node;
 
-/// Time for the store's answer.
+/// Timeout of a call to the store.
 const ANSWER_TIME: Millis = Millis(700);
-/// After a call that failed.
+/// Delay after a failed call.
 const RETRY: Duration = Duration::from_millis(300);
-/// How often a node reads again that could not at its start, or hears few of the others:
-/// what they find they keep.
+/// Interval at which a node reads the quarantine again if it could not at its start, or if it
+/// hears few of its peers, whose records it then gets from the store.
 const READ_AGAIN: Duration = Duration::from_millis(1_000);
-/// A node that starts serves without the store's word after this, if the store is away: its
-/// peers tell it what they know within as much.
+/// If the store is unavailable, a starting node serves without its records after this time, within
+/// which peers have sent what they know.
 const STARTS_WITHIN: Millis = Millis(2_500);
 
-/// Where the store keeps since when it has not come back from a copy.
+/// Key of the record that tells when the store's present era began.
 const ERA_KEY: &str = "era";
-/// An era that began this long ago by the time of day is old: longer than a copy takes to
-/// become true, and than clocks of nodes are apart.
+/// An era counts as settled if it began this long ago by the wall clock: longer than a restored
+/// list takes to be up to date again, and than nodes' clocks differ.
 const ERA_IS_OLD: Millis = Millis::from_secs(30);
 
-/// When nodes first heard of an era: whoever starts with no memory need not wait then until
-/// what the store lists is true.
+/// The stored record of when nodes first saw an era. With it a node that starts after a restore
+/// knows that the restored list is up to date again, and does not have to wait for that.
 #[derive(Debug, Serialize, Deserialize)]
 struct KeptEra {
     era: Era,
     seen_at: u64,
 }
 
-/// What the store keeps of a request; times are those of the day.
+/// A quarantine record as it is stored, with wall-clock times in ms.
 #[derive(Debug, Serialize, Deserialize)]
 struct Kept {
     caller: u32,
@@ -53,7 +52,7 @@
     ends: Vec<(u64, u32, u64)>,
 }
 
-/// Reads what is kept before the node serves, and keeps what it learns, until it ends.
+/// Reads the stored records before the node serves, then saves new ones until it ends.
 pub async fn run(node: Arc<Node>) {
     let mut has_read = node.is_quarantine_read();
     let mut kept_era = Era::default();
@@ -64,7 +63,8 @@
     loop {
         tokio::select! {
             () = node.keep_wanted.notified() => keep(&node, &mut kept_era).await,
-            // One timer for both: of two, whichever is shorter would start the other anew.
+            // One timer for both reasons to read: of two timers in this loop, the shorter one would
+            // restart the longer one each time.
             () = tokio::time::sleep(READ_AGAIN) => {
                 if !has_read || node.hears_few() {
                     has_read |= read(&node, &mut kept_era).await;
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reads what is kept; whether the store answered.
+/// Reads the stored records. Returns whether the store answered.
 async fn read(node: &Node, kept_era: &mut Era) -> bool {
     let read = try_read(node, kept_era).await;
     if let Err(err) = &read {
@@ -96,7 +96,7 @@
         return;
     }
     match append(node, &records).await {
-        // What was kept in a past that has ended meanwhile is kept again.
+        // If a new era has begun meanwhile, the records have to be written again.
         Ok(()) if node.store_monitor.era() == era => *kept_era = era,
         Ok(()) => {}
         Err(err) => {
@@ -121,7 +121,7 @@
     (ERA_KEY.to_owned(), serde_json::to_vec(&kept).expect("it has only plain fields"))
 }
 
-/// What is kept of the era that the store is in.
+/// Handles the stored record of the present era; saves one if there is none.
 fn take_era(node: &Node, records: &[Record], kept_era: &mut Era) {
     let record = records.iter().find(|record| record.key == ERA_KEY);
     let kept = record.and_then(|record| serde_json::from_slice::<KeptEra>(&record.value).ok());
@@ -153,7 +153,7 @@
     emit(Event::QuarantineNotKept, &[("why", &err.to_string())]);
 }
 
-/// Its key and value; what is cleared needs none.
+/// Key and value of a record; the value of a cleared one is empty, which deletes it.
 fn encode(node: &Node, known: &QuarantineRecord) -> (String, Vec<u8>) {
     let key = known.request_key.fingerprint.to_string();
     let is_cleared = known.ends.iter().all(|end| known.cleared.is_some_and(|at| at >= end.at));
@@ -170,7 +170,7 @@
     (key, serde_json::to_vec(&kept).expect("it has only plain fields"))
 }
 
-/// What cannot be read is passed over: it says nothing.
+/// Decodes a record; malformed ones are ignored.
 fn decode(node: &Node, record: &Record) -> Option<QuarantineRecord> {
     let fingerprint = Fingerprint::parse(&record.key).ok()?;
     let kept: Kept = serde_json::from_slice(&record.value).ok()?;
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -1,4 +1,5 @@
-//! Carrying out what the steward decides for the domains that are this node's.
+//! Runs the steward for the fabric domains whose partitions of the lease this node holds, and
+//! sends its orders to instances.
 
 mod look;
 
@@ -29,18 +30,18 @@
 use crate::tasks::stewarding::look::Look;
 use crate::tasks::stewarding::look::Told;
 
-/// How often a steward looks, if nothing wakes it.
+/// Interval of the planning rounds if nothing wakes the steward earlier.
 const LOOK_EVERY: Duration = Duration::from_millis(150);
-/// The same of a node that holds no part: it is woken when it does.
+/// The same for a node that holds no partition; it is woken when it gets one.
 const LOOK_EVERY_IDLE: Duration = Duration::from_millis(1_000);
-/// Time for the answer to an order.
+/// Timeout of an order.
 const ORDER_TIME: Millis = Millis(250);
-/// Orders of a part's last steward are on their way for this long at most.
+/// Longest time for which an order of a partition's previous holder can be in transit.
 const ORDERS_ARRIVE: Millis = Millis(300);
 
 type Stewards = Arc<Mutex<BTreeMap<u64, Steward>>>;
 
-/// Stewards until the node ends.
+/// Runs planning rounds and sends the resulting orders until the node ends.
 pub async fn run(node: Arc<Node>) {
     let stewards: Stewards = Arc::default();
     let told = Told::default();
@@ -58,7 +59,7 @@
     }
 }
 
-/// The fence of the lease, if it still gives the right to order.
+/// The lease's fencing token, if this node may still send orders by it.
 fn fence(node: &Node, lease: &Lease) -> Option<u64> {
     let ttl = node.settings().lease_ttl();
     let is_past = lease.fence.era < node.store_monitor.era();
@@ -68,21 +69,22 @@
     lease.fence.number().filter(|_| holds)
 }
 
-/// Whether the store has answered nobody since this lease was renewed: then nobody
-/// else can hold it either.
+/// Whether the store has answered no node since this lease ran out: then no other node can have
+/// taken the lease either, and this one keeps it.
 fn is_store_away_for_all(node: &Node, lease: &Lease) -> bool {
     let now = node.now();
     let peers = node.peers.lock();
     let others = peers.heard(now).count();
-    // Who hears less than half of all may be cut off with them, and others go on.
+    // A node that hears less than half of all may be in the minority side of a partition, and
+    // the other side may reach the store.
     let hears_most = others > 0 && 2 * (others + 1) > peers.max_node_count();
     let answered = peers.sums(now).store_answered;
     let ttl = node.settings().lease_ttl();
     hears_most && answered.is_none_or(|at| at < lease.renewed_at + ttl)
 }
 
-/// The lease, with a look at who else acts; wakes the reader of the list if a part
-/// waits for it.
+/// Updates the lease's partitions by the fencing tokens of other nodes, and returns a copy. Starts
+/// a reading of the list if a partition waits for one.
 fn settle(node: &Node) -> Lease {
     let now = node.now();
     let rules =
@@ -183,8 +185,8 @@
     });
 }
 
-/// An order without an answer, or one to open that does not fit, may come of an
-/// instance that is gone.
+/// Probes instances that may be gone: the recipient of an order without an answer, and all
+/// members of a group that could not be opened because they did not fit together.
 fn look_into(node: &Node, command: &Command, reply: OrderReply) {
     let doubted: Vec<Identity> = match (&command.order, reply) {
         (_, OrderReply::Unknown) => vec![command.to.clone()],
@@ -207,8 +209,8 @@
     list.roster.iter().filter(is_member).map(|entry| entry.instance.identity.clone()).collect()
 }
 
-/// Another node has a higher number, or a newer formation was there before: no more
-/// orders under this one.
+/// An instance has refused an order since it has seen a higher fencing token or a newer group
+/// epoch: no more orders are sent by this token.
 fn on_outranked(node: &Node, fence: u64) {
     let mut lease = node.lease.lock();
     if lease.fence.number() == Some(fence) && lease.outranked.is_none() {
--- a/crates/workshold-gateway/src/tasks/stewarding/look.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/look.rs
@@ -1,4 +1,5 @@
-//! One look of a steward: at its own domains each time, at all others only for a plan.
+//! A planning round of this node's stewards. It examines the node's own fabric domains each time,
+//! and all others only where a plan needs them.
 
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
@@ -40,55 +41,55 @@
 use crate::node::Lease;
 use crate::node::ObservedDemand;
 
-/// The part of what is asked that has to be seen before groups are closed by it.
+/// Fraction of the demand that has to be observed before groups are closed because of it.
 const SEEN_ENOUGH: f64 = 0.6;
-/// How far off what is asked may be: it is seen for some seconds only.
+/// Relative uncertainty of the demand, which is observed for some seconds only.
 const WORK_UNSURE: f64 = 0.15;
-/// How long a group that is closed usually takes to finish what it has.
+/// Typical time that a closing group takes to finish its requests.
 const DRAINS: Millis = Millis(2_000);
-/// How often a steward says what a domain looks like.
+/// Interval at which the state of a domain is logged.
 const TELL_EVERY: Millis = Millis(2_000);
 
-/// When each domain was last told of.
+/// When the state of each domain was last logged.
 pub type Told = Mutex<BTreeMap<FabricDomain, Millis>>;
 
-/// Which part of the lease a domain belongs to.
+/// The partition of the lease that a domain belongs to.
 fn part_of(domain: &FabricDomain, parts: u64) -> u64 {
     xxh3_64(domain.as_str().as_bytes()) % parts.max(1)
 }
 
-/// What all domains have in common at one look.
+/// The input of a planning round that all domains share.
 pub struct Look<'a> {
-    /// The list.
+    /// The instance list.
     pub roster: &'a Roster,
-    /// Whether it can be taken at its word.
+    /// Whether an entry that is missing there shows that its instance is gone.
     pub trust: &'a ListTrust,
-    /// Who cannot be reached.
+    /// Instances that cannot be reached.
     pub suspicions: &'a Suspicions<Identity>,
-    /// How many other nodes could be asked.
+    /// Number of other nodes that are heard, and so can be asked to probe.
     pub peers: usize,
-    /// Whether all were asked about an instance that listens there.
+    /// Whether all nodes were asked to probe the instance at this address and had time to answer.
     pub all_peers_asked: &'a dyn Fn(&Identity, &SmolStr) -> bool,
-    /// When domains were last told of.
+    /// When domains were last logged.
     pub told: &'a Told,
-    /// Whether no request has come yet.
+    /// Whether the fleet is starting for the first time and no request has arrived yet.
     pub before_traffic: bool,
-    /// Parts of the lease.
+    /// Number of partitions of the lease.
     pub parts: u64,
-    /// Epochs that this process has issued.
+    /// Counter of the group epochs that this process has issued.
     pub issued: &'a Arc<AtomicU64>,
-    /// The right to order.
+    /// This node's part of the lease.
     pub lease: &'a Lease,
-    /// When the list was read.
+    /// When the request for the list's newest state was sent.
     pub list_read_at: Millis,
-    /// The number by which orders are given.
+    /// The fencing token that orders carry.
     pub fence: u64,
-    /// The clock.
+    /// Time of the round.
     pub now: Millis,
 }
 
 impl Look<'_> {
-    /// What is to be ordered in the domains that are this node's.
+    /// Plans the orders for the domains of `service` whose partitions this node holds.
     pub fn plan(
         &self,
         service: &ServiceName,
@@ -139,8 +140,8 @@
         commands
     }
 
-    /// The domains whose instances this node may order, with their entries, and how many
-    /// domains there are in all.
+    /// The domains whose instances this node may send orders to, with their entries, and the number
+    /// of all domains.
     fn own_domains(&self, service: &ServiceName) -> (BTreeMap<&FabricDomain, Vec<&Entry>>, usize) {
         let mut parts: BTreeMap<&FabricDomain, bool> = BTreeMap::new();
         let mut domains: BTreeMap<&FabricDomain, Vec<&Entry>> = BTreeMap::new();
@@ -159,7 +160,7 @@
         partition_lease.is_some_and(|partition_lease| partition_lease.may_order(self.list_read_at))
     }
 
-    /// All domains by the list alone.
+    /// All domains, as far as the instance list alone describes them.
     fn listed(&self, engine: &Engine, entries: &[&Entry]) -> Vec<planner::Domain> {
         let is_fit = |entry: &Entry| {
             let is_lost = self.suspicions.loss(&entry.instance.identity, self.peers) > Loss::None;
@@ -172,8 +173,8 @@
         listed.collect()
     }
 
-    /// What groups of each model are worth; what is asked and not seen yet is as the
-    /// operator expects.
+    /// The utility of groups of each model. The fraction of the demand that is not observed yet is
+    /// filled in from the operator's expectation.
     fn models(
         &self,
         engine: &Engine,
@@ -207,7 +208,7 @@
         engine.models.iter().zip(utilities).map(model).collect()
     }
 
-    /// Says now and then what a domain looks like.
+    /// Logs the state of a domain, at most once in [`TELL_EVERY`].
     fn log_domain(
         &self,
         domain: &FabricDomain,
@@ -242,7 +243,7 @@
         );
     }
 
-    /// Groups that serve or are about to, by epoch and counted by model.
+    /// The epochs of groups that serve or are being formed, and their number by model.
     fn group_counts(
         &self,
         engine: &Engine,
@@ -265,8 +266,8 @@
     }
 }
 
-/// Groups that stewards of this node are forming: their epochs, as far as they have one,
-/// and their models.
+/// Groups that stewards of this node are forming: their epochs, `None` before one is issued, and
+/// their models.
 type Forming = Vec<(Option<u64>, ModelName)>;
 
 fn forming(stewards: &BTreeMap<u64, Steward>) -> Forming {
@@ -274,8 +275,8 @@
     all.map(|(epoch, model)| (epoch, model.clone())).collect()
 }
 
-/// The whole service: what is worked out only where a look needs more than its own
-/// domains, and then once.
+/// Data of the whole service. They are computed when a plan first needs more than its own domain,
+/// and once per round.
 struct Whole<'a> {
     look: &'a Look<'a>,
     service: &'a ServiceName,
--- a/crates/workshold-gateway/src/tasks/store_sync.rs
+++ b/crates/workshold-gateway/src/tasks/store_sync.rs
@@ -1,4 +1,5 @@
-//! Following the store: the configuration, and the list of instances.
+//! Keeps the configuration and the instance list in sync with the store, read by this node itself
+//! or by its peers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -28,52 +29,54 @@
 use crate::tasks::long_poll::Reading;
 use crate::tasks::long_poll::Topic;
 
-/// The least time between two reads of the list: each call has its price. It is drawn anew
-/// each time from between two thirds and four thirds of it, or all readers, woken by the same
-/// change, would read together and all miss the next one for as long.
+/// Mean of the least time between two reads of the list, since each call loads the store. The
+/// time is drawn at random from 2/3 to 4/3 of it: all readers are woken by the same change, and
+/// without the jitter would read at the same time and all miss the next change for as long.
 const LIST_EVERY: Millis = Millis(900);
 /// The same before there is traffic.
 const LIST_EVERY_EARLY: Millis = Millis(400);
-/// The same while a steward waits for statements.
+/// The same while the steward waits for list entries that show the effect of its orders.
 const LIST_EVERY_BUSY: Millis = Millis(40);
-/// The same before there is traffic: nobody waits for the group yet.
+/// The same before there is traffic: no caller waits for the group yet.
 const LIST_EVERY_BUSY_EARLY: Millis = Millis(160);
-/// How often a node looks whether it has to read for itself: a fraction of the time for
-/// which what others have read is current.
+/// Interval at which a node checks whether it has to read the store itself: a fraction of the
+/// time for which its peers' readings count as current.
 const READER_LOOK: Millis = Millis(300);
-/// The same while it has just started, and for how long it waits then for others to hand on
-/// what they have: hundreds of nodes that start at once would all read it.
+/// The same for a node that has just started.
 const STARTER_LOOK: Millis = Millis(50);
+/// Time for which a starting node waits for peers to forward the list: otherwise hundreds of
+/// nodes that start at once would all read the store.
 const STARTER_WAITS: Millis = Millis(1_500);
-/// What others have read is current if it is not older: their waits and a pulse's way.
+/// A list read by peers counts as current up to this age: their long polls and the delay of a
+/// heartbeat.
 const LIST_CURRENT: Millis = Millis(4_200);
 
-/// Follows the configuration until the node ends.
+/// Keeps the configuration in sync with the store until the node ends.
 pub async fn config(node: Arc<Node>) {
     let mut followed = Followed::default();
     loop {
         wait_while_others_read(&node, is_config_current).await;
         tokio::select! {
             () = read_config(&node, &mut followed) => {}
-            // What waits is asked by a place of the last past: keys would look older than
-            // they are until it runs out.
+            // The pending long poll uses a position of the previous era: until it timed out, the
+            // configuration and its API keys would look older than they are.
             () = node.config_wanted_anew.notified() => {}
         }
     }
 }
 
-/// How far the operator's topic was read.
+/// How far this node has read the operator's topic.
 #[derive(Debug, Default)]
 struct Followed {
-    /// Where to read on; `None` before a whole reading.
+    /// Position of the next record to read; `None` if all records have to be read.
     next: Option<LogPosition>,
-    /// The version that is the newest there. After a return from a copy it may be older than
-    /// the one in force, and then says nothing about how fresh that is.
+    /// The newest version in the topic. After a restore from a snapshot it may be older than the
+    /// one in force, and then does not show how recent that one is.
     newest: Option<u64>,
 }
 
-/// Waits at its start until a node has the list from others, or is one of those who read
-/// it, or has waited for too long.
+/// Waits at the node's start until it has received the list from a peer, or knows that it has to
+/// read the store itself, or [`STARTER_WAITS`] are over.
 async fn wait_to_start(node: &Node) {
     let has_it = || node.list.lock().next.is_some();
     while node.age() < STARTER_WAITS && !has_it() && !(node.is_settled() && node.is_store_reader())
@@ -82,7 +85,7 @@
     }
 }
 
-/// Waits as long as others read for this node and what it has is current.
+/// Waits while peers read for this node and the data that it has are current.
 async fn wait_while_others_read(node: &Node, is_current: impl Fn(&Node) -> bool) {
     while do_others_read(node, &is_current) {
         tokio::time::sleep(READER_LOOK.to_duration()).await;
@@ -93,14 +96,15 @@
     !node.is_store_reader() && !node.are_readers_cut_off() && is_current(node)
 }
 
-/// A newer one is read from the store: it may be long, and a peer's link is small.
+/// Not if a peer has a newer configuration: it is read from the store, since it may be long and a
+/// peer's link is slow.
 fn is_config_current(node: &Node) -> bool {
     let current = node.settings().max_shared_config_age();
     let is_fresh = node.config_age().is_some_and(|(_, age)| age < current);
     is_fresh && gossip::peer_with_newer_config(node).is_none()
 }
 
-/// A steward reads for itself: it waits for statements.
+/// Not while the steward waits for list entries, for which it reads the store itself.
 fn is_list_current(node: &Node) -> bool {
     let is_busy = node.is_steward_busy.load(Ordering::Relaxed) || node.wants_list_anew();
     let list = node.list.lock();
@@ -131,15 +135,15 @@
     let last = records.records.iter().rfind(|record| record.key == names::CONFIG_KEY);
     match last {
         Some(record) if is_surpassed(node, record) => {
-            // It is looked at again, in case whoever has a newer one does not hand it on.
+            // Read again a moment later, in case no peer delivers the newer version.
             *followed = Followed::default();
             tokio::time::sleep(READER_LOOK.to_duration()).await;
             return;
         }
         Some(record) => install_config(node, record, sent, followed),
         None => {
-            // Nothing newer than what this node read before: it is current. A whole reading
-            // that lacks it shows nothing.
+            // No record newer than the last one read, so that one is current. A reading of all
+            // records that has no configuration shows nothing (`newest` is `None` then).
             if let Some(version) = followed.newest {
                 node.confirm_config(version, sent);
             }
@@ -148,14 +152,14 @@
     followed.next = Some(after(&records, from));
 }
 
-/// Where to read on: what a waiting read brought may end before the topic does.
+/// Position of the next record to read. The answer to a long poll may end before the topic does.
 fn after(records: &Records, next: Option<LogPosition>) -> LogPosition {
     let Some(next) = next else { return records.end };
     let last = records.records.last().map(|record| record.place);
     last.map_or(next, |last| LogPosition { offset: last.offset + 1, ..last })
 }
 
-/// Whether others may hold a newer configuration than the one that the store gives.
+/// Whether peers may hold a newer configuration than this record.
 fn is_surpassed(node: &Node, record: &Record) -> bool {
     config::decode(&record.value)
         .is_ok_and(|serving_config| node.is_surpassed(serving_config.version))
@@ -171,7 +175,7 @@
     }
 }
 
-/// Follows the list of instances until the node ends.
+/// Keeps the instance list in sync with the store until the node ends.
 pub async fn list(node: Arc<Node>) {
     loop {
         wait_to_start(&node).await;
@@ -190,7 +194,7 @@
     }
 }
 
-/// Rests before the next reading: short if a steward waits for statements.
+/// Waits before the next reading of the list: a short time if the steward waits for entries.
 async fn rest(node: &Node, sent: Millis) {
     let least = if node.has_traffic() { LIST_EVERY_BUSY } else { LIST_EVERY_BUSY_EARLY };
     tokio::time::sleep(least.to_duration()).await;
@@ -206,9 +210,9 @@
     }
 }
 
-/// Reads on; whether that brought an answer.
+/// Reads the list from the current position on. Returns whether the store answered.
 async fn read_list(node: &Node, rules: LongPollRules) -> bool {
-    // Places of a past that is over mean nothing to the store.
+    // Positions of an earlier era are not valid in the present one.
     let from = || node.list.lock().next.filter(|next| next.era == node.store_monitor.era());
     let is_needed = || !do_others_read(node, is_list_current);
     let asked = long_poll::read(node, Topic::List, rules, from, is_needed).await;
@@ -221,7 +225,7 @@
         }
     };
     if from.is_some_and(|from| from.era < records.end.era) {
-        // It was asked by a place of the last past.
+        // The poll used a position of the previous era: ignore the records and read again.
         return true;
     }
     let is_whole = from.is_none();
@@ -230,7 +234,7 @@
     apply(node, &records, is_whole, sent);
     {
         let mut list = node.list.lock();
-        // Others may have told of more meanwhile.
+        // Peers may have delivered later records meanwhile.
         let end = end.max(list.next.unwrap_or_default());
         list.next = Some(end);
         list.read_at = list.read_at.max(sent);
@@ -243,8 +247,9 @@
     true
 }
 
-/// The list goes on to a place of this past. The first whole reading of it, begun at
-/// `read_whole`, is a copy as long as instances may not have written again.
+/// Moves the list to the era of `end` if that is a new one. Its first full reading, sent at
+/// `read_whole`, counts as a restored snapshot if instances may not have renewed their entries
+/// by then.
 fn begin_past(node: &Node, end: LogPosition, read_whole: Option<Millis>) {
     let true_from = node.store_monitor.trusted_from();
     let mut list = node.list.lock();
@@ -320,14 +325,14 @@
     }
 }
 
-/// Keeps a record for peers; of one that cannot be read, only that.
+/// Keeps a record for forwarding to peers. An undecodable one is replaced by a marker.
 fn keep_raw(list: &mut List, record: &Record, is_readable: bool) {
     let unreadable = Bytes::from_static(entries::UNREADABLE);
     let value = if is_readable { record.value.clone() } else { unreadable };
     list.raw.insert(record.key.clone(), (record.place, value));
 }
 
-/// Says that a record cannot be read, once for each.
+/// Logs an undecodable record, once for each.
 fn log_unreadable(node: &Node, record: &Record, why: &str) {
     let list = node.list.lock();
     let is_known = list.raw.get(&record.key).is_some_and(|(place, _)| *place >= record.place);
@@ -337,8 +342,8 @@
     }
 }
 
-/// Takes records that a peer has read, told after `since`; whether they follow on what this
-/// node has.
+/// Applies list records from a peer that arrived after `since`. Returns `false` if records
+/// between this node's list and them are missing.
 pub fn apply_list_news(node: &Node, from_peer: &ListNews, since: Millis) -> bool {
     let now = node.now();
     let next = {
@@ -384,12 +389,12 @@
     true
 }
 
-/// The records from `from` on, for a peer.
+/// The list records from position `from` on, for a peer.
 pub fn news(node: &Node, from: impl Into<LogPosition>) -> ListNews {
     let from = from.into();
     let list = node.list.lock();
     let newer = list.raw.iter().filter(|(_, (place, _))| *place >= from);
-    // What a whole reading lacked is gone, whatever its last record says.
+    // An instance that a full reading lacked is gone, whatever its last record says.
     let is_gone = |key: &str| {
         let entry = InstanceId::new(key).ok().and_then(|id| list.roster.get(&id));
         entry.is_some_and(|entry| entry.unlisted_since.is_some())
--- a/crates/workshold-gateway/src/tasks/upkeep.rs
+++ b/crates/workshold-gateway/src/tasks/upkeep.rs
@@ -1,4 +1,4 @@
-//! Keeping tables current and forgetting what is over.
+//! Periodic work: reports readiness, refreshes the routing table and drops expired state.
 
 use std::collections::BTreeSet;
 use std::collections::HashSet;
@@ -13,12 +13,12 @@
 use crate::node::Node;
 use crate::node::TABLE_GAP;
 
-/// How often: entries are excused or not by the clock alone.
+/// Interval of the periodic work: whether a missing entry counts as present changes by time alone.
 const EVERY: Duration = Duration::from_millis(250);
-/// How often what is over is forgotten: that goes through all there is.
+/// Interval at which expired state is dropped, which visits all entries.
 const FORGET_EVERY: Millis = Millis(1_000);
 
-/// Keeps a node in order until it ends.
+/// Runs the periodic work until the node ends.
 pub async fn run(node: Arc<Node>) {
     let mut last = None;
     let mut tidied = node.now();
@@ -39,7 +39,8 @@
             }
         }
         node.renew_table();
-        // By the clock: while the list changes all the time, there are no quiet turns.
+        // By the clock and not by timeouts of this loop: while the list changes all the time, there
+        // are none.
         if node.now().since(tidied) >= FORGET_EVERY {
             tidied = node.now();
             tidy(&node);
