--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -1,6 +1,6 @@
 //! State that all tasks and request handlers of a node share.
 //!
-//! - [`reading`]: which nodes read the store, and how its answers are accepted.
+//! - [`store_access`]: which nodes read the store, and how its answers are accepted.
 //! - [`doubts`]: instances that cannot be reached.
 //! - [`held`]: quarantined requests.
 //! - [`instance_limits`]: rate limits, backoffs and departures that instances announce.
@@ -8,8 +8,8 @@
 
 mod instance_limits;
 mod quarantine;
-mod reading;
 mod retry_budget;
+mod store_access;
 mod suspicions;
 
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
 
 /// This node's copy of the instance list.
 #[derive(Debug, Default)]
-pub struct List {
+pub struct ListReplica {
     /// The decoded entries.
     pub roster: Roster,
     /// Whether an entry that is missing shows that its instance is gone.
@@ -79,7 +79,7 @@
     /// Position of the next record to read; `None` before the first reading.
     pub next: Option<LogPosition>,
     /// Era of the store that the entries belong to; `None` before the first entries.
-    pub past: Option<Era>,
+    pub era: Option<Era>,
     /// Records of the current era before this position come from the snapshot that the store was
     /// restored from.
     pub copy_end: LogPosition,
@@ -92,19 +92,19 @@
     /// Records that peers have and this node lacks.
     pub gap: ListGap,
     /// Whether this node has read records from the store that it has not forwarded yet.
-    pub has_own_news: bool,
+    pub has_unsent_records: bool,
 }
 
 /// The roster version that the routing table was last built from, and when it was built.
 #[derive(Debug, Clone, Copy, Default)]
-struct MadeTable {
+struct TableBuild {
     version: u64,
     at: Millis,
 }
 
 /// This node's part of the stewards' lease, which permits it to send orders to instances.
 #[derive(Debug, Clone, Default)]
-pub struct Lease {
+pub struct StewardLease {
     /// The fencing token that its orders carry.
     pub fence: Fence,
     /// The partitions of the lease that this node holds.
@@ -112,14 +112,14 @@
     /// When the last renewal that was answered was sent; the lease's time counts from then.
     pub renewed_at: Millis,
     /// The fencing token that an instance refused because it has seen a higher one.
-    pub outranked: Option<Fence>,
+    pub refused_fence: Option<Fence>,
     /// The highest fencing token that another node is known to use.
-    pub heard: Fence,
+    pub highest_peer_fence: Fence,
 }
 
-impl Lease {
+impl StewardLease {
     /// The fencing token for this node's orders; `None` if it holds no partition.
-    pub fn acts_by(&self) -> Option<Fence> {
+    pub fn active_fence(&self) -> Option<Fence> {
         (!self.parts.is_empty()).then_some(self.fence)
     }
 }
@@ -156,9 +156,9 @@
     serving_config: RwLock<Option<(Arc<ServingConfig>, Bytes)>>,
     config_freshness: Mutex<ConfigFreshness>,
     /// The instance list.
-    pub list: Mutex<List>,
+    pub list: Mutex<ListReplica>,
     routing_table: RwLock<Arc<RoutingTable>>,
-    made: Mutex<MadeTable>,
+    last_build: Mutex<TableBuild>,
     /// Instances that this node or its peers cannot reach.
     pub suspicions: Mutex<Suspicions<Identity>>,
     /// Incremented on each change of the suspicions or the quarantine, to wake waiting requests.
@@ -169,7 +169,7 @@
     pub quarantine: Mutex<Quarantine>,
     is_quarantine_read: AtomicBool,
     /// Wakes the task that saves the quarantine to the store.
-    pub keep_wanted: Notify,
+    pub quarantine_save_wanted: Notify,
     /// Outlier detection: targets that fail more often than others.
     pub outliers: Mutex<OutlierDetector<Identity>>,
     /// Rate limits, backoffs and departures that instances have announced.
@@ -184,27 +184,27 @@
     /// What this node knows of the other nodes.
     pub peers: Mutex<Peers>,
     /// This node's part of the stewards' lease.
-    pub lease: Mutex<Lease>,
+    pub lease: Mutex<StewardLease>,
     /// Wakes the task that plans groups and sends orders.
-    pub steward_wanted: Notify,
+    pub planning_wanted: Notify,
     /// Wakes the task that sends heartbeats.
     pub heartbeat_wanted: Notify,
     /// Wakes the task that fetches a newer configuration from a peer.
-    pub catch_up_wanted: Notify,
+    pub config_fetch_wanted: Notify,
     /// Wakes the task that forwards new list records to peers.
     pub news_wanted: Notify,
     /// Wakes the task that fetches missing list records from a peer.
-    pub list_gap_seen: Notify,
+    pub list_fetch_wanted: Notify,
     /// Wakes the task that reads the list from the store.
-    pub list_wanted: Notify,
+    pub list_read_wanted: Notify,
     /// Ends a long poll of the list that is waiting: a reading that began later is needed.
-    pub list_wanted_anew: Notify,
+    pub list_reread_wanted: Notify,
     /// Ends a long poll of the configuration that is waiting.
-    pub config_wanted_anew: Notify,
+    pub config_reread_wanted: Notify,
     /// Wakes the task that rebuilds the routing table.
-    pub table_wanted: Notify,
+    pub table_rebuild_wanted: Notify,
     /// Wakes the task that renews the lease.
-    pub lease_wanted: Notify,
+    pub lease_renewal_wanted: Notify,
     /// Counter of the group epochs that this process has issued.
     pub epochs_issued: Arc<AtomicU64>,
     /// Whether the steward waits for list entries that show the effect of its orders.
@@ -216,10 +216,13 @@
     has_traffic: AtomicBool,
     is_leaving: AtomicBool,
     is_closing: AtomicBool,
-    takes_nothing: AtomicBool,
+    refuses_all: AtomicBool,
     in_flight: AtomicUsize,
-    looks: Mutex<HashMap<Identity, Millis>>,
-    asked: Mutex<HashMap<Identity, Millis>>,
+    /// When all members of the group of a head were last probed.
+    group_probes: Mutex<HashMap<Identity, Millis>>,
+    /// When an instance was last probed because a peer asked.
+    probe_requests: Mutex<HashMap<Identity, Millis>>,
+    /// When this node last asked all others to probe an instance.
     all_peers_asked: Mutex<HashMap<Identity, Millis>>,
     /// When a stream without events is probed and when it is moved.
     pub stall: StallRules,
@@ -235,7 +238,7 @@
 }
 
 /// Outlier rules for instances of plain services and for group heads.
-const OUTLIERS: OutlierRules = OutlierRules {
+const OUTLIER_RULES: OutlierRules = OutlierRules {
     slow_factor: 4.0,
     failures: 2,
     base_ejection_time: Millis(1_500),
@@ -244,9 +247,9 @@
 };
 
 /// Least time between two rebuilds of the routing table on list changes.
-pub const TABLE_GAP: Millis = Millis(60);
+pub const MIN_REBUILD_INTERVAL: Millis = Millis(60);
 /// Age at which the routing table is rebuilt even if nothing has changed.
-const TABLE_STANDS: Millis = Millis(2_000);
+const MAX_TABLE_AGE: Millis = Millis(2_000);
 
 impl Node {
     /// Creates a node that has not read anything from the store and has not heard any peer;
@@ -274,13 +277,13 @@
             config_freshness: Mutex::default(),
             list: Mutex::default(),
             routing_table: RwLock::default(),
-            made: Mutex::default(),
+            last_build: Mutex::default(),
             suspicions: Mutex::default(),
             suspicion_changed: watch::Sender::new(0),
             gaps: Mutex::default(),
             quarantine: Mutex::default(),
-            keep_wanted: Notify::new(),
-            outliers: Mutex::new(OutlierDetector::new(OUTLIERS)),
+            quarantine_save_wanted: Notify::new(),
+            outliers: Mutex::new(OutlierDetector::new(OUTLIER_RULES)),
             instance_limits: Mutex::default(),
             loads: Loads::default(),
             metrics: Metrics::default(),
@@ -288,16 +291,16 @@
             budgets: Mutex::default(),
             peers: Mutex::new(peers),
             lease: Mutex::default(),
-            steward_wanted: Notify::new(),
+            planning_wanted: Notify::new(),
             heartbeat_wanted: Notify::new(),
-            catch_up_wanted: Notify::new(),
+            config_fetch_wanted: Notify::new(),
             news_wanted: Notify::new(),
-            list_gap_seen: Notify::new(),
-            list_wanted: Notify::new(),
-            list_wanted_anew: Notify::new(),
-            config_wanted_anew: Notify::new(),
-            table_wanted: Notify::new(),
-            lease_wanted: Notify::new(),
+            list_fetch_wanted: Notify::new(),
+            list_read_wanted: Notify::new(),
+            list_reread_wanted: Notify::new(),
+            config_reread_wanted: Notify::new(),
+            table_rebuild_wanted: Notify::new(),
+            lease_renewal_wanted: Notify::new(),
             epochs_issued: Arc::default(),
             is_steward_busy: AtomicBool::new(false),
             probes,
@@ -305,10 +308,10 @@
             has_traffic: AtomicBool::new(false),
             is_leaving: AtomicBool::new(false),
             is_closing: AtomicBool::new(false),
-            takes_nothing: AtomicBool::new(false),
+            refuses_all: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
-            looks: Mutex::default(),
-            asked: Mutex::default(),
+            group_probes: Mutex::default(),
+            probe_requests: Mutex::default(),
             all_peers_asked: Mutex::default(),
             stall: StallRules::default(),
         }
@@ -390,13 +393,13 @@
     }
 
     /// Takes over failures to read the list from the nodes that read it for this node.
-    pub fn hear_of_list_trouble(&self) {
+    pub fn sync_list_failures(&self) {
         if self.is_store_reader() {
             return;
         }
         let settings = self.settings();
         let data_centre = settings.node.data_centre.as_str();
-        let last_failure_at = self.peers.lock().list_trouble_at(data_centre, self.now());
+        let last_failure_at = self.peers.lock().list_failure_at(data_centre, self.now());
         if let Some(at) = last_failure_at {
             self.list.lock().trust.on_store_failure(at);
         }
@@ -404,41 +407,41 @@
 
     /// Rebuilds the routing table.
     pub fn rebuild_table(&self) {
-        self.hear_of_list_trouble();
+        self.sync_list_failures();
         let Some(serving_config) = self.serving_config() else { return };
         let now = self.now();
         let list = self.list.lock();
         let routing_table = RoutingTable::make(&serving_config, &list.roster, &list.trust, now);
-        let made = MadeTable { version: list.roster.version(), at: now };
+        let build = TableBuild { version: list.roster.version(), at: now };
         drop(list);
         *self.routing_table.write() = Arc::new(routing_table);
-        *self.made.lock() = made;
+        *self.last_build.lock() = build;
     }
 
-    /// Called when the list has changed: rebuilds the routing table now, or after [`TABLE_GAP`] if
-    /// it was rebuilt within that time. At a start the entries of hundreds of instances change
-    /// many times a second.
-    pub fn list_changed(&self) {
-        let since = self.now().since(self.made.lock().at);
-        if since >= TABLE_GAP {
+    /// Called when the list has changed: rebuilds the routing table now, or a little later if it
+    /// was rebuilt within [`MIN_REBUILD_INTERVAL`]. At a start the entries of hundreds of
+    /// instances change many times a second.
+    pub fn on_list_changed(&self) {
+        let since = self.now().since(self.last_build.lock().at);
+        if since >= MIN_REBUILD_INTERVAL {
             self.rebuild_table();
         } else {
-            self.table_wanted.notify_one();
+            self.table_rebuild_wanted.notify_one();
         }
     }
 
     /// Rebuilds the routing table if the list has changed, or if its content may have changed by
     /// time alone: entries that went missing while the store was unavailable count as present
     /// for a while.
-    pub fn renew_table(&self) {
-        self.hear_of_list_trouble();
+    pub fn refresh_table(&self) {
+        self.sync_list_failures();
         let now = self.now();
-        let made = *self.made.lock();
+        let last_build = *self.last_build.lock();
         let list = self.list.lock();
-        let has_changed = list.roster.version() != made.version;
-        let is_excusing = list.trust.may_be_incomplete(now);
+        let has_changed = list.roster.version() != last_build.version;
+        let is_incomplete = list.trust.may_be_incomplete(now);
         drop(list);
-        if has_changed || is_excusing || now.since(made.at) >= TABLE_STANDS {
+        if has_changed || is_incomplete || now.since(last_build.at) >= MAX_TABLE_AGE {
             self.rebuild_table();
         }
     }
@@ -456,22 +459,22 @@
 
     /// The workload per second that this node's callers ask for, by model, and the observed
     /// fraction of it.
-    pub fn own_work(&self) -> (Vec<(SmolStr, Workload)>, f64) {
+    pub fn local_workload(&self) -> (Vec<(SmolStr, Workload)>, f64) {
         let now = self.now();
         let demand = self.demand.lock();
         (demand.all(self.expected_answer_events(), now), demand.observed_fraction(now))
     }
 
     /// The workload that the callers of all nodes ask for, for the models of `engine`.
-    pub fn work(&self, engine: &Engine) -> ObservedDemand {
-        let (own, observed_fraction) = self.own_work();
+    pub fn fleet_workload(&self, engine: &Engine) -> ObservedDemand {
+        let (own, observed_fraction) = self.local_workload();
         let now = self.now();
         let peers = self.peers.lock();
-        let sums = peers.sums(now);
-        let holds_own = peers.sums_hold_own(now);
+        let totals = peers.totals(now);
+        let holds_own = peers.totals_include_self(now);
         drop(peers);
-        let observed_fraction = observed_fraction.max(f64::from(sums.seen_percent) / 100.0);
-        let mut by_name = sums.work().clone();
+        let observed_fraction = observed_fraction.max(f64::from(totals.seen_percent) / 100.0);
+        let mut by_name = totals.work().clone();
         for (model, work) in own.iter().filter(|_| !holds_own) {
             let sum = by_name.entry(name_hash(model)).or_default();
             *sum = sum.plus(*work);
@@ -503,11 +506,11 @@
     /// Whether this node or a peer has received requests.
     pub fn has_traffic(&self) -> bool {
         let now = self.now();
-        self.has_traffic.load(Ordering::Relaxed) || self.peers.lock().sums(now).has_traffic
+        self.has_traffic.load(Ordering::Relaxed) || self.peers.lock().totals(now).has_traffic
     }
 
     /// Whether this node itself has received requests.
-    pub fn has_own_traffic(&self) -> bool {
+    pub fn has_local_traffic(&self) -> bool {
         self.has_traffic.load(Ordering::Relaxed)
     }
 
@@ -529,15 +532,15 @@
 
     /// Refuses all requests from now on: they could not be finished before the process ends.
     pub fn refuse_requests(&self) {
-        self.takes_nothing.store(true, Ordering::Relaxed);
+        self.refuses_all.store(true, Ordering::Relaxed);
     }
 
     /// Whether requests of this kind are still accepted. A stopping node refuses streams first: a
     /// stream may last longer than the time that is left, and a stream that is cut is lost.
     pub fn takes(&self, kind: RequestKind) -> bool {
-        let takes_streams = !self.is_closing();
-        !self.takes_nothing.load(Ordering::Relaxed)
-            && (takes_streams || kind != RequestKind::Stream)
+        let accepts_streams = !self.is_closing();
+        !self.refuses_all.load(Ordering::Relaxed)
+            && (accepts_streams || kind != RequestKind::Stream)
     }
 
     /// Whether each connection is closed after its current response.
--- a/crates/workshold-gateway/src/node/instance_limits.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -27,11 +27,11 @@
 use crate::peers::WireLimit;
 
 /// Most rate limits in one heartbeat: changed ones first, then the others in turn.
-const MOST_TOLD: usize = 8;
+const MAX_LIMITS_REPORTED: usize = 8;
 /// Time for which heartbeats tell that an instance is leaving, after it was first heard.
-const LEAVING_TOLD: Millis = Millis(5_000);
+const LEAVING_REPORT_TIME: Millis = Millis(5_000);
 /// Most leaving instances in one heartbeat.
-const MOST_LEAVING_TOLD: usize = 32;
+const MAX_LEAVING_REPORTED: usize = 32;
 
 /// Permission to send one request to an instance, counted against its rate limit. Requests can
 /// be sent only through a permit, so that no code path can bypass the limit.
@@ -62,7 +62,7 @@
             Limit::None => None,
             Limit::Unreadable => return,
         };
-        self.hear_word(id, LimitReport { limit, asked, heard: self.now() });
+        self.apply_limit_report(id, LimitReport { limit, asked, heard: self.now() });
     }
 
     /// Handles the backoff that a refusal asks of this node, if it names one.
@@ -80,14 +80,14 @@
         }
         emit(Event::InstanceLeaves, &[("instance", id.as_str())]);
         self.list.lock().roster.on_leaving(id);
-        self.list_changed();
-        self.steward_wanted.notify_one();
+        self.on_list_changed();
+        self.planning_wanted.notify_one();
         self.heartbeat_wanted.notify_one();
     }
 
     /// Handles a peer's report of incarnations that are shutting down, by their hashes.
-    pub fn hear_of_leaving(&self, told: &[u32]) {
-        for instance in told {
+    pub fn on_reported_leaving(&self, hashes: &[u32]) {
+        for instance in hashes {
             let id = self.list.lock().by_instance_hash.get(instance).cloned();
             if let Some(id) = id {
                 self.on_leaving(&id, true);
@@ -96,41 +96,41 @@
     }
 
     /// Hashes of the incarnations that this node reports to peers as shutting down.
-    pub fn told_leaving(&self) -> Vec<u32> {
-        let leaving = self.instance_limits.lock().recently_leaving(LEAVING_TOLD, self.now());
-        leaving.iter().take(MOST_LEAVING_TOLD).map(instance_hash).collect()
+    pub fn leaving_to_report(&self) -> Vec<u32> {
+        let leaving = self.instance_limits.lock().recently_leaving(LEAVING_REPORT_TIME, self.now());
+        leaving.iter().take(MAX_LEAVING_REPORTED).map(instance_hash).collect()
     }
 
     /// Handles rate limits in a peer's datagram that arrived after `since`.
-    pub fn hear_of_limits(&self, told: &[WireLimit], since: Millis) {
-        for told in told {
-            let id = self.list.lock().by_instance_hash.get(&told.instance).cloned();
+    pub fn on_reported_limits(&self, limits: &[WireLimit], since: Millis) {
+        for limit in limits {
+            let id = self.list.lock().by_instance_hash.get(&limit.instance).cloned();
             if let Some(id) = id {
-                self.hear_word(&id, told.word(since));
+                self.apply_limit_report(&id, limit.report(since));
             }
         }
     }
 
-    fn hear_word(&self, id: &Identity, word: LimitReport) {
+    fn apply_limit_report(&self, id: &Identity, report: LimitReport) {
         let mut instance_limits = self.instance_limits.lock();
         let was = instance_limits.limit(id);
-        let is_news = instance_limits.on_limit_report(id, word);
+        let is_news = instance_limits.on_limit_report(id, report);
         drop(instance_limits);
         if !is_news {
             return;
         }
         self.heartbeat_wanted.notify_one();
         let text = |rate: Option<Rate>| rate.map_or_else(String::new, |r| r.as_per_s().to_string());
-        let (limit, was) = (text(word.limit), text(was));
+        let (limit, was) = (text(report.limit), text(was));
         let fields = [("instance", id.as_str()), ("limit", &*limit), ("was", &*was)];
         emit(Event::InstanceLimited, &fields);
     }
 
     /// Rate limits that this node reports to peers.
-    pub fn told_limits(&self) -> Vec<WireLimit> {
+    pub fn limits_to_report(&self) -> Vec<WireLimit> {
         let now = self.now();
-        let told = self.instance_limits.lock().next_to_gossip(MOST_TOLD);
-        told.iter().map(|(id, word)| WireLimit::new(id, *word, now)).collect()
+        let limits = self.instance_limits.lock().next_to_gossip(MAX_LIMITS_REPORTED);
+        limits.iter().map(|(id, report)| WireLimit::new(id, *report, now)).collect()
     }
 
     /// Checks whether an instance accepts a request of this node now, without counting one.
@@ -139,8 +139,8 @@
     ///
     /// [`Withheld`] if it does not.
     pub fn check_instance_limits(&self, id: &Identity) -> Result<(), Withheld> {
-        let part = self.part(id);
-        self.instance_limits.lock().look(id, part, self.now())
+        let share = self.sender_share(id);
+        self.instance_limits.lock().look(id, share, self.now())
     }
 
     /// Takes the permit for one request to an instance; called just before it is sent.
@@ -149,21 +149,21 @@
     ///
     /// [`Withheld`] if the instance accepts no request of this node now.
     pub fn permit(&self, id: &Identity) -> Result<Permit, Withheld> {
-        let part = self.part(id);
-        let taken = self.instance_limits.lock().take(id, part, self.now());
+        let share = self.sender_share(id);
+        let taken = self.instance_limits.lock().take(id, share, self.now());
         taken.inspect_err(|_| self.metrics.count(Metric::Withheld))?;
         Ok(Permit(()))
     }
 
     /// This node's share of an instance's rate limit. Without a limit every node may send.
-    fn part(&self, id: &Identity) -> SenderShare {
+    fn sender_share(&self, id: &Identity) -> SenderShare {
         let limit = self.instance_limits.lock().limit(id);
         let Some(limit) = limit else { return SenderShare { is_sender: true, senders: 1 } };
         let settings = self.settings();
         let peers = self.peers.lock();
         let senders = instance_limits::senders(limit, peers.max_node_count());
         let is_first =
-            || peers.is_among_senders(&settings.node.name, instance_hash(id), senders, self.now());
+            || peers.is_sender_for(&settings.node.name, instance_hash(id), senders, self.now());
         SenderShare { is_sender: !self.is_leaving() && is_first(), senders }
     }
 }
--- a/crates/workshold-gateway/src/node/quarantine.rs
+++ b/crates/workshold-gateway/src/node/quarantine.rs
@@ -36,7 +36,7 @@
     /// Notes that the connection to a target broke while a request was starting there. Returns
     /// whether the end of the target's process would quarantine the request. A target that shuts
     /// down as planned is not counted: its process ends for other reasons.
-    pub fn note_connection_lost(&self, job: &AdmittedRequest, target: &Target) -> bool {
+    pub fn note_connection_lost(&self, req: &AdmittedRequest, target: &Target) -> bool {
         let now = self.now();
         let (domain, is_leaving) = {
             let list = self.list.lock();
@@ -50,36 +50,38 @@
         let domain = domain.as_ref().map(|domain| domain.as_str());
         let place = quarantine::place(domain, target.data_centre.as_str());
         let incarnation = quarantine::incarnation(&target.id);
-        self.change_quarantine(|known| {
-            known.on_connection_broken(job.request_key(), incarnation, place, now)
+        self.update_quarantine(|quarantine| {
+            quarantine.on_connection_broken(req.request_key(), incarnation, place, now)
         });
-        self.is_suspect(job.fingerprint)
+        self.is_suspect(req.fingerprint)
     }
 
     /// Notes that an incarnation of an instance has ended.
-    pub(super) fn note_ended(&self, id: &Identity) {
+    pub(super) fn note_process_ended(&self, id: &Identity) {
         let now = self.now();
-        self.change_quarantine(|known| known.on_process_ended(quarantine::incarnation(id), now));
+        self.update_quarantine(|quarantine| {
+            quarantine.on_process_ended(quarantine::incarnation(id), now)
+        });
     }
 
     /// Notes that a request ran to its end, which clears its fingerprint.
-    pub fn note_finished(&self, job: &AdmittedRequest) {
+    pub fn note_finished(&self, req: &AdmittedRequest) {
         let now = self.now();
-        self.change_quarantine(|known| known.on_completed(job.fingerprint, now));
+        self.update_quarantine(|quarantine| quarantine.on_completed(req.fingerprint, now));
     }
 
     /// Clears a request on an operator's order. Returns whether there was anything to clear.
     pub fn release(&self, fingerprint: Fingerprint) -> bool {
         let now = self.now();
-        self.change_quarantine(|known| known.clear(fingerprint, now))
+        self.update_quarantine(|quarantine| quarantine.clear(fingerprint, now))
     }
 
     /// Merges quarantine records of a peer or of the store. Returns whether any was new.
-    pub fn hear_of_requests(&self, told: &[QuarantineRecord]) -> bool {
+    pub fn merge_quarantine_records(&self, records: &[QuarantineRecord]) -> bool {
         let settings = self.settings();
         let is_relay = self.peers.lock().is_relay(&settings.own(), self.now());
-        self.change_quarantine(|quarantine| {
-            let news = told.iter().filter(|known| quarantine.take(known, is_relay));
+        self.update_quarantine(|quarantine| {
+            let news = records.iter().filter(|record| quarantine.take(record, is_relay));
             news.count() > 0
         })
     }
@@ -87,21 +89,21 @@
     /// Applies a change to the quarantine. If it changes anything, the records are saved to the
     /// store, peers are told at once, and requests that wait at an instance without having
     /// started check again whether they are quarantined.
-    fn change_quarantine(&self, change: impl FnOnce(&mut Quarantine) -> bool) -> bool {
+    fn update_quarantine(&self, change: impl FnOnce(&mut Quarantine) -> bool) -> bool {
         let now = self.now();
         let mut quarantine = self.quarantine.lock();
         if !change(&mut quarantine) {
             return false;
         }
-        let held = quarantine.newly_quarantined(now);
-        let is_telling = quarantine.has_news();
+        let quarantined = quarantine.newly_quarantined(now);
+        let has_news = quarantine.has_news();
         drop(quarantine);
-        if !held.is_empty() {
-            log_held(&held, now);
+        if !quarantined.is_empty() {
+            log_quarantined(&quarantined, now);
             self.suspicion_changed.send_modify(|version| *version += 1);
         }
-        self.keep_wanted.notify_one();
-        if is_telling {
+        self.quarantine_save_wanted.notify_one();
+        if has_news {
             self.heartbeat_wanted.notify_one();
         }
         true
@@ -113,20 +115,20 @@
     }
 
     /// Notes that the store's quarantine records have been read, or are not waited for any more.
-    pub fn quarantine_read(&self) {
+    pub fn mark_quarantine_read(&self) {
         self.is_quarantine_read.store(true, Ordering::Relaxed);
     }
 }
 
-fn log_held(held: &[(QuarantineRecord, Millis)], now: Millis) {
-    for (known, until) in held {
-        let RequestKey { fingerprint, caller } = known.request_key;
+fn log_quarantined(quarantined: &[(QuarantineRecord, Millis)], now: Millis) {
+    for (record, until) in quarantined {
+        let RequestKey { fingerprint, caller } = record.request_key;
         emit(
             Event::RequestHeld,
             &[
                 ("fingerprint", &fingerprint.to_string()),
                 ("caller", &format!("{caller:08x}")),
-                ("ended", &known.ends.len().to_string()),
+                ("ended", &record.ends.len().to_string()),
                 ("for_s", &(until.since(now).0 / 1_000).to_string()),
             ],
         );
--- a/crates/workshold-gateway/src/node/reading.rs
+++ b/crates/workshold-gateway/src/node/store_access.rs
@@ -14,25 +14,25 @@
 use crate::peers::rank;
 
 /// With fewer other nodes than this, each node reads the store itself.
-const ALL_READ: usize = 12;
+const MIN_PEERS_FOR_FOLLOWERS: usize = 12;
 /// Nodes per data centre that write again what the store lost in a restore.
-const KEEPERS: usize = 2;
+const REWRITERS_PER_DATA_CENTRE: usize = 2;
 /// A starting node has heard its peers by this age, or cannot hear any.
-const HEARS_WITHIN: Millis = Millis(2_500);
+const PEERS_HEARD_WITHIN: Millis = Millis(2_500);
 /// The nodes that read the store count as cut off from it if it has not answered them for
 /// longer than this: more than the renewal interval of a lease without partitions, plus a late
 /// answer and a late heartbeat. With the check of it and an answer that makes 2.5 s, within the
 /// 3 s that are allowed to nodes that are not cut off.
-const READERS_SILENT: Millis = Millis(1_800);
+const READERS_CUT_OFF_AFTER: Millis = Millis(1_800);
 /// Time over which the nodes of a fleet that starts for the first time are staggered before
 /// they read the store and take the lease. The first callers come some seconds later, and it
 /// is long enough that the first of hundreds of nodes have read what the others need.
-const FIRST_START_SPREAD: Millis = Millis(800);
+const FIRST_START_STAGGER: Millis = Millis(800);
 
 impl Node {
     /// Whether a partition of the lease waits for a reading of the list that began after it was
     /// taken.
-    pub fn wants_list_anew(&self) -> bool {
+    pub fn needs_list_reread(&self) -> bool {
         let read_at = self.list.lock().read_at;
         self.lease
             .lock()
@@ -47,33 +47,35 @@
     /// to ask.
     pub fn is_settled(&self) -> bool {
         let settings = self.settings();
-        let turn = (u64::from(rank(&settings.node.name, settings.limits.class()))
-            * FIRST_START_SPREAD.0)
+        let delay = (u64::from(rank(&settings.node.name, settings.limits.class()))
+            * FIRST_START_STAGGER.0)
             >> u32::BITS;
-        if settings.node.is_first_start && self.age() < Millis(turn) {
+        if settings.node.is_first_start && self.age() < Millis(delay) {
             return false;
         }
-        !self.peers.lock().lacks_nodes(self.now())
+        !self.peers.lock().misses_nodes(self.now())
     }
 
     /// Whether this node reads the store itself. With many nodes only a few of each data centre
     /// do, and the others rely on what these have read.
     pub fn is_store_reader(&self) -> bool {
-        !self.has_followers() || self.is_among_first(news::STORE_READERS)
+        !self.has_followers() || self.ranks_first(news::STORE_READERS)
     }
 
-    /// Whether the nodes that read the store for this one may be cut off from it, while this
-    /// node may still reach it: the store has not answered any of them for [`READERS_SILENT`].
+    /// Whether the nodes that read the store for this one may be cut off from it, while this node
+    /// may still reach it: the store has not answered any of them for longer than
+    /// [`READERS_CUT_OFF_AFTER`].
     pub fn are_readers_cut_off(&self) -> bool {
         let settings = self.settings();
         let now = self.now();
-        let answered = self.peers.lock().readers_answered(settings.node.data_centre.as_str(), now);
-        answered.is_some_and(|at| now.since(at) > READERS_SILENT)
+        let answered =
+            self.peers.lock().readers_answered_at(settings.node.data_centre.as_str(), now);
+        answered.is_some_and(|at| now.since(at) > READERS_CUT_OFF_AFTER)
     }
 
     /// Whether this node hears fewer than half of the other nodes that may exist: then updates
     /// that they send each other may not reach it.
-    pub fn hears_few(&self) -> bool {
+    pub fn hears_few_peers(&self) -> bool {
         let peers = self.peers.lock();
         let others = peers.max_node_count() - 1;
         peers.heard(self.now()).count() * 2 < others
@@ -91,7 +93,7 @@
         Some(age.unwrap_or(LIST_TROUBLE_MAX_AGE_MS).min(LIST_TROUBLE_MAX_AGE_MS))
     }
 
-    fn is_among_first(&self, most: usize) -> bool {
+    fn ranks_first(&self, most: usize) -> bool {
         let settings = self.settings();
         let data_centre = settings.node.data_centre.as_str();
         self.peers.lock().ranks_among_first(&settings.node.name, data_centre, most, self.now())
@@ -99,7 +101,7 @@
 
     /// Whether there are so many nodes that some rely on what others read.
     pub fn has_followers(&self) -> bool {
-        self.peers.lock().heard(self.now()).count() >= ALL_READ
+        self.peers.lock().heard(self.now()).count() >= MIN_PEERS_FOR_FOLLOWERS
     }
 
     /// Accepts the store's answer to a request sent at `sent` and returns its content.
@@ -108,55 +110,55 @@
     ///
     /// [`StoreError::Earlier`] if the answer belongs to an era of the store that is over.
     pub fn take_answer<T>(&self, answer: Answer<T>, sent: Millis) -> Result<T, StoreError> {
-        let (said, has_returned) = self.store_monitor.take(answer, sent, self.now())?;
-        if has_returned {
-            self.store_returned();
+        let (content, was_restored) = self.store_monitor.take(answer, sent, self.now())?;
+        if was_restored {
+            self.on_store_restored();
         }
-        Ok(said)
+        Ok(content)
     }
 
     /// Handles a peer's report that it has known this era of the store since `since`.
-    pub fn hear_of_past(&self, era: Era, since: Millis) {
+    pub fn on_peer_era(&self, era: Era, since: Millis) {
         if self.store_monitor.observe(era, since) == EraOrder::Newer {
-            self.store_returned();
+            self.on_store_restored();
         }
     }
 
     /// Called when the store was restored from a snapshot. The data that this node holds stays in
     /// use but is read again, and records that the restore may have lost are written again.
-    fn store_returned(&self) {
+    fn on_store_restored(&self) {
         emit(Event::StoreReturned, &[("era", &self.store_monitor.era().to_string())]);
-        if self.keeps_anew() {
+        if self.rewrites_lost_records() {
             self.quarantine.lock().mark_all_unsaved();
-            self.keep_wanted.notify_one();
+            self.quarantine_save_wanted.notify_one();
         }
         self.heartbeat_wanted.notify_one();
-        self.lease_wanted.notify_one();
-        self.list_wanted.notify_one();
-        self.list_wanted_anew.notify_one();
-        self.config_wanted_anew.notify_one();
+        self.lease_renewal_wanted.notify_one();
+        self.list_read_wanted.notify_one();
+        self.list_reread_wanted.notify_one();
+        self.config_reread_wanted.notify_one();
     }
 
     /// Whether this node writes again what the store lost in a restore. Two nodes of each data
     /// centre do, so that one of them may be down and hundreds do not write the same records.
-    pub fn keeps_anew(&self) -> bool {
-        self.is_among_first(KEEPERS)
+    pub fn rewrites_lost_records(&self) -> bool {
+        self.ranks_first(REWRITERS_PER_DATA_CENTRE)
     }
 
     /// Whether a configuration read from the store may be outdated: after a restore from a snapshot
     /// a peer may hold a newer one, and a starting node may not have heard that peer yet.
-    pub fn is_surpassed(&self, version: u64) -> bool {
+    pub fn may_be_outdated(&self, version: u64) -> bool {
         if self.store_monitor.era() == Era::default() {
             return false;
         }
-        let is_new = !self.settings().node.is_first_start && self.age() < HEARS_WITHIN;
+        let is_starting = !self.settings().node.is_first_start && self.age() < PEERS_HEARD_WITHIN;
         let now = self.now();
         let (newest, is_alone) = {
             let peers = self.peers.lock();
             (peers.newest_config(now), peers.heard(now).next().is_none())
         };
         let is_held = self.config_age().is_some_and(|(held, _)| held >= version);
-        !is_held && (newest > Some(version) || (is_new && (is_alone || !self.is_settled())))
+        !is_held && (newest > Some(version) || (is_starting && (is_alone || !self.is_settled())))
     }
 
     /// Time since the last request was sent that the store has answered.
--- a/crates/workshold-gateway/src/node/suspicions.rs
+++ b/crates/workshold-gateway/src/node/suspicions.rs
@@ -20,18 +20,18 @@
 use crate::routing_table::Target;
 
 /// A probe of all members of a group counts for all its streams for this long.
-const LOOK_GOOD_FOR: Millis = Millis(250);
+const GROUP_PROBE_VALID_FOR: Millis = Millis(250);
 /// With fewer nodes than this, all of them probe a suspected instance when one asks.
-const FEW_NODES: usize = 24;
+const FEW_PEERS: usize = 24;
 /// With more, this many of each data centre do.
-const WITNESSES: usize = 4;
+const PROBERS_PER_DATA_CENTRE: usize = 4;
 /// Time within which all nodes that were asked have answered; the question is sent twice in it.
-const ALL_ANSWER: Millis = Millis(300);
+const ALL_PEERS_ANSWER_TIME: Millis = Millis(300);
 /// Time for which the answers of all nodes hold; then they are asked again.
-const ASKED_FOR: Millis = Millis(10_000);
+const ALL_PEERS_ANSWER_VALID_FOR: Millis = Millis(10_000);
 /// Many nodes ask at once when an instance falls silent: one probe answers all requests
 /// within this time.
-const ASKED_AGAIN: Millis = Millis(200);
+const PROBE_REQUEST_MIN_INTERVAL: Millis = Millis(200);
 
 /// A task about an instance that this node or a peer could not reach.
 #[derive(Debug, Clone)]
@@ -50,9 +50,9 @@
     /// Probe it for this node's own use.
     Look,
     /// Probe it because a peer asked, and send the result to all nodes.
-    AnswerOthers,
+    ForAll,
     /// Probe it because the node at this address asked all, and reply if the instance answers.
-    AnswerOne(SocketAddr),
+    ReplyTo(SocketAddr),
     /// Send the result of this node's own probe to all nodes.
     Tell {
         /// The result.
@@ -82,9 +82,9 @@
     /// The first member of a target's group that cannot be reached; `None` if all can.
     pub fn suspected_member(&self, target: &Target) -> Option<SmolStr> {
         let suspicions = self.suspicions.lock();
-        let is_out = |member: &&Arc<Instance>| suspicions.is_unreachable(&member.identity);
-        let doubted = target.members.iter().find(is_out);
-        doubted.map(|member| SmolStr::new(member.identity.as_str()))
+        let is_unreachable = |member: &&Arc<Instance>| suspicions.is_unreachable(&member.identity);
+        let suspect = target.members.iter().find(is_unreachable);
+        suspect.map(|member| SmolStr::new(member.identity.as_str()))
     }
 
     /// Records the result of this node's own probe of an instance. A changed result is sent to
@@ -101,29 +101,29 @@
     /// Records the result of this node's own probe. Returns whether it differs from the last one.
     pub fn record_probe_result(&self, id: &Identity, reach: ProbeResult) -> bool {
         let now = self.now();
-        let was = self.suspicions.lock().is_unreachable_from_here(id);
-        let is = reach != ProbeResult::Answers;
+        let was_unreachable = self.suspicions.lock().is_unreachable_from_here(id);
+        let is_unreachable = reach != ProbeResult::Answers;
         self.suspicions.lock().on_own_probe(id, reach, now);
-        if was == is {
+        if was_unreachable == is_unreachable {
             return false;
         }
         if reach == ProbeResult::Refused {
-            self.note_ended(id);
+            self.note_process_ended(id);
         }
-        let event = if is { Event::InstanceInDoubt } else { Event::InstanceBack };
+        let event = if is_unreachable { Event::InstanceInDoubt } else { Event::InstanceBack };
         emit(event, &[("instance", id.as_str()), ("reach", &format!("{reach:?}"))]);
-        self.suspicions_changed();
+        self.notify_suspicions_changed();
         true
     }
 
-    /// A newer incarnation has started under an instance's id: `life` has ended, and requests that
-    /// wait for it must not go on waiting.
-    pub fn note_superseded(&self, life: &Identity) {
-        self.suspicions.lock().on_superseded(life, self.now());
-        self.note_ended(life);
-        let began = life.incarnation.to_string();
-        emit(Event::InstanceBeganAnew, &[("instance", life.as_str()), ("ended", &began)]);
-        self.suspicions_changed();
+    /// Notes that `incarnation` has ended since a newer one has started under its instance id.
+    /// Requests that wait for it must not go on waiting.
+    pub fn note_superseded(&self, incarnation: &Identity) {
+        self.suspicions.lock().on_superseded(incarnation, self.now());
+        self.note_process_ended(incarnation);
+        let ended = incarnation.incarnation.to_string();
+        emit(Event::InstanceBeganAnew, &[("instance", incarnation.as_str()), ("ended", &ended)]);
+        self.notify_suspicions_changed();
     }
 
     /// Queues a task about a suspected instance.
@@ -136,68 +136,68 @@
     /// each data centre do, and every node that holds a partition of the stewards' lease, since it
     /// may have to act on the result.
     pub fn is_witness(&self, id: &Identity) -> bool {
-        let acts = self.lease.lock().acts_by().is_some();
+        let holds_lease = self.lease.lock().active_fence().is_some();
         let settings = self.settings();
         let now = self.now();
         let peers = self.peers.lock();
-        are_few(&peers, now)
-            || acts
-            || peers.is_witness(&settings.own(), instance_hash(id), WITNESSES, now)
+        has_few_peers(&peers, now)
+            || holds_lease
+            || peers.is_witness(&settings.own(), instance_hash(id), PROBERS_PER_DATA_CENTRE, now)
     }
 
     /// Whether all nodes were asked to probe an instance and have had the time to answer. The
     /// first call sends the question. With few nodes all of them are asked at once anyway.
     pub fn have_all_peers_probed(&self, id: &Identity, address: &SmolStr) -> bool {
         let now = self.now();
-        if are_few(&self.peers.lock(), now) {
+        if has_few_peers(&self.peers.lock(), now) {
             return true;
         }
         let mut all_peers_asked = self.all_peers_asked.lock();
-        all_peers_asked.retain(|_, at| now.since(*at) < ASKED_FOR);
+        all_peers_asked.retain(|_, at| now.since(*at) < ALL_PEERS_ANSWER_VALID_FOR);
         let at = all_peers_asked.get(id).copied();
         if at.is_none() {
             all_peers_asked.insert(id.clone(), now);
             let task = ProbeTask::Tell { reach: ProbeResult::Silent, asks: Ask::All };
             self.probe(id, address, task);
         }
-        at.is_some_and(|at| now.since(at) >= ALL_ANSWER)
+        at.is_some_and(|at| now.since(at) >= ALL_PEERS_ANSWER_TIME)
     }
 
     /// Whether an instance has to be probed because a peer asks: not if it was probed for a peer
-    /// within [`ASKED_AGAIN`].
+    /// within [`PROBE_REQUEST_MIN_INTERVAL`].
     pub fn is_probe_due(&self, id: &Identity) -> bool {
         let now = self.now();
-        let mut asked = self.asked.lock();
-        asked.retain(|_, at| now.since(*at) < ASKED_AGAIN);
-        if asked.contains_key(id) {
+        let mut probe_requests = self.probe_requests.lock();
+        probe_requests.retain(|_, at| now.since(*at) < PROBE_REQUEST_MIN_INTERVAL);
+        if probe_requests.contains_key(id) {
             return false;
         }
-        asked.insert(id.clone(), now);
+        probe_requests.insert(id.clone(), now);
         true
     }
 
-    /// Whether all members of a target's group were probed within [`LOOK_GOOD_FOR`].
+    /// Whether all members of a target's group were probed within [`GROUP_PROBE_VALID_FOR`].
     pub fn was_probed_recently(&self, id: &Identity) -> bool {
         let now = self.now();
-        self.looks.lock().get(id).is_some_and(|at| now.since(*at) < LOOK_GOOD_FOR)
+        self.group_probes.lock().get(id).is_some_and(|at| now.since(*at) < GROUP_PROBE_VALID_FOR)
     }
 
     /// Notes that all members of a target's group have been probed.
     pub fn note_group_probe(&self, id: &Identity) {
         let now = self.now();
-        let mut looks = self.looks.lock();
-        looks.retain(|_, at| now.since(*at) < LOOK_GOOD_FOR);
-        looks.insert(id.clone(), now);
+        let mut group_probes = self.group_probes.lock();
+        group_probes.retain(|_, at| now.since(*at) < GROUP_PROBE_VALID_FOR);
+        group_probes.insert(id.clone(), now);
     }
 
     /// Wakes the requests that wait on a suspected instance, and the steward.
-    pub fn suspicions_changed(&self) {
+    pub fn notify_suspicions_changed(&self) {
         self.suspicion_changed.send_modify(|version| *version += 1);
-        self.steward_wanted.notify_one();
+        self.planning_wanted.notify_one();
     }
 }
 
 /// Whether there are so few nodes that all of them probe a suspected instance.
-fn are_few(peers: &Peers, now: Millis) -> bool {
-    peers.heard(now).count() < FEW_NODES
+fn has_few_peers(peers: &Peers, now: Millis) -> bool {
+    peers.heard(now).count() < FEW_PEERS
 }
--- a/crates/workshold-gateway/src/peers.rs
+++ b/crates/workshold-gateway/src/peers.rs
@@ -63,13 +63,13 @@
     /// When it was last heard, by this node or by a relay.
     pub heard: Millis,
     /// When this node itself last heard it; `None` if only relays have.
-    direct: Option<Millis>,
+    heard_directly: Option<Millis>,
     /// Silence after which it counts as gone.
     silent_after: Millis,
 }
 
 /// Number of peers that a heartbeat lists.
-const SAMPLE: usize = 6;
+const HEARTBEAT_SAMPLE: usize = 6;
 
 impl Peer {
     fn is_heard(&self, now: Millis) -> bool {
@@ -77,14 +77,14 @@
     }
 
     /// Whether this node itself hears it.
-    fn is_direct(&self, now: Millis) -> bool {
-        self.direct.is_some_and(|at| now.since(at) < silent_after(&self.heartbeat))
+    fn is_heard_directly(&self, now: Millis) -> bool {
+        self.heard_directly.is_some_and(|at| now.since(at) < silent_after(&self.heartbeat))
     }
 }
 
 /// Silence after which a node that sends heartbeats to this one counts as gone.
 fn silent_after(heartbeat: &Heartbeat) -> Millis {
-    Millis(u64::from(heartbeat.next_ms) * PULSES_MISSED).max(SILENT_LEAST) + PULSE_LATE
+    Millis(u64::from(heartbeat.next_ms) * MISSED_HEARTBEATS).max(MIN_SILENCE) + HEARTBEAT_DELAY
 }
 
 /// A node's rank: first by its class, so that well-equipped nodes become relays, then by a hash
@@ -99,13 +99,13 @@
 
 /// Orders nodes for one instance (rendezvous hashing): the order differs between instances, so
 /// that a task that only the first few nodes do is spread over all of them.
-fn place(instance: u32, rank: u32) -> u64 {
+fn order_for_instance(instance: u32, rank: u32) -> u64 {
     xxh3_64_with_seed(&instance.to_le_bytes(), u64::from(rank))
 }
 
 /// A relay's digest, with the time it arrived.
 #[derive(Debug, Clone)]
-struct Heard {
+struct ReceivedDigest {
     digest: Digest,
     at: Millis,
 }
@@ -118,15 +118,15 @@
     /// Addresses of known nodes, with the time each was last heard or first named.
     addresses: BTreeMap<SocketAddr, Millis>,
     by_address: BTreeMap<SocketAddr, Peer>,
-    sharers: NodeCensus<SocketAddr>,
+    census: NodeCensus<SocketAddr>,
     /// The newest digest of all nodes, from a relay of this node's data centre.
-    of_all: Option<Heard>,
+    fleet_digest: Option<ReceivedDigest>,
     /// The newest digest of each other data centre, from one of its relays.
-    of_data_centres: BTreeMap<SmolStr, Heard>,
+    data_centre_digests: BTreeMap<SmolStr, ReceivedDigest>,
     /// Number of nodes that the last sender of a digest of all nodes knows.
-    most_heard: Option<u16>,
+    peers_node_count: Option<u16>,
     /// This node's load at each instance, as it was last sent to the relays.
-    told: HashMap<u32, Load>,
+    reported_loads: HashMap<u32, Load>,
     /// Nodes that have changed, and when: digests list them first.
     changed: BTreeMap<SocketAddr, Millis>,
     /// Nodes that have gone silent: noticed by this node as a relay, or reported in a digest.
@@ -134,28 +134,28 @@
     /// When a heartbeat was last sent to a silent address, to heal a partition of the fleet.
     sought_at: Millis,
     /// The node that the round robin of digests listed last, by scope.
-    turns: [Option<SocketAddr>; 2],
+    round_robin: [Option<SocketAddr>; 2],
 }
 
-/// Number of heartbeats that a peer may miss, plus [`PULSE_LATE`], before it counts as gone.
-const PULSES_MISSED: u64 = 3;
+/// Number of heartbeats that a peer may miss, plus [`HEARTBEAT_DELAY`], before it counts as gone.
+const MISSED_HEARTBEATS: u64 = 3;
 /// Time by which a heartbeat may be late.
-const PULSE_LATE: Millis = Millis(200);
+const HEARTBEAT_DELAY: Millis = Millis(200);
 /// Least silence before a peer counts as gone, however short its heartbeat interval: a node
 /// that is slow for a moment is still alive.
-const SILENT_LEAST: Millis = Millis(900);
+const MIN_SILENCE: Millis = Millis(900);
 /// Time for which a node that looks for relays counts as alive: until the relays' digests
 /// list it.
-const SEEKER_KNOWN: Millis = Millis(3_000);
+const SEEKER_LIFETIME: Millis = Millis(3_000);
 /// An address is dropped after this silence.
-const FORGET_AFTER: Millis = Millis::from_secs(20);
+const ADDRESS_EXPIRY: Millis = Millis::from_secs(20);
 /// Time for which a digest is valid: three relays that send one every 0.3 s are not all late
 /// by that much.
-const DIGEST_STANDS: Millis = Millis(1_200);
+const DIGEST_VALID_FOR: Millis = Millis(1_200);
 
-impl Heard {
+impl ReceivedDigest {
     fn is_fresh(&self, now: Millis) -> bool {
-        now.since(self.at) < DIGEST_STANDS
+        now.since(self.at) < DIGEST_VALID_FOR
     }
 }
 
@@ -168,7 +168,7 @@
     /// Notes that there may be a node at this address.
     pub fn add(&mut self, address: SocketAddr, now: Millis) {
         self.addresses.entry(address).or_insert(now);
-        self.sharers.on_seen(address, now);
+        self.census.on_seen(address, now);
     }
 
     /// Notes that the store, asked at `at`, listed nodes at these addresses.
@@ -176,24 +176,24 @@
         for address in addresses {
             self.addresses.entry(*address).or_insert(at);
         }
-        self.sharers.on_listed(addresses.iter().copied(), at);
+        self.census.on_listed(addresses.iter().copied(), at);
     }
 
     /// Upper bound of the number of nodes, this one included, heard or not.
     pub fn max_node_count(&self) -> usize {
-        self.sharers.count() + 1
+        self.census.count() + 1
     }
 
     /// Some of the peers that are heard; `draw` is a random number that selects them.
     pub fn sample(&self, draw: u64, now: Millis) -> Vec<SocketAddr> {
         let heard: Vec<SocketAddr> = self.heard(now).map(|(address, _)| *address).collect();
         let start = draw as usize % heard.len().max(1);
-        let turned = heard.iter().cycle().skip(start);
-        turned.take(heard.len().min(SAMPLE)).copied().collect()
+        let rotated = heard.iter().cycle().skip(start);
+        rotated.take(heard.len().min(HEARTBEAT_SAMPLE)).copied().collect()
     }
 
     /// The addresses at which these nodes listen for callers.
-    pub fn callers_of(&self, nodes: &[SocketAddr]) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self, nodes: &[SocketAddr]) -> Vec<SocketAddr> {
         let known = nodes.iter().filter_map(|node| self.by_address.get(node));
         known.map(|peer| peer.heartbeat.callers).collect()
     }
@@ -212,27 +212,28 @@
             self.add(*address, now);
         });
         self.addresses.insert(from, now);
-        self.sharers.on_seen(from, now);
+        self.census.on_seen(from, now);
         let was_gone = self.gone.remove(&from);
         let last = self.by_address.get(&from);
         let is_new = was_gone || last.is_none_or(|last| !last.is_heard(now));
-        let is_news = last.is_some_and(|last| is_news(&last.heartbeat, &heartbeat));
-        if is_new || is_news {
+        let is_urgent = last.is_some_and(|last| is_urgent(&last.heartbeat, &heartbeat));
+        if is_new || is_urgent {
             self.changed.insert(from, now);
         }
         // A node that looks for relays sends to arbitrary nodes, and only once. From then on it
         // is known by the relays' digests.
-        let direct = if heartbeat.seeks { last.and_then(|last| last.direct) } else { Some(now) };
-        let told = match last {
+        let heard_directly =
+            if heartbeat.seeks { last.and_then(|last| last.heard_directly) } else { Some(now) };
+        let listed = match last {
             _ if !heartbeat.seeks => Millis::ZERO,
             Some(last) => last.silent_after,
-            None => SEEKER_KNOWN,
+            None => SEEKER_LIFETIME,
         };
-        let silent_after = silent_after(&heartbeat).max(told);
+        let silent_after = silent_after(&heartbeat).max(listed);
         let rank = rank(&name, heartbeat.class);
         self.by_address
-            .insert(from, Peer { name, rank, heartbeat, heard: now, direct, silent_after });
-        is_news
+            .insert(from, Peer { name, rank, heartbeat, heard: now, heard_directly, silent_after });
+        is_urgent
     }
 
     /// All addresses at which there may be a node.
@@ -255,46 +256,50 @@
         now: Millis,
     ) -> bool {
         let own = rank(name, self.class);
-        let near = self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == data_centre);
-        let before = near.filter(|(_, peer)| peer.rank < own);
+        let nearby = self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == data_centre);
+        let before = nearby.filter(|(_, peer)| peer.rank < own);
         before.take(most).count() < most
     }
 
     /// Load at each instance from all other nodes.
     pub fn loads(&self, now: Millis) -> HashMap<u32, Load> {
-        let mut sums = self.sums(now).loads();
-        if self.sums_hold_own(now) {
+        let mut totals = self.totals(now).loads();
+        if self.totals_include_self(now) {
             // The totals of the relays include what this node has reported to them.
-            for (instance, load) in &self.told {
-                sums.entry(*instance).and_modify(|sum| *sum = sum.less(*load));
+            for (instance, load) in &self.reported_loads {
+                totals.entry(*instance).and_modify(|sum| *sum = sum.less(*load));
             }
         }
-        sums
+        totals
     }
 
     /// Whether this node is among the `most` nodes of its data centre that probe an instance on
     /// behalf of all. Each instance has others, so that an instance gets few probes and no node
     /// runs them for all instances.
     pub fn is_witness(&self, own: &LocalNode<'_>, instance: u32, most: usize, now: Millis) -> bool {
-        let own_place = place(instance, rank(own.name, self.class));
-        let near =
+        let own_order = order_for_instance(instance, rank(own.name, self.class));
+        let nearby =
             self.heard(now).filter(|(_, peer)| peer.heartbeat.data_centre == own.data_centre);
-        near.filter(|(_, peer)| place(instance, peer.rank) < own_place).take(most).count() < most
+        nearby
+            .filter(|(_, peer)| order_for_instance(instance, peer.rank) < own_order)
+            .take(most)
+            .count()
+            < most
     }
 
     /// Whether this node is among the first `senders` nodes that are ready, in the order of nodes
     /// for this instance.
-    pub fn is_among_senders(&self, name: &str, instance: u32, senders: usize, now: Millis) -> bool {
-        let own_place = place(instance, rank(name, self.class));
+    pub fn is_sender_for(&self, name: &str, instance: u32, senders: usize, now: Millis) -> bool {
+        let own_order = order_for_instance(instance, rank(name, self.class));
         let others = self.heard(now).map(|(_, peer)| peer).filter(|peer| peer.heartbeat.is_ready);
-        let before = others.filter(|peer| place(instance, peer.rank) < own_place);
+        let before = others.filter(|peer| order_for_instance(instance, peer.rank) < own_order);
         before.take(senders).count() < senders
     }
 
     /// When the nodes that read the store last failed to read the list, all of them: it is enough
     /// that one of them reads it without failure. Nodes of `data_centre` count alone if there are
     /// any. `None` without such a failure.
-    pub fn list_trouble_at(&self, data_centre: &str, now: Millis) -> Option<Millis> {
+    pub fn list_failure_at(&self, data_centre: &str, now: Millis) -> Option<Millis> {
         let at = |(peer, age): (&Peer, u32)| {
             (age < LIST_TROUBLE_MAX_AGE_MS).then(|| peer.heard - Millis(age.into()))
         };
@@ -303,7 +308,7 @@
 
     /// When the store last answered any of the nodes that read it, chosen as above; `None` if none
     /// of them is heard.
-    pub fn readers_answered(&self, data_centre: &str, now: Millis) -> Option<Millis> {
+    pub fn readers_answered_at(&self, data_centre: &str, now: Millis) -> Option<Millis> {
         let readers = self.readers(data_centre, now).into_iter();
         readers.map(|(peer, _)| peer.heard - Millis(peer.heartbeat.store_age_ms)).max()
     }
@@ -313,9 +318,9 @@
     fn readers(&self, data_centre: &str, now: Millis) -> Vec<(&Peer, u32)> {
         let heard = self.heard(now).map(|(_, peer)| peer);
         let all = heard.filter_map(|peer| Some((peer, peer.heartbeat.list_trouble_ms?)));
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (nearby, distant): (Vec<_>, Vec<_>) =
             all.partition(|(peer, _)| peer.heartbeat.data_centre == data_centre);
-        if near.is_empty() { far } else { near }
+        if nearby.is_empty() { distant } else { nearby }
     }
 
     /// The newest configuration version that any peer that is heard holds.
@@ -324,26 +329,26 @@
         held.map(|(version, _)| version).max()
     }
 
-    /// Drops addresses that have been silent for [`FORGET_AFTER`], and what is known of them.
+    /// Drops addresses that have been silent for [`ADDRESS_EXPIRY`], and what is known of them.
     pub fn forget(&mut self, now: Millis) {
-        self.addresses.retain(|_, since| now.since(*since) < FORGET_AFTER);
+        self.addresses.retain(|_, since| now.since(*since) < ADDRESS_EXPIRY);
         let addresses = &self.addresses;
         self.by_address.retain(|address, _| addresses.contains_key(address));
-        self.changed.retain(|_, at| now.since(*at) < FORGET_AFTER);
+        self.changed.retain(|_, at| now.since(*at) < ADDRESS_EXPIRY);
         let by_address = &self.by_address;
         self.gone.retain(|address| by_address.contains_key(address));
-        self.of_data_centres.retain(|_, heard| heard.is_fresh(now));
+        self.data_centre_digests.retain(|_, heard| heard.is_fresh(now));
     }
 
-    fn fresh_of_all(&self, now: Millis) -> Option<&Heard> {
-        self.of_all.as_ref().filter(|heard| heard.is_fresh(now))
+    fn valid_fleet_digest(&self, now: Millis) -> Option<&ReceivedDigest> {
+        self.fleet_digest.as_ref().filter(|heard| heard.is_fresh(now))
     }
 }
 
 /// Whether other nodes wait for what has changed in a heartbeat: that the node stops serving,
 /// its fencing token, a newer era of the store (a restore from a snapshot), or a newer
 /// configuration.
-fn is_news(last: &Heartbeat, next: &Heartbeat) -> bool {
+fn is_urgent(last: &Heartbeat, next: &Heartbeat) -> bool {
     let version = |heartbeat: &Heartbeat| heartbeat.config.map(|(version, _)| version);
     let past = |heartbeat: &Heartbeat| heartbeat.past.map(|(era, _)| era);
     (last.is_ready && !next.is_ready)
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -340,17 +340,17 @@
 
 impl WireLimit {
     /// Encodes a rate limit, with ages at `now`.
-    pub fn new(id: &Identity, word: LimitReport, now: Millis) -> Self {
+    pub fn new(id: &Identity, report: LimitReport, now: Millis) -> Self {
         Self {
             instance: instance_hash(id),
-            limit: word.limit.map(|limit| limit.0),
-            asked_ms: now.since(word.asked).0,
-            heard_ms: now.since(word.heard).0,
+            limit: report.limit.map(|limit| limit.0),
+            asked_ms: now.since(report.asked).0,
+            heard_ms: now.since(report.heard).0,
         }
     }
 
     /// Decodes the rate limit, taking its ages to be those at `at`.
-    pub fn word(&self, at: Millis) -> LimitReport {
+    pub fn report(&self, at: Millis) -> LimitReport {
         LimitReport {
             limit: self.limit.map(Rate),
             asked: at - Millis(self.asked_ms),
@@ -375,13 +375,13 @@
 
 impl WireQuarantineEntry {
     /// Encodes a record, with ages at `now`.
-    pub fn new(known: &QuarantineRecord, now: Millis) -> Self {
-        let RequestKey { fingerprint, caller } = known.request_key;
-        let ends = known.ends.iter().map(|end| (end.incarnation, end.place, now.since(end.at).0));
+    pub fn new(record: &QuarantineRecord, now: Millis) -> Self {
+        let RequestKey { fingerprint, caller } = record.request_key;
+        let ends = record.ends.iter().map(|end| (end.incarnation, end.place, now.since(end.at).0));
         Self {
             fingerprint: fingerprint.0,
             caller,
-            cleared_ms: known.cleared.map(|at| now.since(at).0),
+            cleared_ms: record.cleared.map(|at| now.since(at).0),
             ends: ends.collect(),
         }
     }
--- a/crates/workshold-gateway/src/peers/packing.rs
+++ b/crates/workshold-gateway/src/peers/packing.rs
@@ -11,9 +11,9 @@
 use crate::peers::ListRecord;
 
 /// Most bytes that are accepted after decompression: ten times the list of a thousand instances.
-const MOST_UNPACKED: usize = 8 * 1024 * 1024;
+const MAX_UNCOMPRESSED_BYTES: usize = 8 * 1024 * 1024;
 /// Upper bound of LZ4's compression ratio; a longer claimed length is false.
-const MOST_OF_A_BYTE: usize = 255;
+const MAX_COMPRESSION_RATIO: usize = 255;
 
 /// Compressed records, with the length that they have uncompressed.
 #[derive(Serialize, Deserialize)]
@@ -50,7 +50,7 @@
 pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<ListRecord>, D::Error> {
     let packed = Packed::deserialize(from)?;
     let len = packed.unpacked_len as usize;
-    if len > MOST_UNPACKED.min(packed.bytes.len() * MOST_OF_A_BYTE) {
+    if len > MAX_UNCOMPRESSED_BYTES.min(packed.bytes.len() * MAX_COMPRESSION_RATIO) {
         return Err(D::Error::custom("uncompressed length of the list records is too large"));
     }
     let bytes = lz4_flex::block::decompress(&packed.bytes, len).map_err(D::Error::custom)?;
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -40,42 +40,42 @@
 
 /// Bounds of the interval between heartbeats: the fresher the loads of other nodes are, the
 /// better groups are chosen.
-const PULSE_LEAST: Millis = Millis(100);
-const PULSE_MOST: Millis = Millis(300);
+const MIN_HEARTBEAT_INTERVAL: Millis = Millis(100);
+const MAX_HEARTBEAT_INTERVAL: Millis = Millis(300);
 /// Heartbeat interval per known node, within these bounds: the number of heartbeats that a
 /// relay receives grows with the number of nodes.
-const PULSE_FOR_EACH: Millis = Millis(16);
+const HEARTBEAT_INTERVAL_PER_NODE: Millis = Millis(16);
 /// Least time between two heartbeats, however many changes there are.
-const PULSE_GAP: Millis = Millis(100);
+const MIN_HEARTBEAT_GAP: Millis = Millis(100);
 /// New list records are forwarded no more often than this, several changes in one batch.
-const NEWS_EVERY: Duration = Duration::from_millis(40);
+const NEWS_INTERVAL: Duration = Duration::from_millis(40);
 /// Datagrams of a long update that are sent at once, to up to eleven nodes: 150 KB, a third of
-/// what a link of 100 Mbit/s carries in [`NEWS_EVERY`].
-const PIECES_AT_ONCE: usize = 2;
+/// what a link of 100 Mbit/s carries in [`NEWS_INTERVAL`].
+const DATAGRAMS_PER_BATCH: usize = 2;
 /// Least time between two fetches of list records from a peer.
-const FETCH_EVERY: Duration = Duration::from_millis(200);
+const FETCH_MIN_INTERVAL: Duration = Duration::from_millis(200);
 /// Random delay before a fetch, so that nodes that miss the same records do not fetch at once.
-const FETCH_SPREAD: Millis = Millis(60);
+const FETCH_MAX_JITTER: Millis = Millis(60);
 /// Most recomputations of the peers' summed loads in one heartbeat interval, however many
 /// heartbeats arrive.
-const LOADS_SUMMED: u64 = 5;
+const LOAD_SUMS_PER_HEARTBEAT: u64 = 5;
 /// Most quarantine records in one heartbeat. Requests that only ran beside the one that ended an
 /// instance are sent once and then cleared, so the most important records go first.
-const MOST_REQUESTS: usize = 16;
+const MAX_QUARANTINE_ENTRIES: usize = 16;
 /// Size of the receive buffer, and so of the largest datagram, in bytes.
-const MOST_BYTES: usize = 8 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 /// Interval at which a node finds that no datagram is waiting, while none arrives. The next one
 /// looks older than it is by up to this, a fraction of the time for which keys are trusted.
-const LOOK_FOR_WAITING: Duration = Duration::from_millis(100);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Interval at which a node checks whether a peer has newer data.
-const CATCH_UP_EVERY: Duration = Duration::from_millis(300);
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// A newer configuration is fetched from a peer if the store has not delivered it by then.
-const STORE_FIRST: Millis = Millis(500);
+const STORE_HEAD_START: Millis = Millis(500);
 /// While an answer of the store is arriving, a peer is asked only after this time: an answer
 /// that is incomplete by then may never be completed.
-const STORE_MOST: Millis = Millis(1_500);
+const MAX_STORE_HEAD_START: Millis = Millis(1_500);
 /// Timeout of a fetch from a peer.
-const PEER_TIME: Duration = Duration::from_millis(600);
+const PEER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Opens the UDP socket for datagrams between nodes.
 ///
@@ -89,27 +89,29 @@
 /// Sends this node's heartbeats, and its digests if it is a relay, until the node ends.
 pub async fn send_heartbeats(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
-        let every = pulse_every(node.peers.lock().addresses().len());
-        let heartbeat = heartbeat(&node, every.0 as u16);
+        let interval = heartbeat_interval(node.peers.lock().addresses().len());
+        let heartbeat = own_heartbeat(&node, interval.0 as u16);
         let settings = node.settings();
         let draw = rand::rng().random();
-        let said = node.peers.lock().outgoing(&settings.own(), &heartbeat, node.now(), draw);
-        for outgoing in said {
+        let outgoing_messages =
+            node.peers.lock().outgoing(&settings.own(), &heartbeat, node.now(), draw);
+        for outgoing in outgoing_messages {
             send(&node, &socket, &outgoing.to, outgoing.message).await;
         }
-        let spoke = node.now();
+        let sent_at = node.now();
         tokio::select! {
-            () = tokio::time::sleep(every.to_duration()) => {}
+            () = tokio::time::sleep(interval.to_duration()) => {}
             () = node.heartbeat_wanted.notified() => {
-                let left = PULSE_GAP.since(node.now().since(spoke));
+                let left = MIN_HEARTBEAT_GAP.since(node.now().since(sent_at));
                 tokio::time::sleep(left.to_duration()).await;
             }
         }
     }
 }
 
-fn pulse_every(nodes: usize) -> Millis {
-    Millis(PULSE_FOR_EACH.0 * nodes as u64).clamp(PULSE_LEAST, PULSE_MOST)
+fn heartbeat_interval(nodes: usize) -> Millis {
+    Millis(HEARTBEAT_INTERVAL_PER_NODE.0 * nodes as u64)
+        .clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
 }
 
 /// Forwards new list records until the node ends, if there are nodes that rely on what others
@@ -118,28 +120,29 @@
     let mut from = None;
     loop {
         node.news_wanted.notified().await;
-        let (next, is_first) = {
+        let (next, has_read_itself) = {
             let mut list = node.list.lock();
-            (list.next, std::mem::take(&mut list.has_own_news))
+            (list.next, std::mem::take(&mut list.has_unsent_records))
         };
         if let Some(from) = from.filter(|_| node.has_followers()) {
-            let to = whom_to_tell(&node, is_first);
-            for (i, piece) in store_sync::news(&node, from).into_datagrams().into_iter().enumerate()
+            let to = list_news_recipients(&node, has_read_itself);
+            for (i, datagram) in
+                store_sync::news(&node, from).into_datagrams().into_iter().enumerate()
             {
-                if i % PIECES_AT_ONCE == 0 && i > 0 {
-                    tokio::time::sleep(NEWS_EVERY).await;
+                if i % DATAGRAMS_PER_BATCH == 0 && i > 0 {
+                    tokio::time::sleep(NEWS_INTERVAL).await;
                 }
-                send(&node, &socket, &to, Message::News(piece)).await;
+                send(&node, &socket, &to, Message::News(datagram)).await;
             }
         }
         from = next;
-        tokio::time::sleep(NEWS_EVERY).await;
+        tokio::time::sleep(NEWS_INTERVAL).await;
     }
 }
 
-fn whom_to_tell(node: &Node, is_first: bool) -> Vec<SocketAddr> {
+fn list_news_recipients(node: &Node, has_read_itself: bool) -> Vec<SocketAddr> {
     let settings = node.settings();
-    node.peers.lock().news_recipients(&settings.own(), is_first, node.now())
+    node.peers.lock().news_recipients(&settings.own(), has_read_itself, node.now())
 }
 
 /// Sends a message to all addresses at which there may be a node.
@@ -159,19 +162,19 @@
     }
 }
 
-fn heartbeat(node: &Node, next_ms: u16) -> Heartbeat {
+fn own_heartbeat(node: &Node, next_ms: u16) -> Heartbeat {
     let settings = node.settings();
     let config = node.config_age().map(|(version, age)| (version, age.0));
-    let (work, observed_fraction) = node.own_work();
+    let (work, observed_fraction) = node.local_workload();
     // Taken before the struct is built: no lock may be held while the other fields are computed.
-    let acts_by = node.lease.lock().acts_by();
+    let acts_by = node.lease.lock().active_fence();
     Heartbeat {
         callers: settings.listen.callers,
         data_centre: SmolStr::new(settings.node.data_centre.as_str()),
         class: settings.limits.class(),
         next_ms,
         is_ready: node.readiness().is_ok(),
-        has_traffic: node.has_own_traffic(),
+        has_traffic: node.has_local_traffic(),
         config,
         list: list_end(node),
         hears: Vec::new(),
@@ -182,26 +185,28 @@
         list_trouble_ms: node.list_failure_age_ms(),
         work: work.iter().map(|(model, work)| WireWorkload::new(model, *work)).collect(),
         seen_percent: (observed_fraction * 100.0) as u8,
-        loads: told_loads(node),
-        requests: told_requests(node),
-        limits: node.told_limits(),
-        leaving: node.told_leaving(),
+        loads: wire_loads(node),
+        requests: quarantine_entries(node),
+        limits: node.limits_to_report(),
+        leaving: node.leaving_to_report(),
     }
 }
 
-fn told_requests(node: &Node) -> Vec<WireQuarantineEntry> {
+fn quarantine_entries(node: &Node) -> Vec<WireQuarantineEntry> {
     let now = node.now();
-    let told = node.quarantine.lock().next_to_gossip(MOST_REQUESTS, now);
-    told.iter().map(|known| WireQuarantineEntry::new(known, now)).collect()
+    let records = node.quarantine.lock().next_to_gossip(MAX_QUARANTINE_ENTRIES, now);
+    records.iter().map(|record| WireQuarantineEntry::new(record, now)).collect()
 }
 
 /// The gaps are locked without any other lock: handling of heartbeats locks the list before
 /// them.
-fn told_loads(node: &Node) -> Vec<WireLoad> {
+fn wire_loads(node: &Node) -> Vec<WireLoad> {
     let loads = node.loads.own_loads();
     let gaps = node.gaps.lock();
-    let told = loads.iter();
-    told.map(|(id, load)| WireLoad::new(id, *load, gaps.mean_ms(id).unwrap_or_default())).collect()
+    let entries = loads.iter();
+    entries
+        .map(|(id, load)| WireLoad::new(id, *load, gaps.mean_ms(id).unwrap_or_default()))
+        .collect()
 }
 
 fn list_end(node: &Node) -> Option<(LogPosition, u64)> {
@@ -217,23 +222,23 @@
 /// from when no datagram was waiting; otherwise a revoked key would be trusted for longer by
 /// the length of the pause.
 pub async fn receive(node: Arc<Node>, socket: Arc<UdpSocket>) {
-    let mut buf = vec![0; MOST_BYTES];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     let mut none_waited = node.now();
     loop {
-        let looked = node.now();
+        let checked_at = node.now();
         match socket.try_recv_from(&mut buf) {
             Ok((len, from)) => {
                 let Ok(datagram) = postcard::from_bytes::<Datagram>(&buf[..len]) else { continue };
                 if datagram.version == VERSION
-                    && let Some(answer) = take(&node, from, datagram, none_waited)
+                    && let Some(reply) = handle_datagram(&node, from, datagram, none_waited)
                 {
-                    send(&node, &socket, &[from], answer).await;
+                    send(&node, &socket, &[from], reply).await;
                 }
             }
             Err(err) if err.kind() == io::ErrorKind::WouldBlock => {
-                none_waited = looked;
+                none_waited = checked_at;
                 // Without a datagram, check again after the timeout to advance `none_waited`.
-                let _ = tokio::time::timeout(LOOK_FOR_WAITING, socket.readable()).await;
+                let _ = tokio::time::timeout(RECEIVE_TIMEOUT, socket.readable()).await;
             }
             // The operating system reports here that a datagram sent earlier was refused.
             Err(_) => tokio::task::yield_now().await,
@@ -242,101 +247,106 @@
 }
 
 /// Handles a datagram that arrived after `since`. Returns the reply, if there is one.
-fn take(node: &Node, from: SocketAddr, datagram: Datagram, since: Millis) -> Option<Message> {
+fn handle_datagram(
+    node: &Node,
+    from: SocketAddr,
+    datagram: Datagram,
+    since: Millis,
+) -> Option<Message> {
     match datagram.message {
         Message::Heartbeat(heartbeat) => {
-            return take_pulse(node, from, datagram.from, *heartbeat, since);
+            return handle_heartbeat(node, from, datagram.from, *heartbeat, since);
         }
-        Message::Digest(digest) => take_digest(node, from, datagram.from, *digest, since),
+        Message::Digest(digest) => handle_digest(node, from, datagram.from, *digest, since),
         Message::News(news) => {
             if !store_sync::apply_list_news(node, &news, since) {
-                node.list_gap_seen.notify_one();
+                node.list_fetch_wanted.notify_one();
             }
         }
         Message::Verdict { instance, reach, ask } => {
-            take_verdict(node, from, &datagram.from, (instance, reach.into()), ask);
+            handle_verdict(node, from, &datagram.from, (instance, reach.into()), ask);
         }
     }
     None
 }
 
-fn take_pulse(
+fn handle_heartbeat(
     node: &Node,
     from: SocketAddr,
     name: SmolStr,
-    said: Heartbeat,
+    received: Heartbeat,
     since: Millis,
 ) -> Option<Message> {
     let now = node.now();
-    take_statement(node, &said, since);
-    hear_of_lease(node, said.acts_by);
-    take_gaps(node, &said.loads);
-    let seeks = said.seeks.then(|| said.data_centre.clone());
+    handle_shared_state(node, &received, since);
+    on_peer_fence(node, received.acts_by);
+    merge_event_gaps(node, &received.loads);
+    let seeks = received.seeks.then(|| received.data_centre.clone());
     let settings = node.settings();
     let own = settings.own();
-    let is_news = node.peers.lock().on_heartbeat(own.address, from, name, said, now);
-    pass_on(node, is_news);
-    sum_loads(node, true);
-    // The reply holds this node's own state as well: its heartbeat is built without holding the
-    // lock of the peers.
+    let is_urgent = node.peers.lock().on_heartbeat(own.address, from, name, received, now);
+    forward_urgent_change(node, is_urgent);
+    update_peer_loads(node, true);
+    // The totals in the reply include this node's own workload and loads. They come with its
+    // heartbeat, which is built before the peers are locked.
     let data_centre = seeks?;
-    let own_pulse = heartbeat(node, PULSE_MOST.0 as u16);
+    let own_heartbeat = own_heartbeat(node, MAX_HEARTBEAT_INTERVAL.0 as u16);
     let mut peers = node.peers.lock();
-    Some(peers.answer(&own, &own_pulse, &data_centre, now))
+    Some(peers.answer(&own, &own_heartbeat, &data_centre, now))
 }
 
-fn take_digest(node: &Node, from: SocketAddr, name: SmolStr, digest: Digest, since: Millis) {
-    take_statement(node, &digest.own, since);
-    take_gaps(node, &digest.loads);
+fn handle_digest(node: &Node, from: SocketAddr, name: SmolStr, digest: Digest, since: Millis) {
+    handle_shared_state(node, &digest.own, since);
+    merge_event_gaps(node, &digest.loads);
     let settings = node.settings();
     let own = settings.own();
     let of_others = digest.acts_by.iter().filter(|(address, _)| *address != own.address);
-    hear_of_lease(node, of_others.map(|(_, fence)| *fence).max());
-    let is_of_some = digest.scope == Scope::DataCentre;
-    let is_news = node.peers.lock().on_digest(&own, from, name, digest, node.now());
-    pass_on(node, is_news);
-    sum_loads(node, is_of_some);
+    on_peer_fence(node, of_others.map(|(_, fence)| *fence).max());
+    let is_partial = digest.scope == Scope::DataCentre;
+    let is_urgent = node.peers.lock().on_digest(&own, from, name, digest, node.now());
+    forward_urgent_change(node, is_urgent);
+    update_peer_loads(node, is_partial);
 }
 
 /// Handles the parts of a heartbeat that do not concern membership, from a datagram that arrived
 /// after `since`: era, configuration, list position, departures, rate limits and quarantine.
-fn take_statement(node: &Node, said: &Heartbeat, since: Millis) {
+fn handle_shared_state(node: &Node, received: &Heartbeat, since: Millis) {
     let now = node.now();
-    if let Some((era, age)) = said.past {
-        node.hear_of_past(era, now - Millis(age));
+    if let Some((era, age)) = received.past {
+        node.on_peer_era(era, now - Millis(age));
     }
-    if let Some((version, age)) = said.config
-        && node.confirm_config(version, since - Millis(age) - ON_THE_WAY)
+    if let Some((version, age)) = received.config
+        && node.confirm_config(version, since - Millis(age) - MAX_TRANSIT_TIME)
     {
-        node.catch_up_wanted.notify_one();
+        node.config_fetch_wanted.notify_one();
     }
-    if let Some((next, age)) = said.list {
-        confirm_list(node, next, since - Millis(age) - ON_THE_WAY);
+    if let Some((next, age)) = received.list {
+        confirm_list(node, next, since - Millis(age) - MAX_TRANSIT_TIME);
     }
-    node.hear_of_leaving(&said.leaving);
-    node.hear_of_limits(&said.limits, since - ON_THE_WAY);
-    if !said.requests.is_empty() {
-        let told: Vec<QuarantineRecord> =
-            said.requests.iter().map(|told| told.known(now)).collect();
-        node.hear_of_requests(&told);
+    node.on_reported_leaving(&received.leaving);
+    node.on_reported_limits(&received.limits, since - MAX_TRANSIT_TIME);
+    if !received.requests.is_empty() {
+        let records: Vec<QuarantineRecord> =
+            received.requests.iter().map(|entry| entry.known(now)).collect();
+        node.merge_quarantine_records(&records);
     }
 }
 
 /// Makes a relay send its digests at once if they contain a change that other nodes wait for.
-fn pass_on(node: &Node, is_news: bool) {
+fn forward_urgent_change(node: &Node, is_urgent: bool) {
     let settings = node.settings();
-    if is_news && node.peers.lock().is_relay(&settings.own(), node.now()) {
+    if is_urgent && node.peers.lock().is_relay(&settings.own(), node.now()) {
         node.heartbeat_wanted.notify_one();
     }
 }
 
 /// Recomputes the sum of the peers' loads; if the datagram is one of many that the sum is made
-/// of (`is_of_many`), no more often than [`LOADS_SUMMED`] times per heartbeat interval.
-fn sum_loads(node: &Node, is_of_many: bool) {
+/// of (`is_partial`), no more often than [`LOAD_SUMS_PER_HEARTBEAT`] times per heartbeat interval.
+fn update_peer_loads(node: &Node, is_partial: bool) {
     let now = node.now();
     let peers = node.peers.lock();
-    let every = Millis(pulse_every(peers.addresses().len()).0 / LOADS_SUMMED);
-    if !is_of_many || node.loads.are_peer_loads_stale(now, every) {
+    let min_age = Millis(heartbeat_interval(peers.addresses().len()).0 / LOAD_SUMS_PER_HEARTBEAT);
+    if !is_partial || node.loads.are_peer_loads_stale(now, min_age) {
         let others = peers.loads(now);
         drop(peers);
         node.loads.set_peer_loads(others, now);
@@ -345,31 +355,31 @@
 
 /// Notes a peer's fencing token. If it is higher than this node's, the partitions of the lease
 /// have been redistributed, and this node renews its lease at once.
-fn hear_of_lease(node: &Node, acts_by: Option<Fence>) {
+fn on_peer_fence(node: &Node, acts_by: Option<Fence>) {
     let mut lease = node.lease.lock();
-    lease.heard = lease.heard.max(acts_by.unwrap_or_default());
-    if lease.heard > lease.fence && lease.acts_by().is_some() {
-        node.lease_wanted.notify_one();
+    lease.highest_peer_fence = lease.highest_peer_fence.max(acts_by.unwrap_or_default());
+    if lease.highest_peer_fence > lease.fence && lease.active_fence().is_some() {
+        node.lease_renewal_wanted.notify_one();
     }
 }
 
 /// Longest time for which a datagram may have been in transit, added to the ages in it.
-const ON_THE_WAY: Millis = Millis(200);
+const MAX_TRANSIT_TIME: Millis = Millis(200);
 
-fn take_gaps(node: &Node, loads: &[WireLoad]) {
+fn merge_event_gaps(node: &Node, loads: &[WireLoad]) {
     if loads.is_empty() {
         return;
     }
     let list = node.list.lock();
     let mut gaps = node.gaps.lock();
-    for told in loads {
-        if let (Some(id), Some(gap)) = (list.by_instance_hash.get(&told.instance), told.gap_ms()) {
+    for load in loads {
+        if let (Some(id), Some(gap)) = (list.by_instance_hash.get(&load.instance), load.gap_ms()) {
             gaps.on_peer(id, gap);
         }
     }
 }
 
-fn take_verdict(
+fn handle_verdict(
     node: &Node,
     from: SocketAddr,
     peer: &str,
@@ -390,14 +400,14 @@
         }
     }
     let task = match ask {
-        Ask::Witnesses if is_witness => Some(ProbeTask::AnswerOthers),
-        Ask::All => Some(ProbeTask::AnswerOne(from)),
+        Ask::Witnesses if is_witness => Some(ProbeTask::ForAll),
+        Ask::All => Some(ProbeTask::ReplyTo(from)),
         Ask::Nobody | Ask::Witnesses => None,
     };
     if let Some(task) = task.filter(|_| node.is_probe_due(id)) {
         node.probe(id, &instance.address, task);
     }
-    node.suspicions_changed();
+    node.notify_suspicions_changed();
 }
 
 /// Fetches from peers what the store does not deliver in time, until the node ends.
@@ -411,8 +421,8 @@
     let mut received_at = Millis::ZERO;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(CATCH_UP_EVERY) => {}
-            () = node.catch_up_wanted.notified() => {}
+            () = tokio::time::sleep(PEER_CHECK_INTERVAL) => {}
+            () = node.config_fetch_wanted.notified() => {}
         }
         let newer = peer_with_newer_config(&node);
         let now = node.now();
@@ -424,8 +434,9 @@
         let waited = newer_since.map_or(Millis::ZERO, |since| now.since(since));
         // Data that is already arriving from the store would load this node's link and a
         // peer's a second time: without this check 28 of 61 nodes received 820 KB twice.
-        let is_coming = now.since(received_at) < STORE_FIRST && waited < STORE_MOST;
-        let has_waited = waited >= STORE_FIRST && !is_coming;
+        let is_arriving =
+            now.since(received_at) < STORE_HEAD_START && waited < MAX_STORE_HEAD_START;
+        let has_waited = waited >= STORE_HEAD_START && !is_arriving;
         if let Some(peer) = newer.filter(|_| has_waited) {
             fetch_config(&node, peer).await;
         }
@@ -436,24 +447,24 @@
 async fn catch_up_list(node: Arc<Node>) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(CATCH_UP_EVERY) => {}
-            () = node.list_gap_seen.notified() => {}
+            () = tokio::time::sleep(PEER_CHECK_INTERVAL) => {}
+            () = node.list_fetch_wanted.notified() => {}
         }
-        look_for_gap(&node);
+        check_for_list_gap(&node);
         let Some(left) = node.list.lock().gap.time_until_fetch(node.now()) else { continue };
-        let spread = Millis(rand::random_range(0..=FETCH_SPREAD.0));
+        let spread = Millis(rand::random_range(0..=FETCH_MAX_JITTER.0));
         tokio::time::sleep((left + spread).to_duration()).await;
         let is_missing = node.list.lock().gap.time_until_fetch(node.now()).is_some();
         if let Some(peer) = fetch_source(&node).filter(|_| is_missing) {
             fetch_list(&node, peer).await;
-            tokio::time::sleep(FETCH_EVERY).await;
+            tokio::time::sleep(FETCH_MIN_INTERVAL).await;
         }
     }
 }
 
 /// Compares the end of this node's list with the ends that all peers that are heard reported
 /// last, in case no new datagram reports them.
-fn look_for_gap(node: &Node) {
+fn check_for_list_gap(node: &Node) {
     let now = node.now();
     let peers = node.peers.lock();
     let ends = peers.heard(now).filter_map(|(_, peer)| peer.heartbeat.list);
@@ -497,7 +508,7 @@
     }
     let own = list.next;
     if list.gap.on_peer_list_end(own, next, now) {
-        node.list_gap_seen.notify_one();
+        node.list_fetch_wanted.notify_one();
     }
 }
 
@@ -527,13 +538,13 @@
 async fn fetch(peer: SocketAddr, path: &str) -> Option<Bytes> {
     let address = peer.to_string();
     let fetched = async {
-        let connected = client::connect(&address, PEER_TIME).await.ok()?;
+        let connected = client::connect(&address, PEER_TIMEOUT).await.ok()?;
         let req = client::request::<()>(&address, Method::GET, path, None);
-        let (res, _driver) = connected.send(req, PEER_TIME).await.ok()?;
+        let (res, _driver) = connected.send(req, PEER_TIMEOUT).await.ok()?;
         if res.status() != StatusCode::OK {
             return None;
         }
         res.into_body().collect().await.ok().map(http_body_util::Collected::to_bytes)
     };
-    tokio::time::timeout(PEER_TIME, fetched).await.ok().flatten()
+    tokio::time::timeout(PEER_TIMEOUT, fetched).await.ok().flatten()
 }
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -19,24 +19,24 @@
 /// Name of the lease's group and topic in the store.
 const GROUP: &str = "stewards";
 /// Interval at which the lease is renewed.
-const RENEW_EVERY: Duration = Duration::from_millis(450);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(450);
 /// The same for a node that holds no partition, as there are more nodes than partitions; still
 /// shorter than the lease's duration.
-const RENEW_EVERY_IDLE: Duration = Duration::from_millis(1_000);
+const RENEWAL_INTERVAL_IDLE: Duration = Duration::from_millis(1_000);
 /// Least time between two renewals, whatever fencing tokens peers announce.
-const RENEW_LEAST: Duration = Duration::from_millis(60);
+const MIN_RENEWAL_GAP: Duration = Duration::from_millis(60);
 /// Interval at which a starting node checks whether it knows its peers.
-const SETTLE_LOOK: Duration = Duration::from_millis(100);
+const SETTLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Age by which a starting node takes the lease even if it does not know its peers: there may
 /// be none.
-const SETTLES_WITHIN: Millis = Millis(2_000);
+const MAX_SETTLE_TIME: Millis = Millis(2_000);
 /// Timeout of a call to the store.
-const ANSWER_TIME: Millis = Millis(700);
+const STORE_TIMEOUT: Millis = Millis(700);
 /// Interval at which a node asks the store for other nodes. A new node asks at its start, and its
 /// heartbeats make it known to the others; this is for nodes that were cut off for long.
-const OWNERS_EVERY: Duration = Duration::from_millis(20_000);
+const DISCOVERY_INTERVAL: Duration = Duration::from_millis(20_000);
 /// The same until it has heard a peer.
-const OWNERS_EVERY_AT_FIRST: Duration = Duration::from_millis(500);
+const DISCOVERY_INTERVAL_ALONE: Duration = Duration::from_millis(500);
 
 /// The member name of this process in the lease's group: the address of its control port, and a
 /// random number, since without it a restarted node would continue its predecessor's lease.
@@ -48,17 +48,17 @@
 pub async fn hold_lease(node: Arc<Node>) {
     let member = member(&node);
     let ttl = node.settings().lease_ttl();
-    settle(&node).await;
+    wait_for_peers(&node).await;
     while !node.is_leaving() {
         let sent = node.now();
         if let Ok((joined, fence)) = join(&node, &member, ttl, sent).await {
             take(&node, fence, &joined.parts, sent);
         }
-        rest(&node).await;
+        wait_for_renewal(&node).await;
     }
     node.lease.lock().parts.clear();
     // If this call fails, the lease expires by itself.
-    let _ = node.store.leave(GROUP, &member, ANSWER_TIME).await;
+    let _ = node.store.leave(GROUP, &member, STORE_TIMEOUT).await;
 }
 
 /// Joins the group or renews the membership. A generation of an earlier era is not passed on,
@@ -69,10 +69,11 @@
     ttl: Millis,
     sent: Millis,
 ) -> Result<(Joined, Fence), StoreError> {
-    let heard = node.lease.lock().fence;
-    let generation = if heard.era == node.store_monitor.era() { heard.generation } else { 0 };
+    let last_fence = node.lease.lock().fence;
+    let generation =
+        if last_fence.era == node.store_monitor.era() { last_fence.generation } else { 0 };
     node.metrics.count(Metric::LeaseCalls);
-    let answer = node.store.join(GROUP, member, ttl, generation, ANSWER_TIME).await?;
+    let answer = node.store.join(GROUP, member, ttl, generation, STORE_TIMEOUT).await?;
     let era = answer.era;
     let joined = node.take_answer(answer, sent)?;
     let fence = Fence { era, generation: joined.generation };
@@ -81,57 +82,57 @@
 
 /// Waits at the node's start until it knows its peers: each of hundreds of nodes that join at
 /// once would cause a redistribution of all partitions.
-async fn settle(node: &Node) {
-    while !node.is_leaving() && !node.is_settled() && node.age() < SETTLES_WITHIN {
-        tokio::time::sleep(SETTLE_LOOK).await;
+async fn wait_for_peers(node: &Node) {
+    while !node.is_leaving() && !node.is_settled() && node.age() < MAX_SETTLE_TIME {
+        tokio::time::sleep(SETTLE_CHECK_INTERVAL).await;
     }
 }
 
 /// Waits before the next renewal: a short time if a peer has announced a higher fencing token.
-async fn rest(node: &Node) {
+async fn wait_for_renewal(node: &Node) {
     let has_parts = !node.lease.lock().parts.is_empty();
-    let every = if has_parts { RENEW_EVERY } else { RENEW_EVERY_IDLE };
-    tokio::time::sleep(RENEW_LEAST).await;
+    let interval = if has_parts { RENEWAL_INTERVAL } else { RENEWAL_INTERVAL_IDLE };
+    tokio::time::sleep(MIN_RENEWAL_GAP).await;
     tokio::select! {
-        () = tokio::time::sleep(every - RENEW_LEAST) => {}
-        () = node.lease_wanted.notified() => {}
+        () = tokio::time::sleep(interval - MIN_RENEWAL_GAP) => {}
+        () = node.lease_renewal_wanted.notified() => {}
     }
 }
 
 /// Applies the answer to a renewal sent at `sent`: the fencing token and the partitions held.
 pub fn take(node: &Node, fence: Fence, parts: &[u64], sent: Millis) {
     let now = node.now();
-    let true_from = node.store_monitor.trusted_from();
+    let trusted_from = node.store_monitor.trusted_from();
     let mut lease = node.lease.lock();
     let held = std::mem::take(&mut lease.parts);
     // If the era has changed or the lease had expired, another node may have held the partition
     // meanwhile, also if the answer that told so was lost.
-    let lasted = sent.since(lease.renewed_at) < node.settings().lease_ttl();
-    let is_held_on = lease.fence.era == fence.era && lasted;
-    let anew = PartitionLease::new(fence, now).with_earliest_order_at(true_from);
+    let has_not_expired = sent.since(lease.renewed_at) < node.settings().lease_ttl();
+    let is_continued = lease.fence.era == fence.era && has_not_expired;
+    let new_lease = PartitionLease::new(fence, now).with_earliest_order_at(trusted_from);
     let partition_lease =
-        |part: &u64| held.get(part).copied().filter(|_| is_held_on).unwrap_or(anew);
+        |part: &u64| held.get(part).copied().filter(|_| is_continued).unwrap_or(new_lease);
     let parts: BTreeMap<u64, PartitionLease> =
         parts.iter().map(|part| (*part, partition_lease(part))).collect();
-    let is_news = parts.keys().ne(held.keys());
-    let is_later = lease.fence != fence;
+    let has_new_parts = parts.keys().ne(held.keys());
+    let has_new_fence = lease.fence != fence;
     lease.parts = parts;
     lease.fence = fence;
     lease.renewed_at = sent;
-    if lease.outranked.is_some_and(|outranked| fence > outranked) {
-        lease.outranked = None;
+    if lease.refused_fence.is_some_and(|refused_fence| fence > refused_fence) {
+        lease.refused_fence = None;
     }
     let list: Vec<String> = lease.parts.keys().map(u64::to_string).collect();
     drop(lease);
-    if is_later {
+    if has_new_fence {
         // The new holder of a partition waits until all other holders have noticed.
         node.heartbeat_wanted.notify_one();
     }
-    if is_news {
+    if has_new_parts {
         let (era, generation) = (fence.era.to_string(), fence.generation.to_string());
         let fields = [("era", &*era), ("generation", &*generation), ("parts", &*list.join(","))];
         emit(Event::LeaseTaken, &fields);
-        node.steward_wanted.notify_one();
+        node.planning_wanted.notify_one();
     }
 }
 
@@ -141,14 +142,14 @@
     loop {
         let sent = node.now();
         node.metrics.count(Metric::LeaseCalls);
-        let answer = node.store.owners(GROUP, ANSWER_TIME).await;
+        let answer = node.store.owners(GROUP, STORE_TIMEOUT).await;
         if let Ok(owners) = answer.and_then(|answer| node.take_answer(answer, sent)) {
             let addresses = owners.iter().filter_map(|owner| address_of(&owner.member));
             let others: Vec<SocketAddr> = addresses.filter(|address| *address != own).collect();
             node.peers.lock().on_listed(&others, sent);
         }
         let is_alone = node.peers.lock().heard(node.now()).next().is_none();
-        let pause = if is_alone { OWNERS_EVERY_AT_FIRST } else { OWNERS_EVERY };
+        let pause = if is_alone { DISCOVERY_INTERVAL_ALONE } else { DISCOVERY_INTERVAL };
         tokio::time::sleep(pause).await;
     }
 }
--- a/crates/workshold-gateway/src/tasks/long_poll.rs
+++ b/crates/workshold-gateway/src/tasks/long_poll.rs
@@ -20,10 +20,10 @@
 use crate::node::Node;
 
 /// Time for the answer itself, beyond the time for which the store holds a long poll.
-const ANSWER_TIME: Millis = Millis(1_200);
+const STORE_TIMEOUT: Millis = Millis(1_200);
 /// The store counts as unavailable after this time without an answer, for the event of its
 /// return: long polls are answered more often than that.
-const STORE_LOST_AFTER: Millis = Millis(3_000);
+const STORE_UNAVAILABLE_AFTER: Millis = Millis(3_000);
 
 /// A topic of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -67,7 +67,7 @@
     }
 
     /// Notes that the store failed at `at`: missing entries then do not prove an instance gone.
-    fn note_trouble(self, node: &Node, at: Millis) {
+    fn note_store_failure(self, node: &Node, at: Millis) {
         if self == Self::List {
             node.list.lock().trust.on_store_failure(at);
         }
@@ -76,7 +76,7 @@
 
 /// The answer to a poll.
 #[derive(Debug)]
-pub struct Reading {
+pub struct PollAnswer {
     /// The records.
     pub records: Records,
     /// The position from which they were requested; `None` if all were.
@@ -89,16 +89,16 @@
 #[derive(Debug)]
 pub enum PollOutcome {
     /// The store answered.
-    Read(Reading),
+    Read(PollAnswer),
     /// The store no longer keeps the position that was asked for.
     Gone,
     /// Other nodes read for this one by now.
-    NotNeeded,
+    ReadByPeers,
 }
 
 /// A poll that has been sent, the `number`th of its round.
 #[derive(Debug, Clone, Copy)]
-struct Question {
+struct Poll {
     number: u32,
     from: Option<LogPosition>,
     sent: Millis,
@@ -117,33 +117,33 @@
     // A request for all records is answered at once.
     let wait = if from().is_some() { rules.wait } else { Millis::ZERO };
     let mut round = PollRound::new(LongPollRules { wait, ..rules }, node.now());
-    let mut open = FuturesUnordered::new();
+    let mut pending = FuturesUnordered::new();
     let mut received = store.received();
     loop {
         let now = node.now();
         if round.next_poll_at() <= now {
-            let is_coming = !open.is_empty() && store.received() > received;
+            let is_arriving = !pending.is_empty() && store.received() > received;
             received = store.received();
-            if is_coming {
+            if is_arriving {
                 round.on_partial_answer(now);
                 continue;
             }
             if round.asked() > 0 && !is_needed() {
-                return PollOutcome::NotNeeded;
+                return PollOutcome::ReadByPeers;
             }
             if round.is_first_poll_late() {
                 emit(Event::ReadingLate, &[("reading", topic.text())]);
             }
             let wait = round.on_poll_sent(now, rand::random());
-            let question = Question { number: round.asked(), from: from(), sent: now };
+            let poll = Poll { number: round.asked(), from: from(), sent: now };
             node.metrics.count(topic.metric());
-            open.push(ask(store, topic, question, wait));
+            pending.push(send_poll(store, topic, poll, wait));
         }
         let left = round.next_poll_at().since(node.now());
         tokio::select! {
-            Some((question, answer)) = open.next() => {
-                if let Some(asked) = take_answer(node, topic, &mut round, question, answer) {
-                    return asked;
+            Some((poll, answer)) = pending.next() => {
+                if let Some(outcome) = handle_answer(node, topic, &mut round, poll, answer) {
+                    return outcome;
                 }
             }
             () = tokio::time::sleep(left.to_duration()) => {}
@@ -152,26 +152,26 @@
 }
 
 /// Turns an answer or a failure into the outcome; `None` if another poll is needed.
-fn take_answer(
+fn handle_answer(
     node: &Node,
     topic: Topic,
     round: &mut PollRound,
-    question: Question,
+    poll: Poll,
     answer: Result<Answer<Records>, StoreError>,
 ) -> Option<PollOutcome> {
-    let Question { number, from, sent } = question;
-    match answer.and_then(|answer| take(node, answer, sent)) {
+    let Poll { number, from, sent } = poll;
+    match answer.and_then(|answer| accept(node, answer, sent)) {
         Ok(records) => {
             if round.may_follow_outage(number) {
-                topic.note_trouble(node, sent);
+                topic.note_store_failure(node, sent);
             }
-            Some(PollOutcome::Read(Reading { records, from, sent }))
+            Some(PollOutcome::Read(PollAnswer { records, from, sent }))
         }
         Err(StoreError::Gone { .. }) => Some(PollOutcome::Gone),
         Err(err) => {
             let now = node.now();
-            note_failure(node, topic, sent, &err);
-            topic.note_trouble(node, now);
+            log_failure(node, topic, sent, &err);
+            topic.note_store_failure(node, now);
             match err {
                 StoreError::Call(CallError::TimedOut { .. }) => round.on_timeout(),
                 _ => round.on_refusal(now),
@@ -181,40 +181,41 @@
     }
 }
 
-async fn ask(
+async fn send_poll(
     store: &Store,
     topic: Topic,
-    question: Question,
+    poll: Poll,
     wait: Millis,
-) -> (Question, Result<Answer<Records>, StoreError>) {
-    let answer = match question.from {
-        Some(from) => store.read(topic.name(), from.offset, wait, ANSWER_TIME).await,
-        None => store.newest(topic.name(), ANSWER_TIME).await,
+) -> (Poll, Result<Answer<Records>, StoreError>) {
+    let answer = match poll.from {
+        Some(from) => store.read(topic.name(), from.offset, wait, STORE_TIMEOUT).await,
+        None => store.newest(topic.name(), STORE_TIMEOUT).await,
     };
-    (question, answer)
+    (poll, answer)
 }
 
 /// The content of an answer, unless it belongs to an era of the store that is over.
-fn take<T>(node: &Node, answer: Answer<T>, sent: Millis) -> Result<T, StoreError> {
-    let was_lost = node.store_silent_for() > STORE_LOST_AFTER && node.config_age().is_some();
-    let said = node.take_answer(answer, sent)?;
-    if was_lost {
+fn accept<T>(node: &Node, answer: Answer<T>, sent: Millis) -> Result<T, StoreError> {
+    let was_unavailable =
+        node.store_silent_for() > STORE_UNAVAILABLE_AFTER && node.config_age().is_some();
+    let content = node.take_answer(answer, sent)?;
+    if was_unavailable {
         emit(Event::StoreBack, &[]);
     }
-    Ok(said)
+    Ok(content)
 }
 
 /// Logs that a poll sent at `sent` has failed. Whether the store has answered another request
 /// that was sent later distinguishes a lost poll from an unavailable store.
-fn note_failure(node: &Node, topic: Topic, sent: Millis, err: &StoreError) {
+fn log_failure(node: &Node, topic: Topic, sent: Millis, err: &StoreError) {
     let age = node.store_silent_for();
     let asked = node.now().since(sent);
-    let others = if age < asked { "answered" } else { "not answered" };
+    let later_polls = if age < asked { "answered" } else { "not answered" };
     let fields = [
         ("why", &*err.to_string()),
         ("reading", topic.text()),
         ("asked", &*asked.to_string()),
-        ("later_questions", others),
+        ("later_questions", later_polls),
         ("silent_for", &*age.to_string()),
     ];
     emit(Event::StoreLost, &fields);
--- a/crates/workshold-gateway/src/tasks/probing.rs
+++ b/crates/workshold-gateway/src/tasks/probing.rs
@@ -27,42 +27,43 @@
 
 /// Time within which an instance has to accept a connection: several round trips between data
 /// centres, and the time to set up the connection.
-pub const REACH_TIME: Millis = Millis(30);
+pub const PROBE_TIMEOUT: Millis = Millis(30);
 /// If a probe took longer than its timeout by this much, this process itself was stalled and the
 /// probe is void.
-const OWN_DELAY: Millis = Millis(25);
+const STALL_TOLERANCE: Millis = Millis(25);
 /// Number of peers that are probed along with an instance that seems silent: a single one may
 /// itself be gone.
-const OTHERS_TRIED: usize = 2;
+const CONTROL_PROBES: usize = 2;
 /// Interval at which suspected instances are probed again.
-const AGAIN_EVERY: Duration = Duration::from_millis(1_500);
+const REPROBE_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// Delay after which peers are asked a second time, since a datagram may be lost. It is so short
 /// that a peer that received the first one does not probe again, and that all answers arrive
 /// before anything is done about the instance.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+const SECOND_REQUEST_DELAY: Duration = Duration::from_millis(100);
 
 /// Probes an address once, by opening a connection; `None` if the probe is void.
-pub async fn reach(node: &Node, address: &str) -> Option<ProbeResult> {
+pub async fn probe_once(node: &Node, address: &str) -> Option<ProbeResult> {
     let began = node.now();
     node.metrics.count(Metric::Looks);
-    let tried = tokio::time::timeout(REACH_TIME.to_duration(), TcpStream::connect(address)).await;
+    let connected =
+        tokio::time::timeout(PROBE_TIMEOUT.to_duration(), TcpStream::connect(address)).await;
     let took = node.now().since(began);
-    let seen = match tried {
+    let result = match connected {
         Ok(Ok(_)) => Some(ProbeResult::Answers),
         Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => {
             Some(ProbeResult::Refused)
         }
         Ok(Err(_)) => Some(ProbeResult::Silent),
-        Err(_) if took > REACH_TIME + OWN_DELAY => None,
+        Err(_) if took > PROBE_TIMEOUT + STALL_TOLERANCE => None,
         Err(_) => Some(ProbeResult::Silent),
     };
-    match seen {
+    match result {
         None => node.metrics.count(Metric::LooksVoid),
         Some(ProbeResult::Silent) => node.metrics.count(Metric::LooksSilent),
         Some(_) => {}
     }
-    seen
+    result
 }
 
 /// Probes an instance, and a second time before it reports silence, since one packet may be lost.
@@ -71,12 +72,12 @@
 /// slow link for a tenth of a second, at all nodes at once. By the logs of 61 nodes during a day
 /// of planned maintenance, 790 of 1,156 suspicions were wrong without this check and 19 of 202
 /// with it.
-async fn try_twice(node: &Node, id: &Identity, address: &str) -> Option<ProbeResult> {
-    let first = reach(node, address).await;
+async fn probe_twice(node: &Node, id: &Identity, address: &str) -> Option<ProbeResult> {
+    let first = probe_once(node, address).await;
     if first == Some(ProbeResult::Answers) {
         return first;
     }
-    let (again, others) = tokio::join!(reach(node, address), try_others(node, id));
+    let (again, others) = tokio::join!(probe_once(node, address), probe_others(node, id));
     let conclusive = suspicion::conclusive(again, others);
     if conclusive.is_none() && again.is_some() {
         node.metrics.count(Metric::LooksVoid);
@@ -85,37 +86,37 @@
 }
 
 /// Probes addresses other than that of `id`.
-async fn try_others(node: &Node, id: &Identity) -> OtherProbes {
-    let addresses = others(node, id);
+async fn probe_others(node: &Node, id: &Identity) -> OtherProbes {
+    let addresses = control_addresses(node, id);
     if addresses.is_empty() {
         return OtherProbes::Nobody;
     }
-    let retry_policy = addresses.iter().map(|address| Box::pin(is_there(address)));
-    let answer = select_ok(retry_policy).await;
+    let probes = addresses.iter().map(|address| Box::pin(answers(address)));
+    let answer = select_ok(probes).await;
     if answer.is_ok() { OtherProbes::Answer } else { OtherProbes::Silent }
 }
 
 /// Addresses to probe along with an instance: those of peers, and of one instance that is not
 /// suspected, since peers may be lost together with the instance.
-fn others(node: &Node, id: &Identity) -> Vec<SmolStr> {
+fn control_addresses(node: &Node, id: &Identity) -> Vec<SmolStr> {
     let draw: u64 = rand::rng().random();
     let heard = node.peers.lock().sample(draw, node.now());
-    let peers = node.peers.lock().callers_of(&heard);
-    let peers = peers.iter().take(OTHERS_TRIED).map(|peer| SmolStr::new(peer.to_string()));
+    let peers = node.peers.lock().caller_addresses(&heard);
+    let peers = peers.iter().take(CONTROL_PROBES).map(|peer| SmolStr::new(peer.to_string()));
     let list = node.list.lock();
     let suspicions = node.suspicions.lock();
-    let is_well = |entry: &&Entry| {
+    let is_unsuspected = |entry: &&Entry| {
         let other = &entry.instance.identity;
         other != id && entry.unlisted_since.is_none() && suspicions.since(other).is_none()
     };
-    let well: Vec<&Entry> = list.roster.iter().filter(is_well).collect();
-    let drawn = well.get(draw as usize % well.len().max(1));
+    let unsuspected: Vec<&Entry> = list.roster.iter().filter(is_unsuspected).collect();
+    let drawn = unsuspected.get(draw as usize % unsuspected.len().max(1));
     peers.chain(drawn.map(|entry| entry.instance.address.clone())).collect()
 }
 
 /// Succeeds if the address answers in time, be it by a refusal.
-async fn is_there(address: &str) -> Result<(), ()> {
-    match tokio::time::timeout(REACH_TIME.to_duration(), TcpStream::connect(address)).await {
+async fn answers(address: &str) -> Result<(), ()> {
+    match tokio::time::timeout(PROBE_TIMEOUT.to_duration(), TcpStream::connect(address)).await {
         Ok(Ok(_)) => Ok(()),
         Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => Ok(()),
         _ => Err(()),
@@ -124,11 +125,11 @@
 
 /// Probes an instance, and tells peers if the result has changed; `None` if the probe is void.
 pub async fn probe_instance(node: &Node, id: &Identity, address: &SmolStr) -> Option<ProbeResult> {
-    let seen = try_twice(node, id, address).await;
-    if let Some(seen) = seen {
-        node.on_probe_result(id, address, seen);
+    let result = probe_twice(node, id, address).await;
+    if let Some(result) = result {
+        node.on_probe_result(id, address, result);
     }
-    seen
+    result
 }
 
 /// Works through the queue of probe tasks until the node ends.
@@ -143,16 +144,16 @@
                     probe_instance(&node, &probe.id, &probe.address).await;
                     return;
                 }
-                ProbeTask::AnswerOthers => {
-                    let Some(reach) = try_twice(&node, &probe.id, &probe.address).await else {
+                ProbeTask::ForAll => {
+                    let Some(reach) = probe_twice(&node, &probe.id, &probe.address).await else {
                         return;
                     };
                     node.record_probe_result(&probe.id, reach);
                     (reach, Ask::Nobody)
                 }
-                ProbeTask::AnswerOne(asker) => {
-                    let seen = try_twice(&node, &probe.id, &probe.address).await;
-                    if seen == Some(ProbeResult::Answers) {
+                ProbeTask::ReplyTo(asker) => {
+                    let result = probe_twice(&node, &probe.id, &probe.address).await;
+                    if result == Some(ProbeResult::Answers) {
                         let message = verdict(&probe.id, ProbeResult::Answers, Ask::Nobody);
                         gossip::send(&node, &socket, &[asker], message).await;
                     }
@@ -165,7 +166,7 @@
             if ask == Ask::Nobody {
                 return;
             }
-            tokio::time::sleep(ASK_AGAIN).await;
+            tokio::time::sleep(SECOND_REQUEST_DELAY).await;
             if node.suspicions.lock().is_unreachable_from_here(&probe.id) {
                 gossip::broadcast(&node, &socket, message).await;
             }
@@ -180,18 +181,18 @@
 /// Probes suspected instances again at an interval, until the node ends.
 pub async fn retry_probes(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(AGAIN_EVERY).await;
-        let doubted: Vec<Identity> = node.suspicions.lock().iter().cloned().collect();
+        tokio::time::sleep(REPROBE_INTERVAL).await;
+        let suspects: Vec<Identity> = node.suspicions.lock().iter().cloned().collect();
         let is_unreachable_from_here =
             |id: &Identity| node.suspicions.lock().is_unreachable_from_here(id);
         for id in
-            doubted.into_iter().filter(|id| is_unreachable_from_here(id) || node.is_witness(id))
+            suspects.into_iter().filter(|id| is_unreachable_from_here(id) || node.is_witness(id))
         {
             let entry = node.list.lock().roster.incarnation(&id).cloned();
             let Some(entry) = entry.filter(|entry| entry.unlisted_since.is_none()) else {
                 continue;
             };
-            if let Some(reach) = reach(&node, &entry.instance.address).await {
+            if let Some(reach) = probe_once(&node, &entry.instance.address).await {
                 node.on_probe_result(&id, &entry.instance.address, reach);
             }
         }
--- a/crates/workshold-gateway/src/tasks/stewarding/look.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/planning_round.rs
@@ -38,28 +38,28 @@
 
 use crate::events::Event;
 use crate::events::emit;
-use crate::node::Lease;
 use crate::node::ObservedDemand;
+use crate::node::StewardLease;
 
 /// Fraction of the demand that has to be observed before groups are closed because of it.
-const SEEN_ENOUGH: f64 = 0.6;
+const MIN_OBSERVED_FRACTION: f64 = 0.6;
 /// Relative uncertainty of the demand, which is observed for some seconds only.
-const WORK_UNSURE: f64 = 0.15;
+const DEMAND_UNCERTAINTY: f64 = 0.15;
 /// Typical time that a closing group takes to finish its requests.
-const DRAINS: Millis = Millis(2_000);
+const TYPICAL_DRAIN_TIME: Millis = Millis(2_000);
 /// Interval at which the state of a domain is logged.
-const TELL_EVERY: Millis = Millis(2_000);
+const LOG_INTERVAL: Millis = Millis(2_000);
 
 /// When the state of each domain was last logged.
-pub type Told = Mutex<BTreeMap<FabricDomain, Millis>>;
+pub type LogTimes = Mutex<BTreeMap<FabricDomain, Millis>>;
 
 /// The partition of the lease that a domain belongs to.
-fn part_of(domain: &FabricDomain, parts: u64) -> u64 {
+fn partition_of(domain: &FabricDomain, parts: u64) -> u64 {
     xxh3_64(domain.as_str().as_bytes()) % parts.max(1)
 }
 
 /// The input of a planning round that all domains share.
-pub struct Look<'a> {
+pub struct PlanningRound<'a> {
     /// The instance list.
     pub roster: &'a Roster,
     /// Whether an entry that is missing there shows that its instance is gone.
@@ -71,7 +71,7 @@
     /// Whether all nodes were asked to probe the instance at this address and had time to answer.
     pub all_peers_asked: &'a dyn Fn(&Identity, &SmolStr) -> bool,
     /// When domains were last logged.
-    pub told: &'a Told,
+    pub log_times: &'a LogTimes,
     /// Whether the fleet is starting for the first time and no request has arrived yet.
     pub before_traffic: bool,
     /// Number of partitions of the lease.
@@ -79,7 +79,7 @@
     /// Counter of the group epochs that this process has issued.
     pub issued: &'a Arc<AtomicU64>,
     /// This node's part of the lease.
-    pub lease: &'a Lease,
+    pub lease: &'a StewardLease,
     /// When the request for the list's newest state was sent.
     pub list_read_at: Millis,
     /// The fencing token that orders carry.
@@ -88,17 +88,17 @@
     pub now: Millis,
 }
 
-impl Look<'_> {
+impl PlanningRound<'_> {
     /// Plans the orders for the domains of `service` whose partitions this node holds.
     pub fn plan(
         &self,
         service: &ServiceName,
         engine: &Engine,
-        asked: &ObservedDemand,
+        demand: &ObservedDemand,
         stewards: &mut BTreeMap<u64, Steward>,
     ) -> Vec<Command> {
         let (own, domain_count) = self.own_domains(service);
-        let whole = Whole::new(self, service, engine, asked);
+        let service_view = ServiceView::new(self, service, engine, demand);
         let loss = |id: &Identity| -> Loss { self.suspicions.loss(id, self.peers) };
         let suspected_since = |id: &Identity| self.suspicions.since(id);
         let head_of = |group: &Group| self.roster.head_of(group.epoch, &group.id).cloned();
@@ -111,10 +111,10 @@
         let mut commands = Vec::new();
         for (domain, entries) in &own {
             let forming = forming(stewards);
-            let part = part_of(domain, self.parts);
-            let steward = stewards.entry(part).or_insert_with(|| {
+            let partition = partition_of(domain, self.parts);
+            let steward = stewards.entry(partition).or_insert_with(|| {
                 let issued = Arc::clone(self.issued);
-                Steward::new(StewardRules::default(), part, self.fence, issued)
+                Steward::new(StewardRules::default(), partition, self.fence, issued)
             });
             steward.raise_fence(self.fence);
             commands.extend(steward.plan(&DomainContext {
@@ -127,15 +127,15 @@
                 all_peers_asked: &all_peers_asked,
                 has_restarted_member: &has_restarted_member,
                 suspected_since: &suspected_since,
-                others: &|| whole.others(domain),
-                models: &|| whole.models(&forming),
-                may_close: asked.observed_fraction >= SEEN_ENOUGH,
+                others: &|| service_view.others(domain),
+                models: &|| service_view.models(&forming),
+                may_close: demand.observed_fraction >= MIN_OBSERVED_FRACTION,
                 before_traffic: self.before_traffic,
                 load_share: 1.0 / domain_count.max(1) as f64,
                 last_arrival_at: self.roster.last_arrival_at(),
                 now: self.now,
             }));
-            self.log_domain(domain, &whole, &forming, steward.summary());
+            self.log_domain(domain, &service_view, &forming, steward.summary());
         }
         commands
     }
@@ -156,7 +156,7 @@
     }
 
     fn may_order(&self, domain: &FabricDomain) -> bool {
-        let partition_lease = self.lease.parts.get(&part_of(domain, self.parts));
+        let partition_lease = self.lease.parts.get(&partition_of(domain, self.parts));
         partition_lease.is_some_and(|partition_lease| partition_lease.may_order(self.list_read_at))
     }
 
@@ -179,12 +179,12 @@
         &self,
         engine: &Engine,
         instances: usize,
-        asked: &ObservedDemand,
+        demand: &ObservedDemand,
     ) -> Vec<planner::Model> {
         let work = |spec: &ModelSpec| {
-            let seen = asked.by_model.get(&spec.name).copied().unwrap_or_default();
+            let seen = demand.by_model.get(&spec.name).copied().unwrap_or_default();
             let expected = Workload::expected(engine, spec, instances);
-            seen.plus(expected.scaled(1.0 - asked.observed_fraction))
+            seen.plus(expected.scaled(1.0 - demand.observed_fraction))
         };
         let works: Vec<Workload> = engine.models.iter().map(work).collect();
         let utilities = |factor: f64| {
@@ -193,8 +193,8 @@
         };
         let utilities = utilities(1.0)
             .into_iter()
-            .zip(utilities(1.0 - WORK_UNSURE))
-            .zip(utilities(1.0 + WORK_UNSURE));
+            .zip(utilities(1.0 - DEMAND_UNCERTAINTY))
+            .zip(utilities(1.0 + DEMAND_UNCERTAINTY));
         let model =
             |(spec, ((utility, utility_low), utility_high)): (&ModelSpec, _)| planner::Model {
                 size: spec.size,
@@ -202,43 +202,47 @@
                 utility_low,
                 utility_high,
                 groups: 0.0,
-                drain_time: DRAINS,
+                drain_time: TYPICAL_DRAIN_TIME,
                 load: spec.load,
             };
         engine.models.iter().zip(utilities).map(model).collect()
     }
 
-    /// Logs the state of a domain, at most once in [`TELL_EVERY`].
+    /// Logs the state of a domain, at most once in [`LOG_INTERVAL`].
     fn log_domain(
         &self,
         domain: &FabricDomain,
-        whole: &Whole<'_>,
-        forming: &Forming,
-        seen: &DomainSummary,
+        service_view: &ServiceView<'_>,
+        forming: &FormingGroups,
+        summary: &DomainSummary,
     ) {
-        let mut told = self.told.lock();
-        let last = told.get(domain);
-        if last.is_some_and(|last| self.now.since(*last) < TELL_EVERY) {
+        let mut log_times = self.log_times.lock();
+        let last = log_times.get(domain);
+        if last.is_some_and(|last| self.now.since(*last) < LOG_INTERVAL) {
             return;
         }
-        told.insert(domain.clone(), self.now);
+        log_times.insert(domain.clone(), self.now);
         let least = |spec: &ModelSpec| {
-            let work = whole.asked.by_model.get(&spec.name).copied().unwrap_or_default();
-            (spec.name.clone(), CapacityEstimate::new(whole.engine, spec, work).least_groups())
+            let work = service_view.demand.by_model.get(&spec.name).copied().unwrap_or_default();
+            (
+                spec.name.clone(),
+                CapacityEstimate::new(service_view.engine, spec, work).least_groups(),
+            )
         };
-        let least: BTreeMap<ModelName, f64> = whole.engine.models.iter().map(least).collect();
+        let least: BTreeMap<ModelName, f64> =
+            service_view.engine.models.iter().map(least).collect();
         emit(
             Event::DomainSeen,
             &[
                 ("domain", domain.as_str()),
-                ("fit", &seen.serviceable.to_string()),
-                ("free", &seen.free.to_string()),
-                ("staging", &seen.staging.to_string()),
-                ("forming", &seen.forming.to_string()),
-                ("who", &seen.free_instances),
-                ("intends", &seen.planned_changes),
-                ("groups", &by_model(&whole.counts(forming))),
-                ("least", &by_model(&least)),
+                ("fit", &summary.serviceable.to_string()),
+                ("free", &summary.free.to_string()),
+                ("staging", &summary.staging.to_string()),
+                ("forming", &summary.forming.to_string()),
+                ("who", &summary.free_instances),
+                ("intends", &summary.planned_changes),
+                ("groups", &format_by_model(&service_view.counts(forming))),
+                ("least", &format_by_model(&least)),
             ],
         );
     }
@@ -268,62 +272,62 @@
 
 /// Groups that stewards of this node are forming: their epochs, `None` before one is issued, and
 /// their models.
-type Forming = Vec<(Option<u64>, ModelName)>;
+type FormingGroups = Vec<(Option<u64>, ModelName)>;
 
-fn forming(stewards: &BTreeMap<u64, Steward>) -> Forming {
+fn forming(stewards: &BTreeMap<u64, Steward>) -> FormingGroups {
     let all = stewards.values().flat_map(Steward::forming);
     all.map(|(epoch, model)| (epoch, model.clone())).collect()
 }
 
 /// Data of the whole service. They are computed when a plan first needs more than its own domain,
 /// and once per round.
-struct Whole<'a> {
-    look: &'a Look<'a>,
+struct ServiceView<'a> {
+    round: &'a PlanningRound<'a>,
     service: &'a ServiceName,
     engine: &'a Engine,
-    asked: &'a ObservedDemand,
+    demand: &'a ObservedDemand,
     entries: OnceCell<Vec<&'a Entry>>,
     listed: OnceCell<Vec<planner::Domain>>,
     models: OnceCell<Vec<planner::Model>>,
-    standing: OnceCell<(BTreeSet<u64>, BTreeMap<ModelName, f64>)>,
+    counted_groups: OnceCell<(BTreeSet<u64>, BTreeMap<ModelName, f64>)>,
 }
 
-impl<'a> Whole<'a> {
+impl<'a> ServiceView<'a> {
     fn new(
-        look: &'a Look<'a>,
+        round: &'a PlanningRound<'a>,
         service: &'a ServiceName,
         engine: &'a Engine,
-        asked: &'a ObservedDemand,
+        demand: &'a ObservedDemand,
     ) -> Self {
         Self {
-            look,
+            round,
             service,
             engine,
-            asked,
+            demand,
             entries: OnceCell::new(),
             listed: OnceCell::new(),
             models: OnceCell::new(),
-            standing: OnceCell::new(),
+            counted_groups: OnceCell::new(),
         }
     }
 
     fn entries(&self) -> &[&'a Entry] {
         let of_service = |entry: &&Entry| entry.instance.service == *self.service;
-        self.entries.get_or_init(|| self.look.roster.iter().filter(of_service).collect())
+        self.entries.get_or_init(|| self.round.roster.iter().filter(of_service).collect())
     }
 
     fn listed(&self) -> &[planner::Domain] {
-        self.listed.get_or_init(|| self.look.listed(self.engine, self.entries()))
+        self.listed.get_or_init(|| self.round.listed(self.engine, self.entries()))
     }
 
     fn others(&self, own: &FabricDomain) -> Vec<planner::Domain> {
         self.listed().iter().filter(|domain| domain.name != *own).cloned().collect()
     }
 
-    fn counts(&self, forming: &Forming) -> BTreeMap<ModelName, f64> {
-        let standing = || self.look.group_counts(self.engine, self.entries());
-        let (known, standing) = self.standing.get_or_init(standing);
-        let mut counts = standing.clone();
+    fn counts(&self, forming: &FormingGroups) -> BTreeMap<ModelName, f64> {
+        let counted_groups = || self.round.group_counts(self.engine, self.entries());
+        let (known, counted_groups) = self.counted_groups.get_or_init(counted_groups);
+        let mut counts = counted_groups.clone();
         let is_new = |epoch: &Option<u64>| epoch.is_none_or(|epoch| !known.contains(&epoch));
         for (_, model) in forming.iter().filter(|(epoch, _)| is_new(epoch)) {
             *counts.entry(model.clone()).or_default() += 1.0;
@@ -331,9 +335,9 @@
         counts
     }
 
-    fn models(&self, forming: &Forming) -> Vec<planner::Model> {
-        let worked_out = || self.look.models(self.engine, self.entries().len(), self.asked);
-        let mut models = self.models.get_or_init(worked_out).clone();
+    fn models(&self, forming: &FormingGroups) -> Vec<planner::Model> {
+        let compute = || self.round.models(self.engine, self.entries().len(), self.demand);
+        let mut models = self.models.get_or_init(compute).clone();
         let counts = self.counts(forming);
         for (spec, model) in self.engine.models.iter().zip(&mut models) {
             model.groups = counts.get(&spec.name).copied().unwrap_or_default();
@@ -353,7 +357,7 @@
     domains
 }
 
-fn by_model(figures: &BTreeMap<ModelName, f64>) -> String {
+fn format_by_model(figures: &BTreeMap<ModelName, f64>) -> String {
     let figures = figures.iter().map(|(model, figure)| format!("{model}={figure:.2}"));
     figures.collect::<Vec<_>>().join(" ")
 }
--- a/crates/workshold-gateway/src/tasks/store_sync.rs
+++ b/crates/workshold-gateway/src/tasks/store_sync.rs
@@ -19,55 +19,55 @@
 use crate::events::Event;
 use crate::events::emit;
 use crate::loads::instance_hash;
-use crate::node::List;
+use crate::node::ListReplica;
 use crate::node::Node;
 use crate::peers::ListNews;
 use crate::peers::ListRecord;
 use crate::tasks::gossip;
 use crate::tasks::long_poll;
+use crate::tasks::long_poll::PollAnswer;
 use crate::tasks::long_poll::PollOutcome;
-use crate::tasks::long_poll::Reading;
 use crate::tasks::long_poll::Topic;
 
 /// Mean of the least time between two reads of the list, since each call loads the store. The
 /// time is drawn at random from 2/3 to 4/3 of it: all readers are woken by the same change, and
 /// without the jitter would read at the same time and all miss the next change for as long.
-const LIST_EVERY: Millis = Millis(900);
+const LIST_READ_INTERVAL: Millis = Millis(900);
 /// The same before there is traffic.
-const LIST_EVERY_EARLY: Millis = Millis(400);
+const LIST_READ_INTERVAL_EARLY: Millis = Millis(400);
 /// The same while the steward waits for list entries that show the effect of its orders.
-const LIST_EVERY_BUSY: Millis = Millis(40);
+const LIST_READ_INTERVAL_BUSY: Millis = Millis(40);
 /// The same before there is traffic: no caller waits for the group yet.
-const LIST_EVERY_BUSY_EARLY: Millis = Millis(160);
+const LIST_READ_INTERVAL_BUSY_EARLY: Millis = Millis(160);
 /// Interval at which a node checks whether it has to read the store itself: a fraction of the
 /// time for which its peers' readings count as current.
-const READER_LOOK: Millis = Millis(300);
+const READER_CHECK_INTERVAL: Millis = Millis(300);
 /// The same for a node that has just started.
-const STARTER_LOOK: Millis = Millis(50);
+const START_CHECK_INTERVAL: Millis = Millis(50);
 /// Time for which a starting node waits for peers to forward the list: otherwise hundreds of
 /// nodes that start at once would all read the store.
-const STARTER_WAITS: Millis = Millis(1_500);
+const MAX_START_WAIT: Millis = Millis(1_500);
 /// A list read by peers counts as current up to this age: their long polls and the delay of a
 /// heartbeat.
-const LIST_CURRENT: Millis = Millis(4_200);
+const SHARED_LIST_MAX_AGE: Millis = Millis(4_200);
 
 /// Keeps the configuration in sync with the store until the node ends.
 pub async fn config(node: Arc<Node>) {
-    let mut followed = Followed::default();
+    let mut cursor = TopicCursor::default();
     loop {
-        wait_while_others_read(&node, is_config_current).await;
+        wait_while_peers_read(&node, is_config_current).await;
         tokio::select! {
-            () = read_config(&node, &mut followed) => {}
+            () = read_config(&node, &mut cursor) => {}
             // The pending long poll uses a position of the previous era: until it timed out, the
             // configuration and its API keys would look older than they are.
-            () = node.config_wanted_anew.notified() => {}
+            () = node.config_reread_wanted.notified() => {}
         }
     }
 }
 
 /// How far this node has read the operator's topic.
 #[derive(Debug, Default)]
-struct Followed {
+struct TopicCursor {
     /// Position of the next record to read; `None` if all records have to be read.
     next: Option<LogPosition>,
     /// The newest version in the topic. After a restore from a snapshot it may be older than the
@@ -76,23 +76,23 @@
 }
 
 /// Waits at the node's start until it has received the list from a peer, or knows that it has to
-/// read the store itself, or [`STARTER_WAITS`] are over.
+/// read the store itself, or [`MAX_START_WAIT`] are over.
 async fn wait_to_start(node: &Node) {
     let has_it = || node.list.lock().next.is_some();
-    while node.age() < STARTER_WAITS && !has_it() && !(node.is_settled() && node.is_store_reader())
+    while node.age() < MAX_START_WAIT && !has_it() && !(node.is_settled() && node.is_store_reader())
     {
-        tokio::time::sleep(STARTER_LOOK.to_duration()).await;
+        tokio::time::sleep(START_CHECK_INTERVAL.to_duration()).await;
     }
 }
 
 /// Waits while peers read for this node and the data that it has are current.
-async fn wait_while_others_read(node: &Node, is_current: impl Fn(&Node) -> bool) {
-    while do_others_read(node, &is_current) {
-        tokio::time::sleep(READER_LOOK.to_duration()).await;
+async fn wait_while_peers_read(node: &Node, is_current: impl Fn(&Node) -> bool) {
+    while do_peers_read(node, &is_current) {
+        tokio::time::sleep(READER_CHECK_INTERVAL.to_duration()).await;
     }
 }
 
-fn do_others_read(node: &Node, is_current: impl Fn(&Node) -> bool) -> bool {
+fn do_peers_read(node: &Node, is_current: impl Fn(&Node) -> bool) -> bool {
     !node.is_store_reader() && !node.are_readers_cut_off() && is_current(node)
 }
 
@@ -106,69 +106,69 @@
 
 /// Not while the steward waits for list entries, for which it reads the store itself.
 fn is_list_current(node: &Node) -> bool {
-    let is_busy = node.is_steward_busy.load(Ordering::Relaxed) || node.wants_list_anew();
+    let is_busy = node.is_steward_busy.load(Ordering::Relaxed) || node.needs_list_reread();
     let list = node.list.lock();
-    !is_busy && list.next.is_some() && node.now().since(list.read_at) < LIST_CURRENT
+    !is_busy && list.next.is_some() && node.now().since(list.read_at) < SHARED_LIST_MAX_AGE
 }
 
-async fn read_config(node: &Node, followed: &mut Followed) {
-    let next = followed.next;
+async fn read_config(node: &Node, cursor: &mut TopicCursor) {
+    let next = cursor.next;
     let from = || next.filter(|next| next.era == node.store_monitor.era());
-    let is_needed = || !do_others_read(node, is_config_current);
+    let is_needed = || !do_peers_read(node, is_config_current);
     let rules = node.settings().config_poll_rules(node.is_store_reader());
-    let asked = long_poll::read(node, Topic::Config, rules, from, is_needed).await;
-    let Reading { records, from, sent } = match asked {
-        PollOutcome::Read(reading) => reading,
-        PollOutcome::NotNeeded => return,
+    let outcome = long_poll::read(node, Topic::Config, rules, from, is_needed).await;
+    let PollAnswer { records, from, sent } = match outcome {
+        PollOutcome::Read(answer) => answer,
+        PollOutcome::ReadByPeers => return,
         PollOutcome::Gone => {
-            *followed = Followed::default();
+            *cursor = TopicCursor::default();
             return;
         }
     };
-    let is_of_past = from.is_some_and(|from| from.era < records.end.era);
-    if is_of_past || from.is_none() {
-        *followed = Followed::default();
+    let is_of_old_era = from.is_some_and(|from| from.era < records.end.era);
+    if is_of_old_era || from.is_none() {
+        *cursor = TopicCursor::default();
     }
-    if is_of_past {
+    if is_of_old_era {
         return;
     }
     let last = records.records.iter().rfind(|record| record.key == names::CONFIG_KEY);
     match last {
-        Some(record) if is_surpassed(node, record) => {
+        Some(record) if may_be_outdated(node, record) => {
             // Read again a moment later, in case no peer delivers the newer version.
-            *followed = Followed::default();
-            tokio::time::sleep(READER_LOOK.to_duration()).await;
+            *cursor = TopicCursor::default();
+            tokio::time::sleep(READER_CHECK_INTERVAL.to_duration()).await;
             return;
         }
-        Some(record) => install_config(node, record, sent, followed),
+        Some(record) => install_config(node, record, sent, cursor),
         None => {
             // No record newer than the last one read, so that one is current. A reading of all
             // records that has no configuration shows nothing (`newest` is `None` then).
-            if let Some(version) = followed.newest {
+            if let Some(version) = cursor.newest {
                 node.confirm_config(version, sent);
             }
         }
     }
-    followed.next = Some(after(&records, from));
+    cursor.next = Some(next_position(&records, from));
 }
 
 /// Position of the next record to read. The answer to a long poll may end before the topic does.
-fn after(records: &Records, next: Option<LogPosition>) -> LogPosition {
+fn next_position(records: &Records, next: Option<LogPosition>) -> LogPosition {
     let Some(next) = next else { return records.end };
     let last = records.records.last().map(|record| record.place);
     last.map_or(next, |last| LogPosition { offset: last.offset + 1, ..last })
 }
 
 /// Whether peers may hold a newer configuration than this record.
-fn is_surpassed(node: &Node, record: &Record) -> bool {
+fn may_be_outdated(node: &Node, record: &Record) -> bool {
     config::decode(&record.value)
-        .is_ok_and(|serving_config| node.is_surpassed(serving_config.version))
+        .is_ok_and(|serving_config| node.may_be_outdated(serving_config.version))
 }
 
-fn install_config(node: &Node, record: &Record, sent: Millis, followed: &mut Followed) {
+fn install_config(node: &Node, record: &Record, sent: Millis, cursor: &mut TopicCursor) {
     match config::decode(&record.value) {
         Ok(serving_config) => {
-            followed.newest = Some(serving_config.version);
+            cursor.newest = Some(serving_config.version);
             node.install_config(serving_config, record.value.clone(), sent);
         }
         Err(err) => emit(Event::ConfigUnreadable, &[("why", &err.to_string())]),
@@ -179,34 +179,35 @@
 pub async fn list(node: Arc<Node>) {
     loop {
         wait_to_start(&node).await;
-        wait_while_others_read(&node, is_list_current).await;
-        let long_poll = node.settings().list_poll_rules(node.is_store_reader());
-        let wait = if node.wants_list_anew() { Millis::ZERO } else { long_poll.wait };
+        wait_while_peers_read(&node, is_list_current).await;
+        let rules = node.settings().list_poll_rules(node.is_store_reader());
+        let wait = if node.needs_list_reread() { Millis::ZERO } else { rules.wait };
         let sent = node.now();
         tokio::select! {
-            has_read = read_list(&node, LongPollRules { wait, ..long_poll }) => {
+            has_read = read_list(&node, LongPollRules { wait, ..rules }) => {
                 if has_read {
-                    rest(&node, sent).await;
+                    wait_before_next_read(&node, sent).await;
                 }
             }
-            () = node.list_wanted_anew.notified(), if wait > Millis::ZERO => {}
+            () = node.list_reread_wanted.notified(), if wait > Millis::ZERO => {}
         }
     }
 }
 
 /// Waits before the next reading of the list: a short time if the steward waits for entries.
-async fn rest(node: &Node, sent: Millis) {
-    let least = if node.has_traffic() { LIST_EVERY_BUSY } else { LIST_EVERY_BUSY_EARLY };
-    tokio::time::sleep(least.to_duration()).await;
+async fn wait_before_next_read(node: &Node, sent: Millis) {
+    let min_pause =
+        if node.has_traffic() { LIST_READ_INTERVAL_BUSY } else { LIST_READ_INTERVAL_BUSY_EARLY };
+    tokio::time::sleep(min_pause.to_duration()).await;
     if node.is_steward_busy.load(Ordering::Relaxed) {
         return;
     }
-    let every = if node.has_traffic() { LIST_EVERY } else { LIST_EVERY_EARLY };
-    let every = Millis(rand::random_range(every.0 * 2 / 3..=every.0 * 4 / 3));
-    let left = every.since(node.now().since(sent));
+    let interval = if node.has_traffic() { LIST_READ_INTERVAL } else { LIST_READ_INTERVAL_EARLY };
+    let interval = Millis(rand::random_range(interval.0 * 2 / 3..=interval.0 * 4 / 3));
+    let left = interval.since(node.now().since(sent));
     tokio::select! {
         () = tokio::time::sleep(left.to_duration()) => {}
-        () = node.list_wanted.notified() => {}
+        () = node.list_read_wanted.notified() => {}
     }
 }
 
@@ -214,11 +215,11 @@
 async fn read_list(node: &Node, rules: LongPollRules) -> bool {
     // Positions of an earlier era are not valid in the present one.
     let from = || node.list.lock().next.filter(|next| next.era == node.store_monitor.era());
-    let is_needed = || !do_others_read(node, is_list_current);
-    let asked = long_poll::read(node, Topic::List, rules, from, is_needed).await;
-    let Reading { records, from, sent } = match asked {
-        PollOutcome::Read(reading) => reading,
-        PollOutcome::NotNeeded => return false,
+    let is_needed = || !do_peers_read(node, is_list_current);
+    let outcome = long_poll::read(node, Topic::List, rules, from, is_needed).await;
+    let PollAnswer { records, from, sent } = match outcome {
+        PollOutcome::Read(answer) => answer,
+        PollOutcome::ReadByPeers => return false,
         PollOutcome::Gone => {
             node.list.lock().next = None;
             return false;
@@ -228,10 +229,10 @@
         // The poll used a position of the previous era: ignore the records and read again.
         return true;
     }
-    let is_whole = from.is_none();
-    let end = after(&records, from);
-    begin_past(node, end, is_whole.then_some(sent));
-    apply(node, &records, is_whole, sent);
+    let is_full = from.is_none();
+    let end = next_position(&records, from);
+    enter_era(node, end, is_full.then_some(sent));
+    apply_records(node, &records, is_full, sent);
     {
         let mut list = node.list.lock();
         // Peers may have delivered later records meanwhile.
@@ -239,7 +240,7 @@
         list.next = Some(end);
         list.read_at = list.read_at.max(sent);
         list.gap.on_own_list_end(end);
-        list.has_own_news |= !records.records.is_empty();
+        list.has_unsent_records |= !records.records.is_empty();
     }
     if !records.records.is_empty() {
         node.news_wanted.notify_one();
@@ -248,44 +249,44 @@
 }
 
 /// Moves the list to the era of `end` if that is a new one. Its first full reading, sent at
-/// `read_whole`, counts as a restored snapshot if instances may not have renewed their entries
+/// `full_read_at`, counts as a restored snapshot if instances may not have renewed their entries
 /// by then.
-fn begin_past(node: &Node, end: LogPosition, read_whole: Option<Millis>) {
-    let true_from = node.store_monitor.trusted_from();
+fn enter_era(node: &Node, end: LogPosition, full_read_at: Option<Millis>) {
+    let trusted_from = node.store_monitor.trusted_from();
     let mut list = node.list.lock();
-    let last = list.past.replace(end.era);
+    let last = list.era.replace(end.era);
     if last.is_none_or(|last| last == end.era) {
         return;
     }
-    list.roster.begin_era(end.era, true_from);
-    if read_whole.is_some_and(|sent| sent < true_from) {
+    list.roster.begin_era(end.era, trusted_from);
+    if full_read_at.is_some_and(|sent| sent < trusted_from) {
         list.copy_end = end;
     }
 }
 
-fn apply(node: &Node, records: &Records, is_whole: bool, sent: Millis) {
+fn apply_records(node: &Node, records: &Records, is_full: bool, sent: Millis) {
     let now = node.now();
-    if !is_whole && records.records.is_empty() {
+    if !is_full && records.records.is_empty() {
         return;
     }
-    let mut seen = BTreeSet::new();
+    let mut listed_ids = BTreeSet::new();
     for record in &records.records {
         let Ok(id) = InstanceId::new(&record.key) else {
-            log_unreadable(node, record, "its key is no name");
-            keep_raw(&mut node.list.lock(), record, false);
+            log_unreadable(node, record, "the key is not a valid instance id");
+            store_raw(&mut node.list.lock(), record, false);
             continue;
         };
-        seen.insert(id.clone());
-        take_entry(node, &id, record, now);
+        listed_ids.insert(id.clone());
+        apply_record(node, &id, record, now);
     }
-    if is_whole {
-        node.list.lock().roster.on_full_list(&seen, records.end, sent);
+    if is_full {
+        node.list.lock().roster.on_full_list(&listed_ids, records.end, sent);
     }
-    node.list_changed();
-    node.steward_wanted.notify_one();
+    node.on_list_changed();
+    node.planning_wanted.notify_one();
 }
 
-fn take_entry(node: &Node, id: &InstanceId, record: &Record, now: Millis) {
+fn apply_record(node: &Node, id: &InstanceId, record: &Record, now: Millis) {
     let decoded = match record.value.is_empty() {
         true => Ok(None),
         false => entries::decode(id, &record.value).map(Some),
@@ -298,35 +299,35 @@
     if !is_newer {
         return;
     }
-    let is_copied = record.place < list.copy_end && record.place.era == list.copy_end.era;
-    let is_news = list.roster.get(id).is_some_and(|entry| entry.place < record.place);
-    keep_raw(&mut list, record, decoded.is_ok());
-    let Ok(word) = decoded else {
+    let is_restored = record.place < list.copy_end && record.place.era == list.copy_end.era;
+    let is_update = list.roster.get(id).is_some_and(|entry| entry.place < record.place);
+    store_raw(&mut list, record, decoded.is_ok());
+    let Ok(decoded_entry) = decoded else {
         list.roster.apply_unreadable(record.place, id, now);
         return;
     };
-    let identity = word.as_ref().map(|word| word.identity.clone());
-    let ended = match word {
-        Some(word) if is_copied => {
-            list.roster.apply_restored(record.place, id, word, now);
+    let identity = decoded_entry.as_ref().map(|decoded_entry| decoded_entry.identity.clone());
+    let ended = match decoded_entry {
+        Some(decoded_entry) if is_restored => {
+            list.roster.apply_restored(record.place, id, decoded_entry, now);
             None
         }
-        word => list.roster.apply(record.place, id, word, now),
+        decoded_entry => list.roster.apply(record.place, id, decoded_entry, now),
     };
     if let Some(identity) = &identity {
         list.by_instance_hash.insert(instance_hash(identity), identity.clone());
     }
     drop(list);
-    if let Some(life) = ended {
-        node.note_superseded(&life);
+    if let Some(incarnation) = ended {
+        node.note_superseded(&incarnation);
     }
-    if let Some(identity) = identity.filter(|_| is_news && !is_copied) {
+    if let Some(identity) = identity.filter(|_| is_update && !is_restored) {
         node.suspicions.lock().clear(&identity);
     }
 }
 
 /// Keeps a record for forwarding to peers. An undecodable one is replaced by a marker.
-fn keep_raw(list: &mut List, record: &Record, is_readable: bool) {
+fn store_raw(list: &mut ListReplica, record: &Record, is_readable: bool) {
     let unreadable = Bytes::from_static(entries::UNREADABLE);
     let value = if is_readable { record.value.clone() } else { unreadable };
     list.raw.insert(record.key.clone(), (record.place, value));
@@ -344,30 +345,30 @@
 
 /// Applies list records from a peer that arrived after `since`. Returns `false` if records
 /// between this node's list and them are missing.
-pub fn apply_list_news(node: &Node, from_peer: &ListNews, since: Millis) -> bool {
+pub fn apply_list_news(node: &Node, update: &ListNews, since: Millis) -> bool {
     let now = node.now();
     let next = {
         let mut list = node.list.lock();
         let next = list.next;
-        if next.unwrap_or_default() < from_peer.from {
-            list.gap.on_peer_list_end(next, from_peer.next, now);
+        if next.unwrap_or_default() < update.from {
+            list.gap.on_peer_list_end(next, update.next, now);
             return false;
         }
-        if next.is_some_and(|next| next.era > from_peer.next.era) {
+        if next.is_some_and(|next| next.era > update.next.era) {
             return true;
         }
         next
     };
-    if from_peer.next.era > node.store_monitor.era() {
-        node.hear_of_past(from_peer.next.era, now);
+    if update.next.era > node.store_monitor.era() {
+        node.on_peer_era(update.next.era, now);
     }
-    begin_past(node, from_peer.next, None);
+    enter_era(node, update.next, None);
     {
         let mut list = node.list.lock();
-        list.copy_end = list.copy_end.max(from_peer.copy_end);
+        list.copy_end = list.copy_end.max(update.copy_end);
     }
-    let sent = since - Millis(from_peer.age_ms);
-    let records: Vec<Record> = from_peer
+    let sent = since - Millis(update.age_ms);
+    let records: Vec<Record> = update
         .records
         .iter()
         .map(|record| Record {
@@ -376,9 +377,9 @@
             value: Bytes::copy_from_slice(&record.value),
         })
         .collect();
-    apply(node, &Records { end: from_peer.next, records }, false, sent);
+    apply_records(node, &Records { end: update.next, records }, false, sent);
     let mut list = node.list.lock();
-    let end = list.next.unwrap_or_default().max(from_peer.next);
+    let end = list.next.unwrap_or_default().max(update.next);
     list.next = Some(end);
     list.read_at = list.read_at.max(sent);
     list.gap.on_own_list_end(end);
--- a/crates/workshold-gateway/src/tasks/upkeep.rs
+++ b/crates/workshold-gateway/src/tasks/upkeep.rs
@@ -10,18 +10,18 @@
 
 use crate::events::Event;
 use crate::events::emit;
+use crate::node::MIN_REBUILD_INTERVAL;
 use crate::node::Node;
-use crate::node::TABLE_GAP;
 
 /// Interval of the periodic work: whether a missing entry counts as present changes by time alone.
-const EVERY: Duration = Duration::from_millis(250);
+const INTERVAL: Duration = Duration::from_millis(250);
 /// Interval at which expired state is dropped, which visits all entries.
-const FORGET_EVERY: Millis = Millis(1_000);
+const CLEANUP_INTERVAL: Millis = Millis(1_000);
 
 /// Runs the periodic work until the node ends.
 pub async fn run(node: Arc<Node>) {
     let mut last = None;
-    let mut tidied = node.now();
+    let mut cleaned_up_at = node.now();
     loop {
         let readiness = node.readiness();
         if last != Some(readiness) {
@@ -33,22 +33,22 @@
             node.heartbeat_wanted.notify_one();
         }
         tokio::select! {
-            () = tokio::time::sleep(EVERY) => {}
-            () = node.table_wanted.notified() => {
-                tokio::time::sleep(TABLE_GAP.to_duration()).await;
+            () = tokio::time::sleep(INTERVAL) => {}
+            () = node.table_rebuild_wanted.notified() => {
+                tokio::time::sleep(MIN_REBUILD_INTERVAL.to_duration()).await;
             }
         }
-        node.renew_table();
+        node.refresh_table();
         // By the clock and not by timeouts of this loop: while the list changes all the time, there
         // are none.
-        if node.now().since(tidied) >= FORGET_EVERY {
-            tidied = node.now();
-            tidy(&node);
+        if node.now().since(cleaned_up_at) >= CLEANUP_INTERVAL {
+            cleaned_up_at = node.now();
+            drop_expired(&node);
         }
     }
 }
 
-fn tidy(node: &Node) {
+fn drop_expired(node: &Node) {
     let now = node.now();
     let mut list = node.list.lock();
     let ended = list.roster.forget(now);
@@ -58,7 +58,7 @@
     list.raw.retain(|key, _| names.contains(key.as_str()));
     list.by_instance_hash.retain(|_, id| known.contains(id));
     drop(list);
-    ended.iter().for_each(|life| node.note_superseded(life));
+    ended.iter().for_each(|incarnation| node.note_superseded(incarnation));
     node.suspicions.lock().forget(now, |id| known.contains(id));
     node.gaps.lock().retain(|id| known.contains(id));
     node.outliers.lock().retain(|id| known.contains(id));
