--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -43,6 +43,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// The sender's own state, sent several times a second to the relays of its data centre.
+    #[serde(rename = "Pulse")]
     Heartbeat(Box<Heartbeat>),
     /// A relay's aggregate of many heartbeats.
     Digest(Box<Digest>),
