--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -1,10 +1,10 @@
 //! State that all tasks and request handlers of a node share.
 //!
 //! - [`store_access`]: which nodes read the store, and how its answers are accepted.
-//! - [`doubts`]: instances that cannot be reached.
-//! - [`held`]: quarantined requests.
+//! - [`suspicions`]: instances that cannot be reached.
+//! - [`quarantine`]: quarantined requests.
 //! - [`instance_limits`]: rate limits, backoffs and departures that instances announce.
-//! - [`repeats`]: the retry budget of each upstream.
+//! - [`retry_budget`]: the retry budget of each upstream.
 
 mod instance_limits;
 mod quarantine;
@@ -76,7 +76,7 @@
     pub roster: Roster,
     /// Whether an entry that is missing shows that its instance is gone.
     pub trust: ListTrust,
-    /// Position of the next record to read; `None` before the first reading.
+    /// Position of the next record to read; `None` before the first read.
     pub next: Option<LogPosition>,
     /// Era of the store that the entries belong to; `None` before the first entries.
     pub era: Option<Era>,
@@ -197,7 +197,7 @@
     pub list_fetch_wanted: Notify,
     /// Wakes the task that reads the list from the store.
     pub list_read_wanted: Notify,
-    /// Ends a long poll of the list that is waiting: a reading that began later is needed.
+    /// Ends a long poll of the list that is waiting: a read that began later is needed.
     pub list_reread_wanted: Notify,
     /// Ends a long poll of the configuration that is waiting.
     pub config_reread_wanted: Notify,
--- a/crates/workshold-gateway/src/node/instance_limits.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -111,6 +111,7 @@
         }
     }
 
+    /// Applies a rate limit. If it is new, peers are told at once.
     fn apply_limit_report(&self, id: &Identity, report: LimitReport) {
         let mut instance_limits = self.instance_limits.lock();
         let was = instance_limits.limit(id);
--- a/crates/workshold-gateway/src/node/quarantine.rs
+++ b/crates/workshold-gateway/src/node/quarantine.rs
@@ -120,6 +120,7 @@
     }
 }
 
+/// Logs each request that has just been quarantined.
 fn log_quarantined(quarantined: &[(QuarantineRecord, Millis)], now: Millis) {
     for (record, until) in quarantined {
         let RequestKey { fingerprint, caller } = record.request_key;
--- a/crates/workshold-gateway/src/node/retry_budget.rs
+++ b/crates/workshold-gateway/src/node/retry_budget.rs
@@ -36,14 +36,17 @@
         self.budget(service, |budget| budget.on_request(now));
     }
 
+    /// Runs `act` on a service's budget, which is created on first use.
     fn budget<T>(&self, service: &ServiceName, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut budgets = self.budgets.lock();
         if !budgets.contains_key(service) {
             budgets.insert(service.clone(), self.new_budget());
         }
-        act(budgets.get_mut(service).expect("it was just put in"))
+        act(budgets.get_mut(service).expect("the budget was inserted above"))
     }
 
+    /// A new budget. Unless the fleet starts for the first time, a process gets only part of it
+    /// during its first window: the process before it, or other nodes, may have used the rest.
     fn new_budget(&self) -> RetryBudget {
         let settings = self.settings();
         if settings.node.is_first_start {
@@ -53,6 +56,7 @@
     }
 }
 
+/// Logs that a budget refused a retry.
 fn log_refusal(service: &ServiceName, usage: RetryBudgetUsage, nodes: usize) {
     emit(
         Event::RepeatRefused,
--- a/crates/workshold-gateway/src/node/store_access.rs
+++ b/crates/workshold-gateway/src/node/store_access.rs
@@ -30,7 +30,7 @@
 const FIRST_START_STAGGER: Millis = Millis(800);
 
 impl Node {
-    /// Whether a partition of the lease waits for a reading of the list that began after it was
+    /// Whether a partition of the lease waits for a read of the list that began after it was
     /// taken.
     pub fn needs_list_reread(&self) -> bool {
         let read_at = self.list.lock().read_at;
@@ -81,9 +81,9 @@
         peers.heard(self.now()).count() * 2 < others
     }
 
-    /// Milliseconds since a reading of the list last failed, capped at [`LIST_TROUBLE_MAX_AGE_MS`];
+    /// Milliseconds since a read of the list last failed, capped at [`LIST_TROUBLE_MAX_AGE_MS`];
     /// `None` if this node does not read the store. Heartbeats carry it to the nodes that rely on
-    /// this one's readings.
+    /// this one's reads.
     pub fn list_failure_age_ms(&self) -> Option<u32> {
         if !self.is_store_reader() {
             return None;
@@ -93,6 +93,7 @@
         Some(age.unwrap_or(LIST_TROUBLE_MAX_AGE_MS).min(LIST_TROUBLE_MAX_AGE_MS))
     }
 
+    /// Whether this node is among the first `most` of its data centre by rank.
     fn ranks_first(&self, most: usize) -> bool {
         let settings = self.settings();
         let data_centre = settings.node.data_centre.as_str();
--- a/crates/workshold-gateway/src/peers.rs
+++ b/crates/workshold-gateway/src/peers.rs
@@ -10,6 +10,9 @@
 //! next rank takes its place once the loss is noticed. In a data centre with no more nodes
 //! than relays, all nodes are relays.
 //!
+//! A node is heard as long as its heartbeats arrive, or digests that list it, without a longer
+//! silence than its heartbeat interval explains.
+//!
 //! - [`messages`]: the datagrams.
 //! - [`exchange`]: which node sends which datagram to which, and aggregation.
 //! - [`news`]: forwarding of new records of the instance list.
@@ -137,7 +140,7 @@
     round_robin: [Option<SocketAddr>; 2],
 }
 
-/// Number of heartbeats that a peer may miss, plus [`HEARTBEAT_DELAY`], before it counts as gone.
+/// A peer counts as gone after this many missed heartbeats, plus [`HEARTBEAT_DELAY`].
 const MISSED_HEARTBEATS: u64 = 3;
 /// Time by which a heartbeat may be late.
 const HEARTBEAT_DELAY: Millis = Millis(200);
@@ -241,7 +244,7 @@
         self.addresses.keys().copied().collect()
     }
 
-    /// Peers that are heard, by this node or by relays.
+    /// Peers that are alive: a heartbeat, or a digest that lists them, arrived recently enough.
     pub fn heard(&self, now: Millis) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         self.by_address.iter().filter(move |(_, peer)| peer.is_heard(now))
     }
@@ -296,9 +299,9 @@
         before.take(senders).count() < senders
     }
 
-    /// When the nodes that read the store last failed to read the list, all of them: it is enough
-    /// that one of them reads it without failure. Nodes of `data_centre` count alone if there are
-    /// any. `None` without such a failure.
+    /// The earliest of the last failures to read the list, of all nodes that read the store; `None`
+    /// if one of them reads it without failures, which is enough. If `data_centre` has any such
+    /// nodes, only these count.
     pub fn list_failure_at(&self, data_centre: &str, now: Millis) -> Option<Millis> {
         let at = |(peer, age): (&Peer, u32)| {
             (age < LIST_TROUBLE_MAX_AGE_MS).then(|| peer.heard - Millis(age.into()))
@@ -313,7 +316,7 @@
         readers.map(|(peer, _)| peer.heard - Millis(peer.heartbeat.store_age_ms)).max()
     }
 
-    /// The nodes that read the store, each with the time since a reading of the list failed, in
+    /// The nodes that read the store, each with the time since a read of the list failed, in
     /// ms: those of `data_centre`, or all if it has none.
     fn readers(&self, data_centre: &str, now: Millis) -> Vec<(&Peer, u32)> {
         let heard = self.heard(now).map(|(_, peer)| peer);
@@ -340,6 +343,7 @@
         self.data_centre_digests.retain(|_, heard| heard.is_fresh(now));
     }
 
+    /// The digest of all nodes, if there is a valid one.
     fn valid_fleet_digest(&self, now: Millis) -> Option<&ReceivedDigest> {
         self.fleet_digest.as_ref().filter(|heard| heard.is_fresh(now))
     }
--- a/crates/workshold-gateway/src/peers/exchange.rs
+++ b/crates/workshold-gateway/src/peers/exchange.rs
@@ -91,6 +91,7 @@
         self.acts_by.iter().map(|(address, fence)| (address, *fence))
     }
 
+    /// The load at each instance, by its hash.
     pub(super) fn loads(&self) -> HashMap<u32, Load> {
         self.by_instance.iter().map(|(instance, (load, _))| (*instance, *load)).collect()
     }
@@ -357,6 +358,7 @@
         data_centres.filter(|name| *name != own.data_centre).cloned().collect()
     }
 
+    /// Adds the digest of this relay's data centre, for the relays of the others.
     fn push_data_centre_digest(
         &mut self,
         own: &LocalNode<'_>,
@@ -373,6 +375,7 @@
         }
     }
 
+    /// Adds the digest of all nodes, for the nodes of this data centre that report to this relay.
     fn push_fleet_digest(
         &mut self,
         own: &LocalNode<'_>,
@@ -394,6 +397,7 @@
         }
     }
 
+    /// Builds a digest of the given scope.
     fn digest(
         &mut self,
         scope: Scope,
@@ -465,6 +469,7 @@
         self.valid_fleet_digest(now).is_some()
     }
 
+    /// The totals of the heartbeats that this node receives from a data centre.
     fn data_centre_totals(&self, data_centre: &str, now: Millis) -> FleetTotals {
         let mut totals = FleetTotals::default();
         let is_nearby =
@@ -505,6 +510,7 @@
     }
 }
 
+/// The entry of a digest for a peer.
 fn digest_entry(address: SocketAddr, peer: &Peer, is_gone: bool, now: Millis) -> WireNode {
     WireNode {
         address,
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -305,7 +305,7 @@
     pub past: Option<(Era, u64)>,
     /// Time since the store last answered it, in ms.
     pub store_age_ms: u64,
-    /// Time since a reading of the list last failed, in ms and at most [`LIST_TROUBLE_MAX_AGE_MS`];
+    /// Time since a read of the list last failed, in ms and at most [`LIST_TROUBLE_MAX_AGE_MS`];
     /// `None` if it does not read the store itself.
     pub list_trouble_ms: Option<u32>,
     /// A random sample of the nodes that it hears; only filled in if `seeks` is set.
--- a/crates/workshold-gateway/src/peers/packing.rs
+++ b/crates/workshold-gateway/src/peers/packing.rs
@@ -22,6 +22,7 @@
     bytes: Vec<u8>,
 }
 
+/// Serializes and compresses records.
 fn pack(records: &[ListRecord]) -> Result<Packed, postcard::Error> {
     let bytes = postcard::to_stdvec(records)?;
     let unpacked_len = bytes.len() as u32;
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -109,6 +109,7 @@
     }
 }
 
+/// Interval between heartbeats in a fleet of so many nodes.
 fn heartbeat_interval(nodes: usize) -> Millis {
     Millis(HEARTBEAT_INTERVAL_PER_NODE.0 * nodes as u64)
         .clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
@@ -140,6 +141,7 @@
     }
 }
 
+/// The nodes to which this one forwards new list records.
 fn list_news_recipients(node: &Node, has_read_itself: bool) -> Vec<SocketAddr> {
     let settings = node.settings();
     node.peers.lock().news_recipients(&settings.own(), has_read_itself, node.now())
@@ -155,13 +157,14 @@
 pub async fn send(node: &Node, socket: &UdpSocket, to: &[SocketAddr], message: Message) {
     let from = SmolStr::new(&node.settings().node.name);
     let datagram = Datagram { version: VERSION, from, message };
-    let bytes = postcard::to_stdvec(&datagram).expect("datagrams have only plain fields");
+    let bytes = postcard::to_stdvec(&datagram).expect("serializing plain fields cannot fail");
     for address in to {
         // Receivers cope with lost datagrams, so that a failed send needs no handling.
         let _ = socket.send_to(&bytes, address).await;
     }
 }
 
+/// This node's heartbeat; `next_ms` is the time until its next one at the latest.
 fn own_heartbeat(node: &Node, next_ms: u16) -> Heartbeat {
     let settings = node.settings();
     let config = node.config_age().map(|(version, age)| (version, age.0));
@@ -192,6 +195,7 @@
     }
 }
 
+/// The quarantine records for the next heartbeat.
 fn quarantine_entries(node: &Node) -> Vec<WireQuarantineEntry> {
     let now = node.now();
     let records = node.quarantine.lock().next_to_gossip(MAX_QUARANTINE_ENTRIES, now);
@@ -209,6 +213,7 @@
         .collect()
 }
 
+/// Where this node's list ends, and the time since that was known to be the end.
 fn list_end(node: &Node) -> Option<(LogPosition, u64)> {
     let list = node.list.lock();
     list.next.map(|next| (next, node.now().since(list.read_at).0))
@@ -270,6 +275,7 @@
     None
 }
 
+/// Handles a heartbeat. Returns a digest if the sender looks for relays.
 fn handle_heartbeat(
     node: &Node,
     from: SocketAddr,
@@ -295,6 +301,7 @@
     Some(peers.answer(&own, &own_heartbeat, &data_centre, now))
 }
 
+/// Handles a relay's digest.
 fn handle_digest(node: &Node, from: SocketAddr, name: SmolStr, digest: Digest, since: Millis) {
     handle_shared_state(node, &digest.own, since);
     merge_event_gaps(node, &digest.loads);
@@ -366,6 +373,7 @@
 /// Longest time for which a datagram may have been in transit, added to the ages in it.
 const MAX_TRANSIT_TIME: Millis = Millis(200);
 
+/// Merges the mean times between events that a peer has measured.
 fn merge_event_gaps(node: &Node, loads: &[WireLoad]) {
     if loads.is_empty() {
         return;
@@ -379,6 +387,7 @@
     }
 }
 
+/// Handles a peer's probe result, and queues a probe of this node if it is asked for one.
 fn handle_verdict(
     node: &Node,
     from: SocketAddr,
@@ -415,6 +424,7 @@
     tokio::join!(catch_up_config(Arc::clone(&node)), catch_up_list(node));
 }
 
+/// Fetches the configuration from a peer if the store does not deliver a newer one in time.
 async fn catch_up_config(node: Arc<Node>) {
     let mut newer_since = None;
     let mut received = 0;
@@ -477,6 +487,7 @@
     }
 }
 
+/// The peer from which missing list records are fetched; `None` if no peer has any.
 fn fetch_source(node: &Node) -> Option<SocketAddr> {
     let next = node.list.lock().next;
     let settings = node.settings();
@@ -517,6 +528,7 @@
 /// HTTP path at which a node serves its list records to peers, from a given position on.
 pub const LIST_PATH: &str = "/peer/list";
 
+/// Fetches a peer's configuration and installs it.
 async fn fetch_config(node: &Node, peer: SocketAddr) {
     let Some(bytes) = fetch(peer, CONFIG_PATH).await else { return };
     let Ok(serving_config) = config::decode(&bytes) else { return };
@@ -526,6 +538,7 @@
     emit(Event::ConfigFromPeer, &[("version", &version), ("peer", &peer.to_string())]);
 }
 
+/// Fetches list records from a peer, from this node's position on, and applies them.
 async fn fetch_list(node: &Node, peer: SocketAddr) {
     let from = node.list.lock().next.unwrap_or_default();
     let path = format!("{LIST_PATH}?from={}.{}", from.era, from.offset);
@@ -535,6 +548,7 @@
     store_sync::apply_list_news(node, &news, sent);
 }
 
+/// Fetches a path from a peer over HTTP; `None` on any failure.
 async fn fetch(peer: SocketAddr, path: &str) -> Option<Bytes> {
     let address = peer.to_string();
     let fetched = async {
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -154,6 +154,7 @@
     }
 }
 
+/// The address in a member name; `None` if it has none.
 fn address_of(member: &str) -> Option<SocketAddr> {
     member.split('/').next()?.parse().ok()
 }
--- a/crates/workshold-gateway/src/tasks/long_poll.rs
+++ b/crates/workshold-gateway/src/tasks/long_poll.rs
@@ -43,6 +43,7 @@
         }
     }
 
+    /// Its name in the store.
     const fn name(self) -> &'static str {
         match self {
             Self::Config => names::OPERATOR_TOPIC,
@@ -50,6 +51,7 @@
         }
     }
 
+    /// The counter of its polls.
     const fn metric(self) -> Metric {
         match self {
             Self::Config => Metric::ConfigReads,
@@ -181,6 +183,7 @@
     }
 }
 
+/// Sends one poll, which the store may hold for `wait`.
 async fn send_poll(
     store: &Store,
     topic: Topic,
--- a/crates/workshold-gateway/src/tasks/probing.rs
+++ b/crates/workshold-gateway/src/tasks/probing.rs
@@ -174,6 +174,7 @@
     }
 }
 
+/// The message that tells peers the result of a probe, or asks them to probe.
 fn verdict(id: &Identity, reach: ProbeResult, ask: Ask) -> Message {
     Message::Verdict { instance: instance_hash(id), reach: reach.into(), ask }
 }
--- a/crates/workshold-gateway/src/tasks/quarantine_store.rs
+++ b/crates/workshold-gateway/src/tasks/quarantine_store.rs
@@ -84,6 +84,7 @@
     read.is_ok()
 }
 
+/// Saves new quarantine records, and the era's record if it is due.
 async fn save(node: &Node, stored_era: &mut Era) {
     let unsaved = node.quarantine.lock().take_unsaved();
     let mut records: Vec<(String, Vec<u8>)> =
@@ -108,17 +109,19 @@
     }
 }
 
+/// Appends records to the quarantine's topic.
 async fn append(node: &Node, records: &[(String, Vec<u8>)]) -> Result<(), StoreError> {
     let sent = node.now();
     let answer = node.store.append(names::QUARANTINE_TOPIC, records, STORE_TIMEOUT).await?;
     node.take_answer(answer, sent)
 }
 
+/// Key and value of the record of an era.
 fn encode_era(node: &Node, era: Era) -> (String, Vec<u8>) {
     let (now, wall_now) = (node.now(), node.wall());
     let age = node.store_monitor.told(now).map_or(0, |(_, age)| age);
     let stored = StoredEra { era, seen_at: (wall_now - Millis(age)).0 };
-    (ERA_KEY.to_owned(), serde_json::to_vec(&stored).expect("it has only plain fields"))
+    (ERA_KEY.to_owned(), serde_json::to_vec(&stored).expect("serializing plain fields cannot fail"))
 }
 
 /// Handles the stored record of the present era; saves one if there is none.
@@ -138,6 +141,7 @@
     }
 }
 
+/// Reads the stored records and merges them into the quarantine.
 async fn try_read(node: &Node, stored_era: &mut Era) -> Result<(), StoreError> {
     let sent = node.now();
     let stored = node.store.newest(names::QUARANTINE_TOPIC, STORE_TIMEOUT).await?;
@@ -171,7 +175,7 @@
             .map(|end| (end.incarnation, end.place, wall_time(end.at)))
             .collect(),
     };
-    (key, serde_json::to_vec(&stored).expect("it has only plain fields"))
+    (key, serde_json::to_vec(&stored).expect("serializing plain fields cannot fail"))
 }
 
 /// Decodes a record; malformed ones are ignored.
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -87,7 +87,7 @@
 }
 
 /// Updates the lease's partitions by the fencing tokens of other nodes, and returns a copy. Starts
-/// a reading of the list if a partition waits for one.
+/// a read of the list if a partition waits for one.
 fn refresh_lease(node: &Node) -> StewardLease {
     let now = node.now();
     let rules = HandoverTimings {
@@ -116,6 +116,8 @@
     lease
 }
 
+/// Runs a planning round: returns the orders to send. Without a valid fencing token all stewards
+/// are dropped, as another node may order their domains by now.
 fn plan(node: &Node, stewards: &Stewards, log_times: &LogTimes) -> Vec<Command> {
     let lease = refresh_lease(node);
     let mut stewards = stewards.lock();
@@ -167,6 +169,7 @@
     commands
 }
 
+/// Sends an order in the background, passes the reply to the stewards, and wakes the planning.
 fn send_order(node: Arc<Node>, stewards: Stewards, command: Command) {
     tokio::spawn(async move {
         node.metrics.count(Metric::Orders);
@@ -210,6 +213,7 @@
     }
 }
 
+/// The instances whose entries name the group of this epoch.
 fn members_of(node: &Node, epoch: u64) -> Vec<Identity> {
     let list = node.list.lock();
     let is_member =
--- a/crates/workshold-gateway/src/tasks/stewarding/planning_round.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/planning_round.rs
@@ -155,6 +155,7 @@
         (domains, parts.len())
     }
 
+    /// Whether this node may send orders to the instances of a domain now.
     fn may_order(&self, domain: &FabricDomain) -> bool {
         let partition_lease = self.lease.parts.get(&partition_of(domain, self.parts));
         partition_lease.is_some_and(|partition_lease| partition_lease.may_order(self.list_read_at))
@@ -274,6 +275,7 @@
 /// their models.
 type FormingGroups = Vec<(Option<u64>, ModelName)>;
 
+/// The groups that these stewards are forming.
 fn forming(stewards: &BTreeMap<u64, Steward>) -> FormingGroups {
     let all = stewards.values().flat_map(Steward::forming);
     all.map(|(epoch, model)| (epoch, model.clone())).collect()
@@ -311,19 +313,23 @@
         }
     }
 
+    /// Entries of the service's instances.
     fn entries(&self) -> &[&'a Entry] {
         let of_service = |entry: &&Entry| entry.instance.service == *self.service;
         self.entries.get_or_init(|| self.round.roster.iter().filter(of_service).collect())
     }
 
+    /// All domains of the service, by the instance list.
     fn listed(&self) -> &[planner::Domain] {
         self.listed.get_or_init(|| self.round.listed(self.engine, self.entries()))
     }
 
+    /// The domains of the service but for one.
     fn others(&self, own: &FabricDomain) -> Vec<planner::Domain> {
         self.listed().iter().filter(|domain| domain.name != *own).cloned().collect()
     }
 
+    /// Number of groups by model, with those that this node is forming.
     fn counts(&self, forming: &FormingGroups) -> BTreeMap<ModelName, f64> {
         let counted_groups = || self.round.group_counts(self.engine, self.entries());
         let (known, counted_groups) = self.counted_groups.get_or_init(counted_groups);
@@ -335,6 +341,7 @@
         counts
     }
 
+    /// Models with the utility and the present number of their groups.
     fn models(&self, forming: &FormingGroups) -> Vec<planner::Model> {
         let compute = || self.round.models(self.engine, self.entries().len(), self.demand);
         let mut models = self.models.get_or_init(compute).clone();
@@ -357,6 +364,7 @@
     domains
 }
 
+/// Figures by model as a text for the log.
 fn format_by_model(figures: &BTreeMap<ModelName, f64>) -> String {
     let figures = figures.iter().map(|(model, figure)| format!("{model}={figure:.2}"));
     figures.collect::<Vec<_>>().join(" ")
--- a/crates/workshold-gateway/src/tasks/store_sync.rs
+++ b/crates/workshold-gateway/src/tasks/store_sync.rs
@@ -40,7 +40,7 @@
 /// The same before there is traffic: no caller waits for the group yet.
 const LIST_READ_INTERVAL_BUSY_EARLY: Millis = Millis(160);
 /// Interval at which a node checks whether it has to read the store itself: a fraction of the
-/// time for which its peers' readings count as current.
+/// time for which its peers' reads count as current.
 const READER_CHECK_INTERVAL: Millis = Millis(300);
 /// The same for a node that has just started.
 const START_CHECK_INTERVAL: Millis = Millis(50);
@@ -92,6 +92,7 @@
     }
 }
 
+/// Whether peers read for this node, and the data that it has are current.
 fn do_peers_read(node: &Node, is_current: impl Fn(&Node) -> bool) -> bool {
     !node.is_store_reader() && !node.are_readers_cut_off() && is_current(node)
 }
@@ -111,6 +112,7 @@
     !is_busy && list.next.is_some() && node.now().since(list.read_at) < SHARED_LIST_MAX_AGE
 }
 
+/// Reads the operator's topic once and installs the newest configuration in it.
 async fn read_config(node: &Node, cursor: &mut TopicCursor) {
     let next = cursor.next;
     let from = || next.filter(|next| next.era == node.store_monitor.era());
@@ -142,7 +144,7 @@
         }
         Some(record) => install_config(node, record, sent, cursor),
         None => {
-            // No record newer than the last one read, so that one is current. A reading of all
+            // No record newer than the last one read, so that one is current. A read of all
             // records that has no configuration shows nothing (`newest` is `None` then).
             if let Some(version) = cursor.newest {
                 node.confirm_config(version, sent);
@@ -165,6 +167,7 @@
         .is_ok_and(|serving_config| node.may_be_outdated(serving_config.version))
 }
 
+/// Decodes and installs a configuration that was read by a poll sent at `sent`.
 fn install_config(node: &Node, record: &Record, sent: Millis, cursor: &mut TopicCursor) {
     match config::decode(&record.value) {
         Ok(serving_config) => {
@@ -194,7 +197,7 @@
     }
 }
 
-/// Waits before the next reading of the list: a short time if the steward waits for entries.
+/// Waits before the next read of the list: a short time if the steward waits for entries.
 async fn wait_before_next_read(node: &Node, sent: Millis) {
     let min_pause =
         if node.has_traffic() { LIST_READ_INTERVAL_BUSY } else { LIST_READ_INTERVAL_BUSY_EARLY };
@@ -248,7 +251,7 @@
     true
 }
 
-/// Moves the list to the era of `end` if that is a new one. Its first full reading, sent at
+/// Moves the list to the era of `end` if that is a new one. Its first full read, sent at
 /// `full_read_at`, counts as a restored snapshot if instances may not have renewed their entries
 /// by then.
 fn enter_era(node: &Node, end: LogPosition, full_read_at: Option<Millis>) {
@@ -264,6 +267,8 @@
     }
 }
 
+/// Applies list records; if they are the full list (`is_full`), instances without a record are
+/// gone.
 fn apply_records(node: &Node, records: &Records, is_full: bool, sent: Millis) {
     let now = node.now();
     if !is_full && records.records.is_empty() {
@@ -286,6 +291,7 @@
     node.planning_wanted.notify_one();
 }
 
+/// Applies one list record unless a newer one of the instance is known.
 fn apply_record(node: &Node, id: &InstanceId, record: &Record, now: Millis) {
     let decoded = match record.value.is_empty() {
         true => Ok(None),
@@ -395,7 +401,7 @@
     let from = from.into();
     let list = node.list.lock();
     let newer = list.raw.iter().filter(|(_, (place, _))| *place >= from);
-    // An instance that a full reading lacked is gone, whatever its last record says.
+    // An instance that a full read lacked is gone, whatever its last record says.
     let is_gone = |key: &str| {
         let entry = InstanceId::new(key).ok().and_then(|id| list.roster.get(&id));
         entry.is_some_and(|entry| entry.unlisted_since.is_some())
--- a/crates/workshold-gateway/src/tasks/upkeep.rs
+++ b/crates/workshold-gateway/src/tasks/upkeep.rs
@@ -48,6 +48,7 @@
     }
 }
 
+/// Drops entries that are over, and what is known of instances without an entry.
 fn drop_expired(node: &Node) {
     let now = node.now();
     let mut list = node.list.lock();
