--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -145,7 +145,7 @@
 pub struct Node {
     settings: RwLock<Arc<Settings>>,
     clock: Box<dyn Clock>,
-    began: Millis,
+    started_at: Millis,
     /// Client of the store for everything but the configuration and the instance list.
     pub store: Store,
     /// Client for the configuration alone: its count of received bytes shows whether an answer
@@ -268,7 +268,7 @@
             // At the first start of the fleet the store holds no quarantine records.
             is_quarantine_read: AtomicBool::new(is_first_start),
             settings: RwLock::new(Arc::new(settings)),
-            began: clock.now(),
+            started_at: clock.now(),
             clock,
             store,
             config_store,
@@ -588,7 +588,7 @@
 
     /// Time since this process started.
     pub fn age(&self) -> Millis {
-        self.now().since(self.began)
+        self.now().since(self.started_at)
     }
 }
 
--- a/crates/workshold-gateway/src/node/retry_budget.rs
+++ b/crates/workshold-gateway/src/node/retry_budget.rs
@@ -52,7 +52,7 @@
         if settings.node.is_first_start {
             return RetryBudget::new(settings.budget());
         }
-        RetryBudget::for_restart(settings.budget(), self.began)
+        RetryBudget::for_restart(settings.budget(), self.started_at)
     }
 }
 
--- a/crates/workshold-gateway/src/node/store_access.rs
+++ b/crates/workshold-gateway/src/node/store_access.rs
@@ -45,7 +45,7 @@
     /// knows of about as many nodes as the relays that it asked. At the first start of a fleet all
     /// nodes start at once; each waits for a time that grows with its rank, so that there are nodes
     /// to ask.
-    pub fn is_settled(&self) -> bool {
+    pub fn knows_peers(&self) -> bool {
         let settings = self.settings();
         let delay = (u64::from(rank(&settings.node.name, settings.limits.class()))
             * FIRST_START_STAGGER.0)
@@ -159,7 +159,7 @@
             (peers.newest_config(now), peers.heard(now).next().is_none())
         };
         let is_held = self.config_age().is_some_and(|(held, _)| held >= version);
-        !is_held && (newest > Some(version) || (is_starting && (is_alone || !self.is_settled())))
+        !is_held && (newest > Some(version) || (is_starting && (is_alone || !self.knows_peers())))
     }
 
     /// Time since the last request was sent that the store has answered.
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -26,10 +26,10 @@
 /// Least time between two renewals, whatever fencing tokens peers announce.
 const MIN_RENEWAL_GAP: Duration = Duration::from_millis(60);
 /// Interval at which a starting node checks whether it knows its peers.
-const SETTLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const PEER_WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Age by which a starting node takes the lease even if it does not know its peers: there may
 /// be none.
-const MAX_SETTLE_TIME: Millis = Millis(2_000);
+const MAX_PEER_WAIT: Millis = Millis(2_000);
 /// Timeout of a call to the store.
 const STORE_TIMEOUT: Millis = Millis(700);
 /// Interval at which a node asks the store for other nodes. A new node asks at its start, and its
@@ -83,8 +83,8 @@
 /// Waits at the node's start until it knows its peers: each of hundreds of nodes that join at
 /// once would cause a redistribution of all partitions.
 async fn wait_for_peers(node: &Node) {
-    while !node.is_leaving() && !node.is_settled() && node.age() < MAX_SETTLE_TIME {
-        tokio::time::sleep(SETTLE_CHECK_INTERVAL).await;
+    while !node.is_leaving() && !node.knows_peers() && node.age() < MAX_PEER_WAIT {
+        tokio::time::sleep(PEER_WAIT_CHECK_INTERVAL).await;
     }
 }
 
--- a/crates/workshold-gateway/src/tasks/probing.rs
+++ b/crates/workshold-gateway/src/tasks/probing.rs
@@ -44,11 +44,11 @@
 
 /// Probes an address once, by opening a connection; `None` if the probe is void.
 pub async fn probe_once(node: &Node, address: &str) -> Option<ProbeResult> {
-    let began = node.now();
+    let started_at = node.now();
     node.metrics.count(Metric::Looks);
     let connected =
         tokio::time::timeout(PROBE_TIMEOUT.to_duration(), TcpStream::connect(address)).await;
-    let took = node.now().since(began);
+    let took = node.now().since(started_at);
     let result = match connected {
         Ok(Ok(_)) => Some(ProbeResult::Answers),
         Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => {
--- a/crates/workshold-gateway/src/tasks/store_sync.rs
+++ b/crates/workshold-gateway/src/tasks/store_sync.rs
@@ -79,7 +79,9 @@
 /// read the store itself, or [`MAX_START_WAIT`] are over.
 async fn wait_to_start(node: &Node) {
     let has_it = || node.list.lock().next.is_some();
-    while node.age() < MAX_START_WAIT && !has_it() && !(node.is_settled() && node.is_store_reader())
+    while node.age() < MAX_START_WAIT
+        && !has_it()
+        && !(node.knows_peers() && node.is_store_reader())
     {
         tokio::time::sleep(START_CHECK_INTERVAL.to_duration()).await;
     }
