--- a/crates/workshold-gateway/src/node/quarantine.rs
+++ b/crates/workshold-gateway/src/node/quarantine.rs
@@ -1,4 +1,5 @@
-//! Which requests are kept from instances, as this node sees and hears of them.
+//! The quarantine: requests that are not sent to instances since they ended the process of
+//! those that started them.
 
 use std::sync::atomic::Ordering;
 
@@ -19,7 +20,7 @@
 use crate::routing_table::Target;
 
 impl Node {
-    /// Until when a request is kept from all instances, if it is.
+    /// Until when a request is quarantined; `None` if it is not.
     pub fn quarantined_until(&self, fingerprint: Fingerprint) -> Option<Millis> {
         match self.quarantine.lock().status(fingerprint, self.now()) {
             QuarantineStatus::Held(until) => Some(until),
@@ -27,15 +28,15 @@
         }
     }
 
-    /// Whether one more end would keep a request from instances.
+    /// Whether one more ended process would quarantine a request.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.quarantine.lock().is_suspect(fingerprint, self.now())
     }
 
-    /// The connection to a target broke while a request began there. Returns whether the
-    /// target's end would keep that request from others. One that leaves with a plan ends
-    /// for its own reasons.
-    pub fn note_connection_lost(&self, job: &AdmittedRequest, target: &Target) -> bool {
+    /// Notes that the connection to a target broke while a request was starting there. Returns
+    /// whether the end of the target's process would quarantine the request. A target that shuts
+    /// down as planned is not counted: its process ends for other reasons.
+    pub fn note_connection_lost(&self, req: &AdmittedRequest, target: &Target) -> bool {
         let now = self.now();
         let (domain, is_leaving) = {
             let list = self.list.lock();
@@ -49,82 +50,86 @@
         let domain = domain.as_ref().map(|domain| domain.as_str());
         let place = quarantine::place(domain, target.data_centre.as_str());
         let incarnation = quarantine::incarnation(&target.id);
-        self.change_quarantine(|known| {
-            known.on_connection_broken(job.request_key(), incarnation, place, now)
+        self.update_quarantine(|quarantine| {
+            quarantine.on_connection_broken(req.request_key(), incarnation, place, now)
         });
-        self.is_suspect(job.fingerprint)
+        self.is_suspect(req.fingerprint)
     }
 
-    /// A life of an instance has ended.
-    pub(super) fn note_ended(&self, id: &Identity) {
+    /// Notes that an incarnation of an instance has ended.
+    pub(super) fn note_process_ended(&self, id: &Identity) {
         let now = self.now();
-        self.change_quarantine(|known| known.on_process_ended(quarantine::incarnation(id), now));
+        self.update_quarantine(|quarantine| {
+            quarantine.on_process_ended(quarantine::incarnation(id), now)
+        });
     }
 
-    /// A request ran to its end.
-    pub fn note_finished(&self, job: &AdmittedRequest) {
+    /// Notes that a request ran to its end, which clears its fingerprint.
+    pub fn note_finished(&self, req: &AdmittedRequest) {
         let now = self.now();
-        self.change_quarantine(|known| known.on_completed(job.fingerprint, now));
+        self.update_quarantine(|quarantine| quarantine.on_completed(req.fingerprint, now));
     }
 
-    /// An operator lets a request go; whether it was known.
+    /// Clears a request on an operator's order. Returns whether there was anything to clear.
     pub fn release(&self, fingerprint: Fingerprint) -> bool {
         let now = self.now();
-        self.change_quarantine(|known| known.clear(fingerprint, now))
+        self.update_quarantine(|quarantine| quarantine.clear(fingerprint, now))
     }
 
-    /// Another node, or the store, says this of requests.
-    pub fn hear_of_requests(&self, told: &[QuarantineRecord]) -> bool {
+    /// Merges quarantine records of a peer or of the store. Returns whether any was new.
+    pub fn merge_quarantine_records(&self, records: &[QuarantineRecord]) -> bool {
         let settings = self.settings();
         let is_relay = self.peers.lock().is_relay(&settings.own(), self.now());
-        self.change_quarantine(|quarantine| {
-            let news = told.iter().filter(|known| quarantine.take(known, is_relay));
+        self.update_quarantine(|quarantine| {
+            let news = records.iter().filter(|record| quarantine.take(record, is_relay));
             news.count() > 0
         })
     }
 
-    /// Changes what is known of requests. What is news goes to the others at once, and
-    /// whatever waits unread at an instance is looked at again.
-    fn change_quarantine(&self, change: impl FnOnce(&mut Quarantine) -> bool) -> bool {
+    /// Applies a change to the quarantine. If it changes anything, the records are saved to the
+    /// store, peers are told at once, and requests that wait at an instance without having
+    /// started check again whether they are quarantined.
+    fn update_quarantine(&self, change: impl FnOnce(&mut Quarantine) -> bool) -> bool {
         let now = self.now();
         let mut quarantine = self.quarantine.lock();
         if !change(&mut quarantine) {
             return false;
         }
-        let held = quarantine.newly_quarantined(now);
-        let is_telling = quarantine.has_news();
+        let quarantined = quarantine.newly_quarantined(now);
+        let has_news = quarantine.has_news();
         drop(quarantine);
-        if !held.is_empty() {
-            log_held(&held, now);
+        if !quarantined.is_empty() {
+            log_quarantined(&quarantined, now);
             self.suspicion_changed.send_modify(|version| *version += 1);
         }
-        self.keep_wanted.notify_one();
-        if is_telling {
+        self.quarantine_save_wanted.notify_one();
+        if has_news {
             self.heartbeat_wanted.notify_one();
         }
         true
     }
 
-    /// Whether what the store keeps of requests was read, or is not waited for.
+    /// Whether the store's quarantine records have been read, or are not waited for any more.
     pub fn is_quarantine_read(&self) -> bool {
         self.is_quarantine_read.load(Ordering::Relaxed)
     }
 
-    /// What the store keeps of requests has been read, or is not waited for any more.
-    pub fn quarantine_read(&self) {
+    /// Notes that the store's quarantine records have been read, or are not waited for any more.
+    pub fn mark_quarantine_read(&self) {
         self.is_quarantine_read.store(true, Ordering::Relaxed);
     }
 }
 
-fn log_held(held: &[(QuarantineRecord, Millis)], now: Millis) {
-    for (known, until) in held {
-        let RequestKey { fingerprint, caller } = known.request_key;
+/// Logs each request that has just been quarantined.
+fn log_quarantined(quarantined: &[(QuarantineRecord, Millis)], now: Millis) {
+    for (record, until) in quarantined {
+        let RequestKey { fingerprint, caller } = record.request_key;
         emit(
             Event::RequestHeld,
             &[
                 ("fingerprint", &fingerprint.to_string()),
                 ("caller", &format!("{caller:08x}")),
-                ("ended", &known.ends.len().to_string()),
+                ("ended", &record.ends.len().to_string()),
                 ("for_s", &(until.since(now).0 / 1_000).to_string()),
             ],
         );
--- a/crates/workshold-gateway/src/node/retry_budget.rs
+++ b/crates/workshold-gateway/src/node/retry_budget.rs
@@ -1,4 +1,4 @@
-//! What this node may repeat of each upstream's requests.
+//! The retry budget of each upstream on this node.
 
 use workshold_core::hosted::retry_policy::RetryBudget;
 use workshold_core::hosted::retry_policy::RetryBudgetUsage;
@@ -10,7 +10,7 @@
 use crate::node::Node;
 
 impl Node {
-    /// Takes one repeat out of the budget of a service.
+    /// Takes one retry out of a service's budget. Returns whether the budget allowed it.
     pub fn take_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let nodes = self.peers.lock().max_node_count();
@@ -25,34 +25,38 @@
         is_taken
     }
 
-    /// Gives a repeat back to the budget of a service: it never left.
+    /// Returns a retry to a service's budget because its request was never sent.
     pub fn return_retry(&self, service: &ServiceName) {
         self.budget(service, RetryBudget::refund);
     }
 
-    /// Counts a request towards the budget of a service.
+    /// Counts a request, which raises the number of retries that a service's budget allows.
     pub fn count_request(&self, service: &ServiceName) {
         let now = self.now();
         self.budget(service, |budget| budget.on_request(now));
     }
 
+    /// Runs `act` on a service's budget, which is created on first use.
     fn budget<T>(&self, service: &ServiceName, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut budgets = self.budgets.lock();
         if !budgets.contains_key(service) {
             budgets.insert(service.clone(), self.new_budget());
         }
-        act(budgets.get_mut(service).expect("it was just put in"))
+        act(budgets.get_mut(service).expect("the budget was inserted above"))
     }
 
+    /// A new budget. Unless the fleet starts for the first time, a process gets only part of it
+    /// during its first window: the process before it, or other nodes, may have used the rest.
     fn new_budget(&self) -> RetryBudget {
         let settings = self.settings();
         if settings.node.is_first_start {
             return RetryBudget::new(settings.budget());
         }
-        RetryBudget::for_restart(settings.budget(), self.began)
+        RetryBudget::for_restart(settings.budget(), self.started_at)
     }
 }
 
+/// Logs that a budget refused a retry.
 fn log_refusal(service: &ServiceName, usage: RetryBudgetUsage, nodes: usize) {
     emit(
         Event::RepeatRefused,
--- a/crates/workshold-gateway/src/tasks/long_poll.rs
+++ b/crates/workshold-gateway/src/tasks/long_poll.rs
@@ -1,5 +1,5 @@
-//! Asking the store for the configuration and the list until it answers: what
-//! [`workshold_core::hosted::long_poll`] decides, done with connections.
+//! Long polls of the store for the configuration and the instance list, repeated until it
+//! answers. [`workshold_core::hosted::long_poll`] decides when to poll; this module does the calls.
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -19,22 +19,23 @@
 use crate::metrics::Metric;
 use crate::node::Node;
 
-/// Time for the answer itself, beyond the wait.
-const ANSWER_TIME: Millis = Millis(1_200);
-/// Waiting reads answer at least this often.
-const STORE_LOST_AFTER: Millis = Millis(3_000);
+/// Time for the answer itself, beyond the time for which the store holds a long poll.
+const STORE_TIMEOUT: Millis = Millis(1_200);
+/// The store counts as unavailable after this time without an answer, for the event of its
+/// return: long polls are answered more often than that.
+const STORE_UNAVAILABLE_AFTER: Millis = Millis(3_000);
 
-/// What is read.
+/// A topic of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Topic {
-    /// The operator's newest configuration.
+    /// The operator's configuration.
     Config,
-    /// The list of instances.
+    /// The instance list.
     List,
 }
 
 impl Topic {
-    /// What it is called in logs.
+    /// Its name in logs.
     const fn text(self) -> &'static str {
         match self {
             Self::Config => "configuration",
@@ -42,6 +43,7 @@
         }
     }
 
+    /// Its name in the store.
     const fn name(self) -> &'static str {
         match self {
             Self::Config => names::OPERATOR_TOPIC,
@@ -49,6 +51,7 @@
         }
     }
 
+    /// The counter of its polls.
     const fn metric(self) -> Metric {
         match self {
             Self::Config => Metric::ConfigReads,
@@ -56,7 +59,8 @@
         }
     }
 
-    /// Each has a client of its own: whether its answer is on its way shows there.
+    /// Its client; each topic has its own, since the client's count of received bytes shows whether
+    /// an answer is arriving.
     const fn store(self, node: &Node) -> &Store {
         match self {
             Self::Config => &node.config_store,
@@ -64,46 +68,46 @@
         }
     }
 
-    /// The store did not answer at `at`: entries may be missing that are there.
-    fn note_trouble(self, node: &Node, at: Millis) {
+    /// Notes that the store failed at `at`: missing entries then do not prove an instance gone.
+    fn note_store_failure(self, node: &Node, at: Millis) {
         if self == Self::List {
             node.list.lock().trust.on_store_failure(at);
         }
     }
 }
 
-/// What a question brought that was answered.
+/// The answer to a poll.
 #[derive(Debug)]
-pub struct Reading {
+pub struct PollAnswer {
     /// The records.
     pub records: Records,
-    /// From where on they were asked for; `None` for a whole reading.
+    /// The position from which they were requested; `None` if all were.
     pub from: Option<LogPosition>,
-    /// When the question was sent.
+    /// When the poll was sent.
     pub sent: Millis,
 }
 
-/// How asking ended.
+/// Outcome of polling.
 #[derive(Debug)]
 pub enum PollOutcome {
-    /// With an answer.
-    Read(Reading),
-    /// What was to be read on from is no longer kept.
+    /// The store answered.
+    Read(PollAnswer),
+    /// The store no longer keeps the position that was asked for.
     Gone,
-    /// Others read for this node.
-    NotNeeded,
+    /// Other nodes read for this one by now.
+    ReadByPeers,
 }
 
-/// A question on its way, the `number`th of its round.
+/// A poll that has been sent, the `number`th of its round.
 #[derive(Debug, Clone, Copy)]
-struct Question {
+struct Poll {
     number: u32,
     from: Option<LogPosition>,
     sent: Millis,
 }
 
-/// Asks for a topic, from the place that `from` gives or for the whole, until an answer comes
-/// or `is_needed` says that none is.
+/// Polls a topic, from the position that `from` returns or for all records, until an answer
+/// arrives or `is_needed` returns that none is needed.
 pub async fn read(
     node: &Node,
     topic: Topic,
@@ -112,36 +116,36 @@
     is_needed: impl Fn() -> bool,
 ) -> PollOutcome {
     let store = topic.store(node);
-    // The whole is there at once.
+    // A request for all records is answered at once.
     let wait = if from().is_some() { rules.wait } else { Millis::ZERO };
     let mut round = PollRound::new(LongPollRules { wait, ..rules }, node.now());
-    let mut open = FuturesUnordered::new();
+    let mut pending = FuturesUnordered::new();
     let mut received = store.received();
     loop {
         let now = node.now();
         if round.next_poll_at() <= now {
-            let is_coming = !open.is_empty() && store.received() > received;
+            let is_arriving = !pending.is_empty() && store.received() > received;
             received = store.received();
-            if is_coming {
+            if is_arriving {
                 round.on_partial_answer(now);
                 continue;
             }
             if round.asked() > 0 && !is_needed() {
-                return PollOutcome::NotNeeded;
+                return PollOutcome::ReadByPeers;
             }
             if round.is_first_poll_late() {
                 emit(Event::ReadingLate, &[("reading", topic.text())]);
             }
             let wait = round.on_poll_sent(now, rand::random());
-            let question = Question { number: round.asked(), from: from(), sent: now };
+            let poll = Poll { number: round.asked(), from: from(), sent: now };
             node.metrics.count(topic.metric());
-            open.push(ask(store, topic, question, wait));
+            pending.push(send_poll(store, topic, poll, wait));
         }
         let left = round.next_poll_at().since(node.now());
         tokio::select! {
-            Some((question, answer)) = open.next() => {
-                if let Some(asked) = take_answer(node, topic, &mut round, question, answer) {
-                    return asked;
+            Some((poll, answer)) = pending.next() => {
+                if let Some(outcome) = handle_answer(node, topic, &mut round, poll, answer) {
+                    return outcome;
                 }
             }
             () = tokio::time::sleep(left.to_duration()) => {}
@@ -149,27 +153,27 @@
     }
 }
 
-/// What an answer, or the want of one, comes to; `None` if another question is needed.
-fn take_answer(
+/// Turns an answer or a failure into the outcome; `None` if another poll is needed.
+fn handle_answer(
     node: &Node,
     topic: Topic,
     round: &mut PollRound,
-    question: Question,
+    poll: Poll,
     answer: Result<Answer<Records>, StoreError>,
 ) -> Option<PollOutcome> {
-    let Question { number, from, sent } = question;
-    match answer.and_then(|answer| take(node, answer, sent)) {
+    let Poll { number, from, sent } = poll;
+    match answer.and_then(|answer| accept(node, answer, sent)) {
         Ok(records) => {
             if round.may_follow_outage(number) {
-                topic.note_trouble(node, sent);
+                topic.note_store_failure(node, sent);
             }
-            Some(PollOutcome::Read(Reading { records, from, sent }))
+            Some(PollOutcome::Read(PollAnswer { records, from, sent }))
         }
         Err(StoreError::Gone { .. }) => Some(PollOutcome::Gone),
         Err(err) => {
             let now = node.now();
-            note_failure(node, topic, sent, &err);
-            topic.note_trouble(node, now);
+            log_failure(node, topic, sent, &err);
+            topic.note_store_failure(node, now);
             match err {
                 StoreError::Call(CallError::TimedOut { .. }) => round.on_timeout(),
                 _ => round.on_refusal(now),
@@ -179,40 +183,42 @@
     }
 }
 
-async fn ask(
+/// Sends one poll, which the store may hold for `wait`.
+async fn send_poll(
     store: &Store,
     topic: Topic,
-    question: Question,
+    poll: Poll,
     wait: Millis,
-) -> (Question, Result<Answer<Records>, StoreError>) {
-    let answer = match question.from {
-        Some(from) => store.read(topic.name(), from.offset, wait, ANSWER_TIME).await,
-        None => store.newest(topic.name(), ANSWER_TIME).await,
+) -> (Poll, Result<Answer<Records>, StoreError>) {
+    let answer = match poll.from {
+        Some(from) => store.read(topic.name(), from.offset, wait, STORE_TIMEOUT).await,
+        None => store.newest(topic.name(), STORE_TIMEOUT).await,
     };
-    (question, answer)
+    (poll, answer)
 }
 
-/// What the store says, if it is not of a past that is over.
-fn take<T>(node: &Node, answer: Answer<T>, sent: Millis) -> Result<T, StoreError> {
-    let was_lost = node.store_silent_for() > STORE_LOST_AFTER && node.config_age().is_some();
-    let said = node.take_answer(answer, sent)?;
-    if was_lost {
+/// The content of an answer, unless it belongs to an era of the store that is over.
+fn accept<T>(node: &Node, answer: Answer<T>, sent: Millis) -> Result<T, StoreError> {
+    let was_unavailable =
+        node.store_silent_for() > STORE_UNAVAILABLE_AFTER && node.config_age().is_some();
+    let content = node.take_answer(answer, sent)?;
+    if was_unavailable {
         emit(Event::StoreBack, &[]);
     }
-    Ok(said)
+    Ok(content)
 }
 
-/// A question that was sent at `sent` has failed. Whether the store has answered another one
-/// that was asked later tells a question that was lost from a store that is away.
-fn note_failure(node: &Node, topic: Topic, sent: Millis, err: &StoreError) {
+/// Logs that a poll sent at `sent` has failed. Whether the store has answered another request
+/// that was sent later distinguishes a lost poll from an unavailable store.
+fn log_failure(node: &Node, topic: Topic, sent: Millis, err: &StoreError) {
     let age = node.store_silent_for();
     let asked = node.now().since(sent);
-    let others = if age < asked { "answered" } else { "not answered" };
+    let later_polls = if age < asked { "answered" } else { "not answered" };
     let fields = [
         ("why", &*err.to_string()),
         ("reading", topic.text()),
         ("asked", &*asked.to_string()),
-        ("later_questions", others),
+        ("later_questions", later_polls),
         ("silent_for", &*age.to_string()),
     ];
     emit(Event::StoreLost, &fields);
--- a/crates/workshold-gateway/src/tasks/store_sync.rs
+++ b/crates/workshold-gateway/src/tasks/store_sync.rs
@@ -1,4 +1,5 @@
-//! Following the store: the configuration, and the list of instances.
+//! Keeps the configuration and the instance list in sync with the store, read by this node itself
+//! or by its peers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,224 +19,233 @@
 use crate::events::Event;
 use crate::events::emit;
 use crate::loads::instance_hash;
-use crate::node::List;
+use crate::node::ListReplica;
 use crate::node::Node;
 use crate::peers::ListNews;
 use crate::peers::ListRecord;
 use crate::tasks::gossip;
 use crate::tasks::long_poll;
+use crate::tasks::long_poll::PollAnswer;
 use crate::tasks::long_poll::PollOutcome;
-use crate::tasks::long_poll::Reading;
 use crate::tasks::long_poll::Topic;
 
-/// The least time between two reads of the list: each call has its price. It is drawn anew
-/// each time from between two thirds and four thirds of it, or all readers, woken by the same
-/// change, would read together and all miss the next one for as long.
-const LIST_EVERY: Millis = Millis(900);
+/// Mean of the least time between two reads of the list, since each call loads the store. The
+/// time is drawn at random from 2/3 to 4/3 of it: all readers are woken by the same change, and
+/// without the jitter would read at the same time and all miss the next change for as long.
+const LIST_READ_INTERVAL: Millis = Millis(900);
 /// The same before there is traffic.
-const LIST_EVERY_EARLY: Millis = Millis(400);
-/// The same while a steward waits for statements.
-const LIST_EVERY_BUSY: Millis = Millis(40);
-/// The same before there is traffic: nobody waits for the group yet.
-const LIST_EVERY_BUSY_EARLY: Millis = Millis(160);
-/// How often a node looks whether it has to read for itself: a fraction of the time for
-/// which what others have read is current.
-const READER_LOOK: Millis = Millis(300);
-/// The same while it has just started, and for how long it waits then for others to hand on
-/// what they have: hundreds of nodes that start at once would all read it.
-const STARTER_LOOK: Millis = Millis(50);
-const STARTER_WAITS: Millis = Millis(1_500);
-/// What others have read is current if it is not older: their waits and a pulse's way.
-const LIST_CURRENT: Millis = Millis(4_200);
+const LIST_READ_INTERVAL_EARLY: Millis = Millis(400);
+/// The same while the steward waits for list entries that show the effect of its orders.
+const LIST_READ_INTERVAL_BUSY: Millis = Millis(40);
+/// The same before there is traffic: no caller waits for the group yet.
+const LIST_READ_INTERVAL_BUSY_EARLY: Millis = Millis(160);
+/// Interval at which a node checks whether it has to read the store itself: a fraction of the
+/// time for which its peers' reads count as current.
+const READER_CHECK_INTERVAL: Millis = Millis(300);
+/// The same for a node that has just started.
+const START_CHECK_INTERVAL: Millis = Millis(50);
+/// Time for which a starting node waits for peers to forward the list: otherwise hundreds of
+/// nodes that start at once would all read the store.
+const MAX_START_WAIT: Millis = Millis(1_500);
+/// A list read by peers counts as current up to this age: their long polls and the delay of a
+/// heartbeat.
+const SHARED_LIST_MAX_AGE: Millis = Millis(4_200);
 
-/// Follows the configuration until the node ends.
+/// Keeps the configuration in sync with the store until the node ends.
 pub async fn config(node: Arc<Node>) {
-    let mut followed = Followed::default();
+    let mut cursor = TopicCursor::default();
     loop {
-        wait_while_others_read(&node, is_config_current).await;
+        wait_while_peers_read(&node, is_config_current).await;
         tokio::select! {
-            () = read_config(&node, &mut followed) => {}
-            // What waits is asked by a place of the last past: keys would look older than
-            // they are until it runs out.
-            () = node.config_wanted_anew.notified() => {}
+            () = read_config(&node, &mut cursor) => {}
+            // The pending long poll uses a position of the previous era: until it timed out, the
+            // configuration and its API keys would look older than they are.
+            () = node.config_reread_wanted.notified() => {}
         }
     }
 }
 
-/// How far the operator's topic was read.
+/// How far this node has read the operator's topic.
 #[derive(Debug, Default)]
-struct Followed {
-    /// Where to read on; `None` before a whole reading.
+struct TopicCursor {
+    /// Position of the next record to read; `None` if all records have to be read.
     next: Option<LogPosition>,
-    /// The version that is the newest there. After a return from a copy it may be older than
-    /// the one in force, and then says nothing about how fresh that is.
+    /// The newest version in the topic. After a restore from a snapshot it may be older than the
+    /// one in force, and then does not show how recent that one is.
     newest: Option<u64>,
 }
 
-/// Waits at its start until a node has the list from others, or is one of those who read
-/// it, or has waited for too long.
+/// Waits at the node's start until it has received the list from a peer, or knows that it has to
+/// read the store itself, or [`MAX_START_WAIT`] are over.
 async fn wait_to_start(node: &Node) {
     let has_it = || node.list.lock().next.is_some();
-    while node.age() < STARTER_WAITS && !has_it() && !(node.is_settled() && node.is_store_reader())
+    while node.age() < MAX_START_WAIT
+        && !has_it()
+        && !(node.knows_peers() && node.is_store_reader())
     {
-        tokio::time::sleep(STARTER_LOOK.to_duration()).await;
+        tokio::time::sleep(START_CHECK_INTERVAL.to_duration()).await;
     }
 }
 
-/// Waits as long as others read for this node and what it has is current.
-async fn wait_while_others_read(node: &Node, is_current: impl Fn(&Node) -> bool) {
-    while do_others_read(node, &is_current) {
-        tokio::time::sleep(READER_LOOK.to_duration()).await;
+/// Waits while peers read for this node and the data that it has are current.
+async fn wait_while_peers_read(node: &Node, is_current: impl Fn(&Node) -> bool) {
+    while do_peers_read(node, &is_current) {
+        tokio::time::sleep(READER_CHECK_INTERVAL.to_duration()).await;
     }
 }
 
-fn do_others_read(node: &Node, is_current: impl Fn(&Node) -> bool) -> bool {
+/// Whether peers read for this node, and the data that it has are current.
+fn do_peers_read(node: &Node, is_current: impl Fn(&Node) -> bool) -> bool {
     !node.is_store_reader() && !node.are_readers_cut_off() && is_current(node)
 }
 
-/// A newer one is read from the store: it may be long, and a peer's link is small.
+/// Not if a peer has a newer configuration: it is read from the store, since it may be long and a
+/// peer's link is slow.
 fn is_config_current(node: &Node) -> bool {
     let current = node.settings().max_shared_config_age();
     let is_fresh = node.config_age().is_some_and(|(_, age)| age < current);
     is_fresh && gossip::peer_with_newer_config(node).is_none()
 }
 
-/// A steward reads for itself: it waits for statements.
+/// Not while the steward waits for list entries, for which it reads the store itself.
 fn is_list_current(node: &Node) -> bool {
-    let is_busy = node.is_steward_busy.load(Ordering::Relaxed) || node.wants_list_anew();
+    let is_busy = node.is_steward_busy.load(Ordering::Relaxed) || node.needs_list_reread();
     let list = node.list.lock();
-    !is_busy && list.next.is_some() && node.now().since(list.read_at) < LIST_CURRENT
+    !is_busy && list.next.is_some() && node.now().since(list.read_at) < SHARED_LIST_MAX_AGE
 }
 
-async fn read_config(node: &Node, followed: &mut Followed) {
-    let next = followed.next;
+/// Reads the operator's topic once and installs the newest configuration in it.
+async fn read_config(node: &Node, cursor: &mut TopicCursor) {
+    let next = cursor.next;
     let from = || next.filter(|next| next.era == node.store_monitor.era());
-    let is_needed = || !do_others_read(node, is_config_current);
+    let is_needed = || !do_peers_read(node, is_config_current);
     let rules = node.settings().config_poll_rules(node.is_store_reader());
-    let asked = long_poll::read(node, Topic::Config, rules, from, is_needed).await;
-    let Reading { records, from, sent } = match asked {
-        PollOutcome::Read(reading) => reading,
-        PollOutcome::NotNeeded => return,
+    let outcome = long_poll::read(node, Topic::Config, rules, from, is_needed).await;
+    let PollAnswer { records, from, sent } = match outcome {
+        PollOutcome::Read(answer) => answer,
+        PollOutcome::ReadByPeers => return,
         PollOutcome::Gone => {
-            *followed = Followed::default();
+            *cursor = TopicCursor::default();
             return;
         }
     };
-    let is_of_past = from.is_some_and(|from| from.era < records.end.era);
-    if is_of_past || from.is_none() {
-        *followed = Followed::default();
+    let is_of_old_era = from.is_some_and(|from| from.era < records.end.era);
+    if is_of_old_era || from.is_none() {
+        *cursor = TopicCursor::default();
     }
-    if is_of_past {
+    if is_of_old_era {
         return;
     }
     let last = records.records.iter().rfind(|record| record.key == names::CONFIG_KEY);
     match last {
-        Some(record) if is_surpassed(node, record) => {
-            // It is looked at again, in case whoever has a newer one does not hand it on.
-            *followed = Followed::default();
-            tokio::time::sleep(READER_LOOK.to_duration()).await;
+        Some(record) if may_be_outdated(node, record) => {
+            // Read again a moment later, in case no peer delivers the newer version.
+            *cursor = TopicCursor::default();
+            tokio::time::sleep(READER_CHECK_INTERVAL.to_duration()).await;
             return;
         }
-        Some(record) => install_config(node, record, sent, followed),
+        Some(record) => install_config(node, record, sent, cursor),
         None => {
-            // Nothing newer than what this node read before: it is current. A whole reading
-            // that lacks it shows nothing.
-            if let Some(version) = followed.newest {
+            // No record newer than the last one read, so that one is current. A read of all
+            // records that has no configuration shows nothing (`newest` is `None` then).
+            if let Some(version) = cursor.newest {
                 node.confirm_config(version, sent);
             }
         }
     }
-    followed.next = Some(after(&records, from));
+    cursor.next = Some(next_position(&records, from));
 }
 
-/// Where to read on: what a waiting read brought may end before the topic does.
-fn after(records: &Records, next: Option<LogPosition>) -> LogPosition {
+/// Position of the next record to read. The answer to a long poll may end before the topic does.
+fn next_position(records: &Records, next: Option<LogPosition>) -> LogPosition {
     let Some(next) = next else { return records.end };
     let last = records.records.last().map(|record| record.place);
     last.map_or(next, |last| LogPosition { offset: last.offset + 1, ..last })
 }
 
-/// Whether others may hold a newer configuration than the one that the store gives.
-fn is_surpassed(node: &Node, record: &Record) -> bool {
+/// Whether peers may hold a newer configuration than this record.
+fn may_be_outdated(node: &Node, record: &Record) -> bool {
     config::decode(&record.value)
-        .is_ok_and(|serving_config| node.is_surpassed(serving_config.version))
+        .is_ok_and(|serving_config| node.may_be_outdated(serving_config.version))
 }
 
-fn install_config(node: &Node, record: &Record, sent: Millis, followed: &mut Followed) {
+/// Decodes and installs a configuration that was read by a poll sent at `sent`.
+fn install_config(node: &Node, record: &Record, sent: Millis, cursor: &mut TopicCursor) {
     match config::decode(&record.value) {
         Ok(serving_config) => {
-            followed.newest = Some(serving_config.version);
+            cursor.newest = Some(serving_config.version);
             node.install_config(serving_config, record.value.clone(), sent);
         }
         Err(err) => emit(Event::ConfigUnreadable, &[("why", &err.to_string())]),
     }
 }
 
-/// Follows the list of instances until the node ends.
+/// Keeps the instance list in sync with the store until the node ends.
 pub async fn list(node: Arc<Node>) {
     loop {
         wait_to_start(&node).await;
-        wait_while_others_read(&node, is_list_current).await;
-        let long_poll = node.settings().list_poll_rules(node.is_store_reader());
-        let wait = if node.wants_list_anew() { Millis::ZERO } else { long_poll.wait };
+        wait_while_peers_read(&node, is_list_current).await;
+        let rules = node.settings().list_poll_rules(node.is_store_reader());
+        let wait = if node.needs_list_reread() { Millis::ZERO } else { rules.wait };
         let sent = node.now();
         tokio::select! {
-            has_read = read_list(&node, LongPollRules { wait, ..long_poll }) => {
+            has_read = read_list(&node, LongPollRules { wait, ..rules }) => {
                 if has_read {
-                    rest(&node, sent).await;
+                    wait_before_next_read(&node, sent).await;
                 }
             }
-            () = node.list_wanted_anew.notified(), if wait > Millis::ZERO => {}
+            () = node.list_reread_wanted.notified(), if wait > Millis::ZERO => {}
         }
     }
 }
 
-/// Rests before the next reading: short if a steward waits for statements.
-async fn rest(node: &Node, sent: Millis) {
-    let least = if node.has_traffic() { LIST_EVERY_BUSY } else { LIST_EVERY_BUSY_EARLY };
-    tokio::time::sleep(least.to_duration()).await;
+/// Waits before the next read of the list: a short time if the steward waits for entries.
+async fn wait_before_next_read(node: &Node, sent: Millis) {
+    let min_pause =
+        if node.has_traffic() { LIST_READ_INTERVAL_BUSY } else { LIST_READ_INTERVAL_BUSY_EARLY };
+    tokio::time::sleep(min_pause.to_duration()).await;
     if node.is_steward_busy.load(Ordering::Relaxed) {
         return;
     }
-    let every = if node.has_traffic() { LIST_EVERY } else { LIST_EVERY_EARLY };
-    let every = Millis(rand::random_range(every.0 * 2 / 3..=every.0 * 4 / 3));
-    let left = every.since(node.now().since(sent));
+    let interval = if node.has_traffic() { LIST_READ_INTERVAL } else { LIST_READ_INTERVAL_EARLY };
+    let interval = Millis(rand::random_range(interval.0 * 2 / 3..=interval.0 * 4 / 3));
+    let left = interval.since(node.now().since(sent));
     tokio::select! {
         () = tokio::time::sleep(left.to_duration()) => {}
-        () = node.list_wanted.notified() => {}
+        () = node.list_read_wanted.notified() => {}
     }
 }
 
-/// Reads on; whether that brought an answer.
+/// Reads the list from the current position on. Returns whether the store answered.
 async fn read_list(node: &Node, rules: LongPollRules) -> bool {
-    // Places of a past that is over mean nothing to the store.
+    // Positions of an earlier era are not valid in the present one.
     let from = || node.list.lock().next.filter(|next| next.era == node.store_monitor.era());
-    let is_needed = || !do_others_read(node, is_list_current);
-    let asked = long_poll::read(node, Topic::List, rules, from, is_needed).await;
-    let Reading { records, from, sent } = match asked {
-        PollOutcome::Read(reading) => reading,
-        PollOutcome::NotNeeded => return false,
+    let is_needed = || !do_peers_read(node, is_list_current);
+    let outcome = long_poll::read(node, Topic::List, rules, from, is_needed).await;
+    let PollAnswer { records, from, sent } = match outcome {
+        PollOutcome::Read(answer) => answer,
+        PollOutcome::ReadByPeers => return false,
         PollOutcome::Gone => {
             node.list.lock().next = None;
             return false;
         }
     };
     if from.is_some_and(|from| from.era < records.end.era) {
-        // It was asked by a place of the last past.
+        // The poll used a position of the previous era: ignore the records and read again.
         return true;
     }
-    let is_whole = from.is_none();
-    let end = after(&records, from);
-    begin_past(node, end, is_whole.then_some(sent));
-    apply(node, &records, is_whole, sent);
+    let is_full = from.is_none();
+    let end = next_position(&records, from);
+    enter_era(node, end, is_full.then_some(sent));
+    apply_records(node, &records, is_full, sent);
     {
         let mut list = node.list.lock();
-        // Others may have told of more meanwhile.
+        // Peers may have delivered later records meanwhile.
         let end = end.max(list.next.unwrap_or_default());
         list.next = Some(end);
         list.read_at = list.read_at.max(sent);
         list.gap.on_own_list_end(end);
-        list.has_own_news |= !records.records.is_empty();
+        list.has_unsent_records |= !records.records.is_empty();
     }
     if !records.records.is_empty() {
         node.news_wanted.notify_one();
@@ -243,44 +253,48 @@
     true
 }
 
-/// The list goes on to a place of this past. The first whole reading of it, begun at
-/// `read_whole`, is a copy as long as instances may not have written again.
-fn begin_past(node: &Node, end: LogPosition, read_whole: Option<Millis>) {
-    let true_from = node.store_monitor.trusted_from();
+/// Moves the list to the era of `end` if that is a new one. Its first full read, sent at
+/// `full_read_at`, counts as a restored snapshot if instances may not have renewed their entries
+/// by then.
+fn enter_era(node: &Node, end: LogPosition, full_read_at: Option<Millis>) {
+    let trusted_from = node.store_monitor.trusted_from();
     let mut list = node.list.lock();
-    let last = list.past.replace(end.era);
+    let last = list.era.replace(end.era);
     if last.is_none_or(|last| last == end.era) {
         return;
     }
-    list.roster.begin_era(end.era, true_from);
-    if read_whole.is_some_and(|sent| sent < true_from) {
+    list.roster.begin_era(end.era, trusted_from);
+    if full_read_at.is_some_and(|sent| sent < trusted_from) {
         list.copy_end = end;
     }
 }
 
-fn apply(node: &Node, records: &Records, is_whole: bool, sent: Millis) {
+/// Applies list records; if they are the full list (`is_full`), instances without a record are
+/// gone.
+fn apply_records(node: &Node, records: &Records, is_full: bool, sent: Millis) {
     let now = node.now();
-    if !is_whole && records.records.is_empty() {
+    if !is_full && records.records.is_empty() {
         return;
     }
-    let mut seen = BTreeSet::new();
+    let mut listed_ids = BTreeSet::new();
     for record in &records.records {
         let Ok(id) = InstanceId::new(&record.key) else {
-            log_unreadable(node, record, "its key is no name");
-            keep_raw(&mut node.list.lock(), record, false);
+            log_unreadable(node, record, "the key is not a valid instance id");
+            store_raw(&mut node.list.lock(), record, false);
             continue;
         };
-        seen.insert(id.clone());
-        take_entry(node, &id, record, now);
+        listed_ids.insert(id.clone());
+        apply_record(node, &id, record, now);
     }
-    if is_whole {
-        node.list.lock().roster.on_full_list(&seen, records.end, sent);
+    if is_full {
+        node.list.lock().roster.on_full_list(&listed_ids, records.end, sent);
     }
-    node.list_changed();
-    node.steward_wanted.notify_one();
+    node.on_list_changed();
+    node.planning_wanted.notify_one();
 }
 
-fn take_entry(node: &Node, id: &InstanceId, record: &Record, now: Millis) {
+/// Applies one list record unless a newer one of the instance is known.
+fn apply_record(node: &Node, id: &InstanceId, record: &Record, now: Millis) {
     let decoded = match record.value.is_empty() {
         true => Ok(None),
         false => entries::decode(id, &record.value).map(Some),
@@ -293,41 +307,41 @@
     if !is_newer {
         return;
     }
-    let is_copied = record.place < list.copy_end && record.place.era == list.copy_end.era;
-    let is_news = list.roster.get(id).is_some_and(|entry| entry.place < record.place);
-    keep_raw(&mut list, record, decoded.is_ok());
-    let Ok(word) = decoded else {
+    let is_restored = record.place < list.copy_end && record.place.era == list.copy_end.era;
+    let is_update = list.roster.get(id).is_some_and(|entry| entry.place < record.place);
+    store_raw(&mut list, record, decoded.is_ok());
+    let Ok(decoded_entry) = decoded else {
         list.roster.apply_unreadable(record.place, id, now);
         return;
     };
-    let identity = word.as_ref().map(|word| word.identity.clone());
-    let ended = match word {
-        Some(word) if is_copied => {
-            list.roster.apply_restored(record.place, id, word, now);
+    let identity = decoded_entry.as_ref().map(|decoded_entry| decoded_entry.identity.clone());
+    let ended = match decoded_entry {
+        Some(decoded_entry) if is_restored => {
+            list.roster.apply_restored(record.place, id, decoded_entry, now);
             None
         }
-        word => list.roster.apply(record.place, id, word, now),
+        decoded_entry => list.roster.apply(record.place, id, decoded_entry, now),
     };
     if let Some(identity) = &identity {
         list.by_instance_hash.insert(instance_hash(identity), identity.clone());
     }
     drop(list);
-    if let Some(life) = ended {
-        node.note_superseded(&life);
+    if let Some(incarnation) = ended {
+        node.note_superseded(&incarnation);
     }
-    if let Some(identity) = identity.filter(|_| is_news && !is_copied) {
+    if let Some(identity) = identity.filter(|_| is_update && !is_restored) {
         node.suspicions.lock().clear(&identity);
     }
 }
 
-/// Keeps a record for peers; of one that cannot be read, only that.
-fn keep_raw(list: &mut List, record: &Record, is_readable: bool) {
+/// Keeps a record for forwarding to peers. An undecodable one is replaced by a marker.
+fn store_raw(list: &mut ListReplica, record: &Record, is_readable: bool) {
     let unreadable = Bytes::from_static(entries::UNREADABLE);
     let value = if is_readable { record.value.clone() } else { unreadable };
     list.raw.insert(record.key.clone(), (record.place, value));
 }
 
-/// Says that a record cannot be read, once for each.
+/// Logs an undecodable record, once for each.
 fn log_unreadable(node: &Node, record: &Record, why: &str) {
     let list = node.list.lock();
     let is_known = list.raw.get(&record.key).is_some_and(|(place, _)| *place >= record.place);
@@ -337,32 +351,32 @@
     }
 }
 
-/// Takes records that a peer has read, told after `since`; whether they follow on what this
-/// node has.
-pub fn apply_list_news(node: &Node, from_peer: &ListNews, since: Millis) -> bool {
+/// Applies list records from a peer that arrived after `since`. Returns `false` if records
+/// between this node's list and them are missing.
+pub fn apply_list_news(node: &Node, update: &ListNews, since: Millis) -> bool {
     let now = node.now();
     let next = {
         let mut list = node.list.lock();
         let next = list.next;
-        if next.unwrap_or_default() < from_peer.from {
-            list.gap.on_peer_list_end(next, from_peer.next, now);
+        if next.unwrap_or_default() < update.from {
+            list.gap.on_peer_list_end(next, update.next, now);
             return false;
         }
-        if next.is_some_and(|next| next.era > from_peer.next.era) {
+        if next.is_some_and(|next| next.era > update.next.era) {
             return true;
         }
         next
     };
-    if from_peer.next.era > node.store_monitor.era() {
-        node.hear_of_past(from_peer.next.era, now);
+    if update.next.era > node.store_monitor.era() {
+        node.on_peer_era(update.next.era, now);
     }
-    begin_past(node, from_peer.next, None);
+    enter_era(node, update.next, None);
     {
         let mut list = node.list.lock();
-        list.copy_end = list.copy_end.max(from_peer.copy_end);
+        list.copy_end = list.copy_end.max(update.copy_end);
     }
-    let sent = since - Millis(from_peer.age_ms);
-    let records: Vec<Record> = from_peer
+    let sent = since - Millis(update.age_ms);
+    let records: Vec<Record> = update
         .records
         .iter()
         .map(|record| Record {
@@ -371,9 +385,9 @@
             value: Bytes::copy_from_slice(&record.value),
         })
         .collect();
-    apply(node, &Records { end: from_peer.next, records }, false, sent);
+    apply_records(node, &Records { end: update.next, records }, false, sent);
     let mut list = node.list.lock();
-    let end = list.next.unwrap_or_default().max(from_peer.next);
+    let end = list.next.unwrap_or_default().max(update.next);
     list.next = Some(end);
     list.read_at = list.read_at.max(sent);
     list.gap.on_own_list_end(end);
@@ -384,12 +398,12 @@
     true
 }
 
-/// The records from `from` on, for a peer.
+/// The list records from position `from` on, for a peer.
 pub fn news(node: &Node, from: impl Into<LogPosition>) -> ListNews {
     let from = from.into();
     let list = node.list.lock();
     let newer = list.raw.iter().filter(|(_, (place, _))| *place >= from);
-    // What a whole reading lacked is gone, whatever its last record says.
+    // An instance that a full read lacked is gone, whatever its last record says.
     let is_gone = |key: &str| {
         let entry = InstanceId::new(key).ok().and_then(|id| list.roster.get(&id));
         entry.is_some_and(|entry| entry.unlisted_since.is_some())
