--- a/crates/workshold-core/src/hosted/instance_limits.rs
+++ b/crates/workshold-core/src/hosted/instance_limits.rs
@@ -42,9 +42,9 @@
     /// The limit for all nodes together; `None` if there is none.
     pub limit: Option<Rate>,
     /// When the request was sent whose answer reported the limit, which was after this.
-    pub asked: Millis,
+    pub request_sent_at: Millis,
     /// When that answer came: the limit was reported before this.
-    pub heard: Millis,
+    pub answer_received_at: Millis,
 }
 
 /// Parameters of [`InstanceLimits`].
@@ -175,7 +175,12 @@
     }
 
     /// Whether a request may be sent now, and otherwise when.
-    fn look(&mut self, rules: LimitRules, share: SenderShare, now: Millis) -> Result<(), Withheld> {
+    fn check(
+        &mut self,
+        rules: LimitRules,
+        share: SenderShare,
+        now: Millis,
+    ) -> Result<(), Withheld> {
         let Some(sender_rate) = self.sender_rate(share) else { return Ok(()) };
         self.refill(rules, sender_rate, share, now);
         if self.tokens >= 1.0 - ROUNDING_TOLERANCE {
@@ -238,7 +243,7 @@
             if report.limit.is_none() {
                 return false;
             }
-            let (tokens, refilled_at) = (self.rules.initial_tokens, report.heard);
+            let (tokens, refilled_at) = (self.rules.initial_tokens, report.answer_received_at);
             let state = LimitState {
                 report,
                 tokens,
@@ -251,8 +256,9 @@
         };
         let known = state.report;
         if report.limit == known.limit {
-            state.report.asked = known.asked.max(report.asked);
-            state.report.heard = known.heard.max(report.heard);
+            state.report.request_sent_at = known.request_sent_at.max(report.request_sent_at);
+            state.report.answer_received_at =
+                known.answer_received_at.max(report.answer_received_at);
             return false;
         }
         let lowers = match (report.limit, known.limit) {
@@ -260,9 +266,9 @@
             (limit, _) => limit.is_some(),
         };
         let is_accepted = if lowers {
-            report.heard + self.rules.slack > known.asked
+            report.answer_received_at + self.rules.slack > known.request_sent_at
         } else {
-            report.asked >= known.heard + self.rules.slack
+            report.request_sent_at >= known.answer_received_at + self.rules.slack
         };
         if is_accepted {
             state.report = report;
@@ -321,7 +327,7 @@
     /// # Errors
     ///
     /// [`Withheld`] if not.
-    pub fn look(&mut self, id: &K, share: SenderShare, now: Millis) -> Result<(), Withheld> {
+    pub fn check(&mut self, id: &K, share: SenderShare, now: Millis) -> Result<(), Withheld> {
         if self.leaving.contains_key(id) {
             return Err(Withheld { until: None, why: WithheldReason::Leaving });
         }
@@ -331,7 +337,7 @@
             return Err(Withheld { until: Some(backing_off.until), why: WithheldReason::Backoff });
         }
         let rules = self.rules;
-        self.rate_limits.get_mut(id).map_or(Ok(()), |state| state.look(rules, share, now))
+        self.rate_limits.get_mut(id).map_or(Ok(()), |state| state.check(rules, share, now))
     }
 
     /// Takes a token for one request to an instance.
@@ -340,7 +346,7 @@
     ///
     /// [`Withheld`] if it may not be sent now.
     pub fn take(&mut self, id: &K, share: SenderShare, now: Millis) -> Result<(), Withheld> {
-        self.look(id, share, now)?;
+        self.check(id, share, now)?;
         if let Some(state) =
             self.rate_limits.get_mut(id).filter(|state| state.report.limit.is_some())
         {
@@ -376,7 +382,7 @@
     /// Drops rate limits that no answer has confirmed for long, backoffs that are over, and what
     /// incarnations that are no longer known announced long ago.
     pub fn forget(&mut self, now: Millis, is_known: impl Fn(&K) -> bool) {
-        self.rate_limits.retain(|_, state| now.since(state.report.heard) < LIMIT_TTL);
+        self.rate_limits.retain(|_, state| now.since(state.report.answer_received_at) < LIMIT_TTL);
         let is_kept =
             |id: &K, reported_at: Millis| is_known(id) || now.since(reported_at) < UNLISTED_TTL;
         self.backoffs.retain(|id, backoff| backoff.until > now && is_kept(id, backoff.reported_at));
--- a/crates/workshold-core/src/hosted/quarantine.rs
+++ b/crates/workshold-core/src/hosted/quarantine.rs
@@ -111,7 +111,7 @@
     /// One more end quarantines it, so its requests run at one instance at a time.
     Suspect,
     /// It is quarantined until this time: no instance gets its requests.
-    Held(Millis),
+    Quarantined(Millis),
 }
 
 /// What is known of one fingerprint.
@@ -195,7 +195,7 @@
         }
         let quarantined_until = self.last_change() + quarantine_time(count);
         if count >= ENDS_TO_QUARANTINE && now < quarantined_until {
-            QuarantineStatus::Held(quarantined_until)
+            QuarantineStatus::Quarantined(quarantined_until)
         } else {
             QuarantineStatus::Suspect
         }
@@ -415,7 +415,8 @@
     /// The next quarantined fingerprint in turn, so that nodes that have just started learn of all
     /// of them.
     fn next_quarantined(&mut self, now: Millis) -> Option<Fingerprint> {
-        let is_quarantined = |entry: &Entry| matches!(entry.status(now), QuarantineStatus::Held(_));
+        let is_quarantined =
+            |entry: &Entry| matches!(entry.status(now), QuarantineStatus::Quarantined(_));
         let quarantined: Vec<Fingerprint> = self
             .entries
             .iter()
@@ -462,7 +463,7 @@
     pub fn newly_quarantined(&mut self, now: Millis) -> Vec<(QuarantineRecord, Millis)> {
         let changed = self.entries.iter_mut().filter_map(|(fingerprint, entry)| {
             let quarantined_until = match entry.status(now) {
-                QuarantineStatus::Held(until) => Some(until),
+                QuarantineStatus::Quarantined(until) => Some(until),
                 QuarantineStatus::Free | QuarantineStatus::Suspect => None,
             };
             let was_announced =
@@ -475,9 +476,9 @@
     }
 
     /// All quarantined records, and until when they are.
-    pub fn held(&self, now: Millis) -> Vec<(QuarantineRecord, Millis)> {
+    pub fn quarantined(&self, now: Millis) -> Vec<(QuarantineRecord, Millis)> {
         let quarantined = self.entries.iter().filter_map(|(fingerprint, entry)| {
-            let QuarantineStatus::Held(until) = entry.status(now) else { return None };
+            let QuarantineStatus::Quarantined(until) = entry.status(now) else { return None };
             Some((entry.record(*fingerprint), until))
         });
         quarantined.collect()
--- a/crates/workshold-core/src/hosted/retry_policy.rs
+++ b/crates/workshold-core/src/hosted/retry_policy.rs
@@ -54,7 +54,7 @@
 
 /// Decides what follows after an attempt ended with `ending`. No other code decides whether a
 /// request is retried.
-pub fn next(
+pub fn next_step(
     route: &Route,
     ending: AttemptEnd,
     used: AttemptsUsed,
--- a/crates/workshold-core/tests/hosted/instance_limits.rs
+++ b/crates/workshold-core/tests/hosted/instance_limits.rs
@@ -134,20 +134,25 @@
 
     fn deliver(&mut self) {
         let later = self.answers.split_off(&(self.now + Millis(1)));
-        for (i, asked, limit) in std::mem::replace(&mut self.answers, later).into_values().flatten()
+        for (i, request_sent_at, limit) in
+            std::mem::replace(&mut self.answers, later).into_values().flatten()
         {
             if self.nodes[i].is_up {
-                self.nodes[i]
-                    .instance_limits
-                    .on_limit_report(&0, LimitReport { limit, asked, heard: self.now });
+                self.nodes[i].instance_limits.on_limit_report(
+                    &0,
+                    LimitReport { limit, request_sent_at, answer_received_at: self.now },
+                );
             }
         }
         let later = self.gossip.split_off(&(self.now + Millis(1)));
         for (i, report) in std::mem::replace(&mut self.gossip, later).into_values().flatten() {
             // A node may take a peer's report for older than it is, never for newer.
             let late = Millis(self.rng.random_range(0..300));
-            let report =
-                LimitReport { asked: report.asked - late, heard: report.heard - late, ..report };
+            let report = LimitReport {
+                request_sent_at: report.request_sent_at - late,
+                answer_received_at: report.answer_received_at - late,
+                ..report
+            };
             self.nodes[i].instance_limits.on_limit_report(&0, report);
         }
     }
@@ -241,7 +246,11 @@
         fleet.run(Millis(600), 1.0);
         // A node that starts learns of the limit with the first message from a peer.
         fleet.set_up(node, true, true);
-        let report = LimitReport { limit: fleet.limit, asked: fleet.now, heard: fleet.now };
+        let report = LimitReport {
+            limit: fleet.limit,
+            request_sent_at: fleet.now,
+            answer_received_at: fleet.now,
+        };
         fleet.nodes[node].instance_limits.on_limit_report(&0, report);
         fleet.run(Millis(700), 1.0);
     }
@@ -272,8 +281,12 @@
     assert_eq!(limited, 0, "{limited} nodes still keep the limit");
 }
 
-fn report(limit: Option<f64>, asked: u64, heard: u64) -> LimitReport {
-    LimitReport { limit: limit.map(Rate::per_s), asked: Millis(asked), heard: Millis(heard) }
+fn report(limit: Option<f64>, request_sent_at: u64, answer_received_at: u64) -> LimitReport {
+    LimitReport {
+        limit: limit.map(Rate::per_s),
+        request_sent_at: Millis(request_sent_at),
+        answer_received_at: Millis(answer_received_at),
+    }
 }
 
 /// Answers that overtake each other don't lift a limit that was announced later.
@@ -384,10 +397,10 @@
     limits.on_backoff(&0, Millis(3_000), Millis(10_000));
     limits.on_backoff(&0, Millis(500), Millis(11_000));
     let withheld = Withheld { until: Some(Millis(13_000)), why: WithheldReason::Backoff };
-    assert_eq!(limits.look(&0, ONLY_SENDER, Millis(12_999)), Err(withheld));
-    assert_eq!(limits.look(&0, ONLY_SENDER, Millis(13_000)), Ok(()));
+    assert_eq!(limits.check(&0, ONLY_SENDER, Millis(12_999)), Err(withheld));
+    assert_eq!(limits.check(&0, ONLY_SENDER, Millis(13_000)), Ok(()));
     assert_eq!(
-        limits.look(&1, ONLY_SENDER, Millis(11_000)),
+        limits.check(&1, ONLY_SENDER, Millis(11_000)),
         Ok(()),
         "it concerns one instance only"
     );
@@ -398,7 +411,7 @@
 fn a_backoff_without_end_does_not_overflow() {
     let mut limits = InstanceLimits::default();
     limits.on_backoff(&0, Millis(u64::MAX), Millis(10_000));
-    assert!(limits.look(&0, ONLY_SENDER, Millis(1 << 50)).is_err());
+    assert!(limits.check(&0, ONLY_SENDER, Millis(1 << 50)).is_err());
 }
 
 #[test]
@@ -425,9 +438,9 @@
     limits.on_leaving(&0, Millis(10_000));
     limits.on_backoff(&0, Millis(u64::MAX), Millis(10_000));
     limits.forget(Millis(60_000), |_| false);
-    assert!(limits.look(&0, ONLY_SENDER, Millis(60_000)).is_err());
+    assert!(limits.check(&0, ONLY_SENDER, Millis(60_000)).is_err());
     limits.forget(Millis(700_000), |_| true);
-    assert!(limits.look(&0, ONLY_SENDER, Millis(700_000)).is_err());
+    assert!(limits.check(&0, ONLY_SENDER, Millis(700_000)).is_err());
     limits.forget(Millis(700_000), |_| false);
     assert!(limits.is_empty());
 }
--- a/crates/workshold-core/tests/hosted/quarantine.rs
+++ b/crates/workshold-core/tests/hosted/quarantine.rs
@@ -46,7 +46,7 @@
 }
 
 fn is_quarantined(quarantine: &Quarantine, request_key: RequestKey, now: Millis) -> bool {
-    matches!(quarantine.status(request_key.fingerprint, now), QuarantineStatus::Held(_))
+    matches!(quarantine.status(request_key.fingerprint, now), QuarantineStatus::Quarantined(_))
 }
 
 #[rstest]
@@ -175,7 +175,7 @@
     let until = |quarantine: &Quarantine, now: Millis| match quarantine
         .status(request_key("a").fingerprint, now)
     {
-        QuarantineStatus::Held(until) => Some(until.since(now)),
+        QuarantineStatus::Quarantined(until) => Some(until.since(now)),
         QuarantineStatus::Free | QuarantineStatus::Suspect => None,
     };
     assert_eq!(until(&quarantine, last), Some(Millis(10 * MINUTE.0)));
--- a/crates/workshold-core/tests/hosted/requests.rs
+++ b/crates/workshold-core/tests/hosted/requests.rs
@@ -9,7 +9,7 @@
 use workshold_core::hosted::retry_policy::NextStep;
 use workshold_core::hosted::retry_policy::RetryBudget;
 use workshold_core::hosted::retry_policy::RetryBudgetRules;
-use workshold_core::hosted::retry_policy::next;
+use workshold_core::hosted::retry_policy::next_step;
 use workshold_core::hosted::serving_config::Caller;
 use workshold_core::hosted::serving_config::Limits;
 use workshold_core::hosted::serving_config::RequestKind;
@@ -119,13 +119,13 @@
     #[case] expected: NextStep,
 ) {
     let route = route("/a/", kind, false);
-    assert_eq!(next(&route, ending, used, has_budget, true), expected);
+    assert_eq!(next_step(&route, ending, used, has_budget, true), expected);
 }
 
 #[test]
 fn without_time_left_nothing_is_retried() {
     let route = route("/a/", RequestKind::Stream, true);
-    let given_up = next(&route, AttemptEnd::Refused, used(1, 0, false), true, false);
+    let given_up = next_step(&route, AttemptEnd::Refused, used(1, 0, false), true, false);
     assert_eq!(given_up, NextStep::NotRun);
 }
 
--- a/crates/workshold-gateway/src/callers/control.rs
+++ b/crates/workshold-gateway/src/callers/control.rs
@@ -119,7 +119,7 @@
     let held: Vec<_> = node
         .quarantine
         .lock()
-        .held(now)
+        .quarantined(now)
         .into_iter()
         .map(|(known, until)| {
             json!({
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -122,7 +122,7 @@
     let path = parts.uri.path();
     let route = host.as_deref().and_then(|host| serving_config.route(host, path));
     let route = route.ok_or_else(|| deny(&id, StatusCode::NOT_FOUND, "no such route"))?;
-    if !node.takes(route.kind) {
+    if !node.accepts(route.kind) {
         return Err(refuse_stopping(&id));
     }
     let team = authorize(node, &serving_config, route, &parts.headers, &id)?;
--- a/crates/workshold-gateway/src/metrics.rs
+++ b/crates/workshold-gateway/src/metrics.rs
@@ -125,7 +125,7 @@
         self.gauge(Metric::Peers, node.peers.lock().heard(now).count() as u64);
         self.gauge(Metric::Limited, node.instance_limits.lock().limits().count() as u64);
         self.gauge(Metric::Resting, node.instance_limits.lock().backing_off(now) as u64);
-        self.gauge(Metric::Held, node.quarantine.lock().held(now).len() as u64);
+        self.gauge(Metric::Held, node.quarantine.lock().quarantined(now).len() as u64);
         self.gauge(Metric::Sharers, node.peers.lock().max_node_count() as u64);
         self.exposition.text().unwrap_or_else(|err| format!("# {err}\n").into_bytes())
     }
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -537,7 +537,7 @@
 
     /// Whether requests of this kind are still accepted. A stopping node refuses streams first: a
     /// stream may last longer than the time that is left, and a stream that is cut is lost.
-    pub fn takes(&self, kind: RequestKind) -> bool {
+    pub fn accepts(&self, kind: RequestKind) -> bool {
         let accepts_streams = !self.is_closing();
         !self.refuses_all.load(Ordering::Relaxed)
             && (accepts_streams || kind != RequestKind::Stream)
--- a/crates/workshold-gateway/src/node/instance_limits.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -62,7 +62,10 @@
             Limit::None => None,
             Limit::Unreadable => return,
         };
-        self.apply_limit_report(id, LimitReport { limit, asked, heard: self.now() });
+        self.apply_limit_report(
+            id,
+            LimitReport { limit, request_sent_at: asked, answer_received_at: self.now() },
+        );
     }
 
     /// Handles the backoff that a refusal asks of this node, if it names one.
@@ -141,7 +144,7 @@
     /// [`Withheld`] if it does not.
     pub fn check_instance_limits(&self, id: &Identity) -> Result<(), Withheld> {
         let share = self.sender_share(id);
-        self.instance_limits.lock().look(id, share, self.now())
+        self.instance_limits.lock().check(id, share, self.now())
     }
 
     /// Takes the permit for one request to an instance; called just before it is sent.
--- a/crates/workshold-gateway/src/node/quarantine.rs
+++ b/crates/workshold-gateway/src/node/quarantine.rs
@@ -23,7 +23,7 @@
     /// Until when a request is quarantined; `None` if it is not.
     pub fn quarantined_until(&self, fingerprint: Fingerprint) -> Option<Millis> {
         match self.quarantine.lock().status(fingerprint, self.now()) {
-            QuarantineStatus::Held(until) => Some(until),
+            QuarantineStatus::Quarantined(until) => Some(until),
             QuarantineStatus::Free | QuarantineStatus::Suspect => None,
         }
     }
--- a/crates/workshold-gateway/src/node/suspicions.rs
+++ b/crates/workshold-gateway/src/node/suspicions.rs
@@ -15,8 +15,8 @@
 use crate::events::emit;
 use crate::loads::instance_hash;
 use crate::node::Node;
-use crate::peers::Ask;
 use crate::peers::Peers;
+use crate::peers::ProbeAudience;
 use crate::routing_table::Target;
 
 /// A probe of all members of a group counts for all its streams for this long.
@@ -48,17 +48,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeTask {
     /// Probe it for this node's own use.
-    Look,
+    ForSelf,
     /// Probe it because a peer asked, and send the result to all nodes.
     ForAll,
     /// Probe it because the node at this address asked all, and reply if the instance answers.
     ReplyTo(SocketAddr),
     /// Send the result of this node's own probe to all nodes.
-    Tell {
+    Announce {
         /// The result.
         reach: ProbeResult,
         /// Which nodes are to probe it as well.
-        asks: Ask,
+        asks: ProbeAudience,
     },
 }
 
@@ -92,9 +92,9 @@
     pub fn on_probe_result(&self, id: &Identity, address: &SmolStr, reach: ProbeResult) {
         let is_first = !self.suspicions.lock().is_reported_by_peers(id);
         let is_asking = reach != ProbeResult::Answers && is_first;
-        let asks = if is_asking { Ask::Witnesses } else { Ask::Nobody };
+        let asks = if is_asking { ProbeAudience::Witnesses } else { ProbeAudience::Nobody };
         if self.record_probe_result(id, reach) {
-            self.probe(id, address, ProbeTask::Tell { reach, asks });
+            self.probe(id, address, ProbeTask::Announce { reach, asks });
         }
     }
 
@@ -157,7 +157,7 @@
         let at = all_peers_asked.get(id).copied();
         if at.is_none() {
             all_peers_asked.insert(id.clone(), now);
-            let task = ProbeTask::Tell { reach: ProbeResult::Silent, asks: Ask::All };
+            let task = ProbeTask::Announce { reach: ProbeResult::Silent, asks: ProbeAudience::All };
             self.probe(id, address, task);
         }
         at.is_some_and(|at| now.since(at) >= ALL_PEERS_ANSWER_TIME)
--- a/crates/workshold-gateway/src/peers.rs
+++ b/crates/workshold-gateway/src/peers.rs
@@ -37,7 +37,6 @@
 use crate::loads::Load;
 use crate::peers::exchange::LocalNode;
 
-pub use self::messages::Ask;
 pub use self::messages::Datagram;
 pub use self::messages::Digest;
 pub use self::messages::Heartbeat;
@@ -45,6 +44,7 @@
 pub use self::messages::ListNews;
 pub use self::messages::ListRecord;
 pub use self::messages::Message;
+pub use self::messages::ProbeAudience;
 pub use self::messages::Scope;
 pub use self::messages::VERSION;
 pub use self::messages::WireLimit;
--- a/crates/workshold-gateway/src/peers/messages.rs
+++ b/crates/workshold-gateway/src/peers/messages.rs
@@ -56,13 +56,13 @@
         /// The result.
         reach: WireReach,
         /// Which nodes are to probe it as well.
-        ask: Ask,
+        ask: ProbeAudience,
     },
 }
 
 /// Which nodes are asked to probe an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum ProbeAudience {
     /// None: the message is an answer.
     Nobody,
     /// The nodes that probe it on behalf of all; they send the result to all nodes.
@@ -345,8 +345,8 @@
         Self {
             instance: instance_hash(id),
             limit: report.limit.map(|limit| limit.0),
-            asked_ms: now.since(report.asked).0,
-            heard_ms: now.since(report.heard).0,
+            asked_ms: now.since(report.request_sent_at).0,
+            heard_ms: now.since(report.answer_received_at).0,
         }
     }
 
@@ -354,8 +354,8 @@
     pub fn report(&self, at: Millis) -> LimitReport {
         LimitReport {
             limit: self.limit.map(Rate),
-            asked: at - Millis(self.asked_ms),
-            heard: at - Millis(self.heard_ms),
+            request_sent_at: at - Millis(self.asked_ms),
+            answer_received_at: at - Millis(self.heard_ms),
         }
     }
 }
--- a/crates/workshold-gateway/src/proxy.rs
+++ b/crates/workshold-gateway/src/proxy.rs
@@ -225,7 +225,7 @@
             probing::probe_instance(node, &target.id, &target.address).await;
         } else if !node.was_probed_recently(&target.id) {
             node.note_group_probe(&target.id);
-            node.probe(&target.id, &target.address, ProbeTask::Look);
+            node.probe(&target.id, &target.address, ProbeTask::ForSelf);
         }
     }
 
@@ -277,7 +277,13 @@
         let has_attempts = self.used.sent < self.request.route.attempts.max(1);
         let may_continue = has_time && !is_quarantined;
         let next = |has_budget| {
-            retry_policy::next(&self.request.route, ending, self.used, has_budget, may_continue)
+            retry_policy::next_step(
+                &self.request.route,
+                ending,
+                self.used,
+                has_budget,
+                may_continue,
+            )
         };
         let is_retry = self.used.sent > 0 && next(true) == NextStep::Again;
         let has_budget = !is_retry || node.take_retry(&self.request.service);
--- a/crates/workshold-gateway/src/proxy/attempt.rs
+++ b/crates/workshold-gateway/src/proxy/attempt.rs
@@ -104,7 +104,7 @@
     let in_flight = node.loads.begin(&target.id, request.prompt_tokens as u32);
     let connected = client::connect(&target.address, CONNECT_TIMEOUT.to_duration()).await;
     let connected = connected.map_err(|_| {
-        node.probe(&target.id, &target.address, ProbeTask::Look);
+        node.probe(&target.id, &target.address, ProbeTask::ForSelf);
         (AttemptEnd::NotSent, "could not connect")
     })?;
     let left = request.left(node.now());
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -25,12 +25,12 @@
 use crate::events::emit;
 use crate::node::Node;
 use crate::node::ProbeTask;
-use crate::peers::Ask;
 use crate::peers::Datagram;
 use crate::peers::Digest;
 use crate::peers::Heartbeat;
 use crate::peers::ListNews;
 use crate::peers::Message;
+use crate::peers::ProbeAudience;
 use crate::peers::Scope;
 use crate::peers::VERSION;
 use crate::peers::WireLoad;
@@ -393,7 +393,7 @@
     from: SocketAddr,
     peer: &str,
     (instance, reach): (u32, ProbeResult),
-    ask: Ask,
+    ask: ProbeAudience,
 ) {
     let list = node.list.lock();
     let entry = list.by_instance_hash.get(&instance).and_then(|id| list.roster.incarnation(id));
@@ -409,9 +409,9 @@
         }
     }
     let task = match ask {
-        Ask::Witnesses if is_witness => Some(ProbeTask::ForAll),
-        Ask::All => Some(ProbeTask::ReplyTo(from)),
-        Ask::Nobody | Ask::Witnesses => None,
+        ProbeAudience::Witnesses if is_witness => Some(ProbeTask::ForAll),
+        ProbeAudience::All => Some(ProbeTask::ReplyTo(from)),
+        ProbeAudience::Nobody | ProbeAudience::Witnesses => None,
     };
     if let Some(task) = task.filter(|_| node.is_probe_due(id)) {
         node.probe(id, &instance.address, task);
--- a/crates/workshold-gateway/src/tasks/probing.rs
+++ b/crates/workshold-gateway/src/tasks/probing.rs
@@ -21,8 +21,8 @@
 use crate::node::Node;
 use crate::node::Probe;
 use crate::node::ProbeTask;
-use crate::peers::Ask;
 use crate::peers::Message;
+use crate::peers::ProbeAudience;
 use crate::tasks::gossip;
 
 /// Time within which an instance has to accept a connection: several round trips between data
@@ -139,7 +139,7 @@
         let socket = Arc::clone(&socket);
         tokio::spawn(async move {
             let (reach, ask) = match probe.task {
-                ProbeTask::Look => {
+                ProbeTask::ForSelf => {
                     // Announces the result itself if it has changed.
                     probe_instance(&node, &probe.id, &probe.address).await;
                     return;
@@ -149,21 +149,22 @@
                         return;
                     };
                     node.record_probe_result(&probe.id, reach);
-                    (reach, Ask::Nobody)
+                    (reach, ProbeAudience::Nobody)
                 }
                 ProbeTask::ReplyTo(asker) => {
                     let result = probe_twice(&node, &probe.id, &probe.address).await;
                     if result == Some(ProbeResult::Answers) {
-                        let message = verdict(&probe.id, ProbeResult::Answers, Ask::Nobody);
+                        let message =
+                            verdict(&probe.id, ProbeResult::Answers, ProbeAudience::Nobody);
                         gossip::send(&node, &socket, &[asker], message).await;
                     }
                     return;
                 }
-                ProbeTask::Tell { reach, asks } => (reach, asks),
+                ProbeTask::Announce { reach, asks } => (reach, asks),
             };
             let message = verdict(&probe.id, reach, ask);
             gossip::broadcast(&node, &socket, message.clone()).await;
-            if ask == Ask::Nobody {
+            if ask == ProbeAudience::Nobody {
                 return;
             }
             tokio::time::sleep(SECOND_REQUEST_DELAY).await;
@@ -175,7 +176,7 @@
 }
 
 /// The message that tells peers the result of a probe, or asks them to probe.
-fn verdict(id: &Identity, reach: ProbeResult, ask: Ask) -> Message {
+fn verdict(id: &Identity, reach: ProbeResult, ask: ProbeAudience) -> Message {
     Message::Verdict { instance: instance_hash(id), reach: reach.into(), ask }
 }
 
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -208,7 +208,7 @@
         let entry = node.list.lock().roster.incarnation(&id).cloned();
         if let Some(entry) = entry {
             let address = entry.instance.address.clone();
-            node.probe(&id, &address, ProbeTask::Look);
+            node.probe(&id, &address, ProbeTask::ForSelf);
         }
     }
 }
--- a/crates/workshold-gateway/tests/doubts.rs
+++ b/crates/workshold-gateway/tests/doubts.rs
@@ -27,10 +27,10 @@
 use workshold_gateway::node::Node;
 use workshold_gateway::node::Probe;
 use workshold_gateway::node::ProbeTask;
-use workshold_gateway::peers::Ask;
 use workshold_gateway::peers::Datagram;
 use workshold_gateway::peers::Heartbeat;
 use workshold_gateway::peers::Message;
+use workshold_gateway::peers::ProbeAudience;
 use workshold_gateway::peers::exchange::LocalNode;
 use workshold_gateway::tasks::probing;
 use workshold_platform_standin::proxy::Proxy;
@@ -59,10 +59,13 @@
     node.on_probe_result(&id(), &address, ProbeResult::Silent);
     assert_eq!(
         told(&mut rx),
-        [ProbeTask::Tell { reach: ProbeResult::Silent, asks: Ask::Witnesses }]
+        [ProbeTask::Announce { reach: ProbeResult::Silent, asks: ProbeAudience::Witnesses }]
     );
     node.on_probe_result(&id(), &address, ProbeResult::Answers);
-    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: ProbeResult::Answers, asks: Ask::Nobody }]);
+    assert_eq!(
+        told(&mut rx),
+        [ProbeTask::Announce { reach: ProbeResult::Answers, asks: ProbeAudience::Nobody }]
+    );
 }
 
 #[test]
@@ -70,7 +73,10 @@
     let (node, _, mut rx) = node();
     node.suspicions.lock().on_peer(&id(), "n-2", ProbeResult::Silent, node.now());
     node.on_probe_result(&id(), &SmolStr::new("10.0.0.1:80"), ProbeResult::Silent);
-    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: ProbeResult::Silent, asks: Ask::Nobody }]);
+    assert_eq!(
+        told(&mut rx),
+        [ProbeTask::Announce { reach: ProbeResult::Silent, asks: ProbeAudience::Nobody }]
+    );
 }
 
 #[test]
@@ -150,7 +156,7 @@
     let (len, _) = heard.ok()?.unwrap();
     let datagram: Datagram = postcard::from_bytes(&buf[..len]).unwrap();
     match datagram.message {
-        Message::Verdict { instance, ask: Ask::Witnesses, .. } => Some(instance),
+        Message::Verdict { instance, ask: ProbeAudience::Witnesses, .. } => Some(instance),
         _ => None,
     }
 }
@@ -260,7 +266,10 @@
     let address = SmolStr::new("10.0.0.1:80");
     assert!(!node.have_all_peers_probed(&id(), &address));
     assert!(!node.have_all_peers_probed(&id(), &address));
-    assert_eq!(told(&mut rx), [ProbeTask::Tell { reach: ProbeResult::Silent, asks: Ask::All }]);
+    assert_eq!(
+        told(&mut rx),
+        [ProbeTask::Announce { reach: ProbeResult::Silent, asks: ProbeAudience::All }]
+    );
     clock.go_on(Millis(300));
     assert!(node.have_all_peers_probed(&id(), &address), "they have had the time to answer");
 }
--- a/crates/workshold-gateway/tests/exchange.rs
+++ b/crates/workshold-gateway/tests/exchange.rs
@@ -184,7 +184,10 @@
     }
     let held = |fleet: &Fleet| {
         let is_held = |node: &&Sim| {
-            matches!(node.quarantine.status(fingerprint, fleet.now), QuarantineStatus::Held(_))
+            matches!(
+                node.quarantine.status(fingerprint, fleet.now),
+                QuarantineStatus::Quarantined(_)
+            )
         };
         fleet.nodes.iter().filter(is_held).count()
     };
--- a/crates/workshold-model/src/ending.rs
+++ b/crates/workshold-model/src/ending.rs
@@ -184,7 +184,7 @@
 
     fn send(&mut self, node: usize, attempts: u32) {
         let is_held = |knows: &Quarantine, request_key: RequestKey, now| {
-            matches!(knows.status(request_key.fingerprint, now), QuarantineStatus::Held(_))
+            matches!(knows.status(request_key.fingerprint, now), QuarantineStatus::Quarantined(_))
         };
         self.lives += 1;
         let name = format!("r-{}", self.lives);
@@ -290,8 +290,9 @@
         }
         for (at, name) in ["hot", "reset"].into_iter().enumerate() {
             let one = request_key(name).fingerprint;
-            let is_held =
-                |node: &Node| matches!(node.knows.status(one, self.now), QuarantineStatus::Held(_));
+            let is_held = |node: &Node| {
+                matches!(node.knows.status(one, self.now), QuarantineStatus::Quarantined(_))
+            };
             let is_held = self.nodes.iter().any(is_held);
             let since = self.held_since[at].get_or_insert(self.now);
             if !is_held {
--- a/crates/workshold-model/src/instance_limits.rs
+++ b/crates/workshold-model/src/instance_limits.rs
@@ -373,8 +373,10 @@
         let is_current = answer.life == self.life;
         let shortest = self.broken == Some(Broken::LongestRest);
         let node = &mut self.nodes[node];
-        node.instance_limits
-            .on_limit_report(&key, LimitReport { limit: answer.limit, asked, heard: now });
+        node.instance_limits.on_limit_report(
+            &key,
+            LimitReport { limit: answer.limit, request_sent_at: asked, answer_received_at: now },
+        );
         if let Some(rest) = answer.rest {
             node.instance_limits.on_backoff(
                 &key,
