--- a/crates/workshold-bench/src/admission.rs
+++ b/crates/workshold-bench/src/admission.rs
@@ -8,8 +8,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use workshold_core::admission::Arrival;
+use workshold_core::admission::Dequeued;
 use workshold_core::admission::FairQueue;
-use workshold_core::admission::Popped;
 use workshold_core::admission::Priority;
 use workshold_core::admission::QueueRules;
 use workshold_protocol::Millis;
@@ -191,8 +191,8 @@
             let next = match &mut self.queue {
                 Queue::Fifo(queue) => queue.pop_front(),
                 Queue::Fair(queue) => match queue.pop(Millis(now)) {
-                    Some(Popped::Start(call)) => Some(call),
-                    Some(Popped::Expired(_)) => {
+                    Some(Dequeued::Start(call)) => Some(call),
+                    Some(Dequeued::Expired(_)) => {
                         self.outcome.refused += 1;
                         continue;
                     }
--- a/crates/workshold-bench/src/retries.rs
+++ b/crates/workshold-bench/src/retries.rs
@@ -3,11 +3,11 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use workshold_core::lifecycle::End;
 use workshold_core::lifecycle::Event;
 use workshold_core::lifecycle::Next;
 use workshold_core::lifecycle::Repeatability;
 use workshold_core::lifecycle::RequestLifecycle;
+use workshold_core::lifecycle::RequestResult;
 use workshold_core::retry::RetryBudget;
 use workshold_core::retry::RetryRules;
 use workshold_protocol::Millis;
@@ -49,9 +49,9 @@
             }
         };
         match end {
-            End::Answered => answered += 1,
-            End::Unknown(_) => unknown += 1,
-            End::NotRun(_) => not_run += 1,
+            RequestResult::Answered => answered += 1,
+            RequestResult::Unknown(_) => unknown += 1,
+            RequestResult::NotRun(_) => not_run += 1,
         }
     }
     let share = |count: u32| f64::from(count) / f64::from(REQUESTS);
--- a/crates/workshold-core/src/admission.rs
+++ b/crates/workshold-core/src/admission.rs
@@ -124,7 +124,7 @@
 
 /// A request that leaves the queue.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Popped<T> {
+pub enum Dequeued<T> {
     /// It is next and may start.
     Start(T),
     /// Its deadline for the start has passed; it is to be refused.
@@ -179,9 +179,9 @@
     }
 
     /// Removes the next request; those whose deadline has passed come first.
-    pub fn pop(&mut self, now: Millis) -> Option<Popped<T>> {
+    pub fn pop(&mut self, now: Millis) -> Option<Dequeued<T>> {
         if let Some(expired) = self.pop_expired(now) {
-            return Some(Popped::Expired(expired));
+            return Some(Dequeued::Expired(expired));
         }
         let next = self
             .flows
@@ -195,7 +195,7 @@
         self.waiting -= 1;
         self.measure(now);
         self.drop_idle_flows();
-        Some(Popped::Start(waiting.item))
+        Some(Dequeued::Start(waiting.item))
     }
 
     /// Removes one request whose deadline for the start has passed.
--- a/crates/workshold-core/src/authority.rs
+++ b/crates/workshold-core/src/authority.rs
@@ -21,7 +21,7 @@
     }
 
     /// The node has read the log to its end.
-    pub fn on_log(&mut self) {
+    pub fn on_log_read(&mut self) {
         self.is_held = true;
     }
 
--- a/crates/workshold-core/src/hosted/capacity.rs
+++ b/crates/workshold-core/src/hosted/capacity.rs
@@ -57,7 +57,7 @@
         let shares: f64 = engine.models.iter().map(|model| model.share).sum();
         let share = if shares > 0.0 { spec.share / shares } else { 1.0 };
         let groups = share * instances as f64 / spec.size as f64;
-        let min_groups = CapacityEstimate::new(engine, spec, per_request).least_groups();
+        let min_groups = CapacityEstimate::new(engine, spec, per_request).min_groups();
         per_request.scaled(groups * EXPECTED_UTILISATION / min_groups.max(f64::MIN_POSITIVE))
     }
 
@@ -118,19 +118,19 @@
     }
 
     /// Number of groups at which all slots are just taken: the least that can keep up.
-    pub fn least_groups(&self) -> f64 {
+    pub fn min_groups(&self) -> f64 {
         self.busy_groups + self.unloaded_concurrency / self.slots
     }
 
     /// Mean time of a pass with `groups`, in milliseconds; `None` if they cannot keep up.
     pub fn pass_ms(&self, groups: f64) -> Option<f64> {
-        (groups > self.least_groups())
+        (groups > self.min_groups())
             .then(|| self.unloaded_pass_ms * groups / (groups - self.busy_groups))
     }
 
     /// Fraction of the requests that `groups` serve in time, 0 to 1.
     pub fn in_time(&self, groups: f64) -> f64 {
-        let min_groups = self.least_groups();
+        let min_groups = self.min_groups();
         if groups <= 0.0 {
             return 0.0;
         }
@@ -186,7 +186,7 @@
     ) -> Vec<Self> {
         let pairs = || engine.models.iter().zip(workloads);
         let instances = |(spec, workload): (&ModelSpec, &Workload)| {
-            CapacityEstimate::new(engine, spec, *workload).least_groups() * spec.size as f64
+            CapacityEstimate::new(engine, spec, *workload).min_groups() * spec.size as f64
         };
         let total: f64 = pairs().map(instances).sum();
         let requests: f64 = workloads.iter().map(|workload| workload.requests).sum();
--- a/crates/workshold-core/src/hosted/groups.rs
+++ b/crates/workshold-core/src/hosted/groups.rs
@@ -56,7 +56,7 @@
 
 /// Assembles groups from instance entries: members that report the same epoch and name form one
 /// group.
-pub fn collate<'a>(entries: impl Iterator<Item = &'a Entry>) -> Vec<Group> {
+pub fn assemble_groups<'a>(entries: impl Iterator<Item = &'a Entry>) -> Vec<Group> {
     let mut groups: BTreeMap<(u64, SmolStr), Group> = BTreeMap::new();
     for entry in entries {
         let Some(membership) = &entry.instance.membership else { continue };
--- a/crates/workshold-core/src/hosted/steward.rs
+++ b/crates/workshold-core/src/hosted/steward.rs
@@ -20,7 +20,7 @@
 mod staging;
 
 pub use self::context::DomainContext;
-pub use self::context::StewardRules;
+pub use self::context::StewardTimings;
 pub use self::orders::Command;
 pub use self::orders::Order;
 pub use self::orders::OrderReply;
@@ -72,7 +72,7 @@
 /// The controller of the domains in one partition of the lease.
 #[derive(Debug)]
 pub struct Steward {
-    rules: StewardRules,
+    rules: StewardTimings,
     partition: u64,
     /// Fencing token of the lease.
     fence: u64,
@@ -146,7 +146,7 @@
     /// `epochs_issued` counts the epochs issued by this process. It outlives the steward, because a
     /// partition that is released and acquired again under the same token must not repeat epochs.
     pub fn new(
-        rules: StewardRules,
+        rules: StewardTimings,
         partition: u64,
         fence: u64,
         epochs_issued: Arc<AtomicU64>,
@@ -221,7 +221,7 @@
     /// Runs one planning round for a domain and returns the orders to send now.
     pub fn plan(&mut self, cx: &DomainContext<'_>) -> Vec<Command> {
         let mut commands = Vec::new();
-        let groups = groups::collate(cx.entries.iter().copied());
+        let groups = groups::assemble_groups(cx.entries.iter().copied());
         self.abandon_failed_formations(cx);
         let mut idle = Vec::new();
         for group in &groups {
--- a/crates/workshold-core/src/hosted/steward/context.rs
+++ b/crates/workshold-core/src/hosted/steward/context.rs
@@ -13,7 +13,7 @@
 
 /// Timings of a steward.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StewardRules {
+pub struct StewardTimings {
     /// Delay before an order that shows no effect is sent again.
     pub order_retry_delay: Millis,
     /// The same for an order to fetch weights.
@@ -29,7 +29,7 @@
     pub load_rate_window: Millis,
 }
 
-impl Default for StewardRules {
+impl Default for StewardTimings {
     fn default() -> Self {
         Self {
             order_retry_delay: Millis(180),
--- a/crates/workshold-core/src/hosted/steward/planner_input.rs
+++ b/crates/workshold-core/src/hosted/steward/planner_input.rs
@@ -159,7 +159,7 @@
         domain.free = fit.iter().map(|e| host(&e.instance, false, engine, true)).collect();
         return domain;
     }
-    for group in groups::collate(fit.iter().copied()) {
+    for group in groups::assemble_groups(fit.iter().copied()) {
         let Some(model) = model_index(&group, engine) else { continue };
         let is_complete = group.members.len() == engine.models[model].size;
         match group.state() {
--- a/crates/workshold-core/src/lifecycle.rs
+++ b/crates/workshold-core/src/lifecycle.rs
@@ -20,7 +20,7 @@
 
 /// The result of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum RequestResult {
     /// The caller got the whole answer, once.
     Answered,
     /// It provably did not run and never will.
@@ -56,7 +56,7 @@
     /// Start another attempt with this number.
     TryAgain(u32),
     /// The request is over with this result.
-    Finish(End),
+    Finish(RequestResult),
 }
 
 /// The state of one request over all its attempts.
@@ -71,7 +71,7 @@
     /// The same for any earlier attempt.
     sent_earlier: bool,
     tokens: u32,
-    end: Option<End>,
+    end: Option<RequestResult>,
 }
 
 impl RequestLifecycle {
@@ -100,7 +100,7 @@
     }
 
     /// The result; `None` while the request runs. It never changes once set.
-    pub fn end(&self) -> Option<End> {
+    pub fn end(&self) -> Option<RequestResult> {
         self.end
     }
 
@@ -140,7 +140,7 @@
         }
         match event {
             Event::Sending => self.on_sending(now),
-            Event::Done => self.finish(End::Answered),
+            Event::Done => self.finish(RequestResult::Answered),
             Event::DeadlinePassed => self.give_up(Code::DeadlineExceeded),
             Event::NotPlaced(code) => self.give_up(code),
             Event::ConnectFailed => self.try_again(Code::NoUpstream, now, may_retry),
@@ -187,7 +187,11 @@
     }
 
     fn give_up(&mut self, code: Code) -> Next {
-        let end = if self.may_have_run() { End::Unknown(code) } else { End::NotRun(code) };
+        let end = if self.may_have_run() {
+            RequestResult::Unknown(code)
+        } else {
+            RequestResult::NotRun(code)
+        };
         self.finish(end)
     }
 
@@ -195,7 +199,7 @@
         self.sent || self.sent_earlier
     }
 
-    fn finish(&mut self, end: End) -> Next {
+    fn finish(&mut self, end: RequestResult) -> Next {
         self.end = Some(end);
         Next::Finish(end)
     }
--- a/crates/workshold-core/src/observation.rs
+++ b/crates/workshold-core/src/observation.rs
@@ -113,7 +113,7 @@
     }
 
     /// Drops reports and group checks that are not younger than `age`.
-    pub fn drop_older(&mut self, now: Millis, age: Millis) {
+    pub fn remove_older_than(&mut self, now: Millis, age: Millis) {
         self.by_instance.retain(|_, observation| observation.is_fresh(now, age));
         self.by_group.retain(|_, group_observation| now.since(group_observation.true_since) < age);
     }
--- a/crates/workshold-core/tests/hosted/capacity.rs
+++ b/crates/workshold-core/tests/hosted/capacity.rs
@@ -68,9 +68,9 @@
     } else {
         workload(1.0, 674.0, 35.0, 200)
     };
-    let asked = one.scaled(min_groups / CapacityEstimate::new(&engine, spec, one).least_groups());
+    let asked = one.scaled(min_groups / CapacityEstimate::new(&engine, spec, one).min_groups());
     let load = CapacityEstimate::new(&engine, spec, asked);
-    assert!((load.least_groups() - min_groups).abs() < 1e-9);
+    assert!((load.min_groups() - min_groups).abs() < 1e-9);
     let in_time = load.in_time(groups);
     assert!((in_time - measured).abs() < 0.06, "{in_time} for {measured}");
 }
@@ -100,7 +100,7 @@
     for spec in &engine.models {
         let expected = Workload::expected(&engine, spec, 60);
         let instances =
-            CapacityEstimate::new(&engine, spec, expected).least_groups() * spec.size as f64;
+            CapacityEstimate::new(&engine, spec, expected).min_groups() * spec.size as f64;
         assert!((instances - 18.0).abs() < 0.1, "0.6 of half of 60 instances, not {instances}");
     }
 }
--- a/crates/workshold-core/tests/hosted/planning.rs
+++ b/crates/workshold-core/tests/hosted/planning.rs
@@ -109,7 +109,7 @@
     let changes = planner::plan(empty_domains(6, 8), &models, BEFORE_TRAFFIC);
     let [big, small] = formed(&changes, &models);
     let min_groups: Vec<f64> = (0..2)
-        .map(|i| CapacityEstimate::new(&engine, &engine.models[i], workloads[i]).least_groups())
+        .map(|i| CapacityEstimate::new(&engine, &engine.models[i], workloads[i]).min_groups())
         .collect();
     assert_eq!(big * 4 + small * 2, 48, "no instance is left over");
     let spare_capacity = [big as f64 / min_groups[0], small as f64 / min_groups[1]];
--- a/crates/workshold-core/tests/hosted/stewards.rs
+++ b/crates/workshold-core/tests/hosted/stewards.rs
@@ -25,7 +25,7 @@
 use workshold_core::hosted::steward::Order;
 use workshold_core::hosted::steward::OrderReply;
 use workshold_core::hosted::steward::Steward;
-use workshold_core::hosted::steward::StewardRules;
+use workshold_core::hosted::steward::StewardTimings;
 use workshold_core::hosted::suspicion::Loss;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
@@ -244,7 +244,7 @@
 
 /// A steward of lease partition 3.
 fn steward(fence: u64) -> Steward {
-    Steward::new(StewardRules::default(), 3, fence, Arc::default())
+    Steward::new(StewardTimings::default(), 3, fence, Arc::default())
 }
 
 /// Orders as text, each with its recipient.
@@ -381,7 +381,7 @@
     let issued = Arc::default();
     let mut last = 0;
     for fence in [10, 10, 11] {
-        let mut steward = Steward::new(StewardRules::default(), 3, fence, Arc::clone(&issued));
+        let mut steward = Steward::new(StewardTimings::default(), 3, fence, Arc::clone(&issued));
         let mut domain = Domain::new();
         domain.add("i-1", &["small"], &[]);
         domain.add("i-2", &["small"], &[]);
@@ -471,7 +471,7 @@
         for (i, spec) in domain.engine.models.iter().enumerate() {
             domain.workloads[i] = Workload::expected(&domain.engine, spec, 18 * DOMAINS);
             min_groups[i] =
-                CapacityEstimate::new(&domain.engine, spec, domain.workloads[i]).least_groups();
+                CapacityEstimate::new(&domain.engine, spec, domain.workloads[i]).min_groups();
         }
         domain.group_counts = formed;
         for other in (0..DOMAINS).filter(|other| *other != index).map(empty_domain) {
--- a/crates/workshold-gateway/src/node.rs
+++ b/crates/workshold-gateway/src/node.rs
@@ -411,7 +411,7 @@
         let Some(serving_config) = self.serving_config() else { return };
         let now = self.now();
         let list = self.list.lock();
-        let routing_table = RoutingTable::make(&serving_config, &list.roster, &list.trust, now);
+        let routing_table = RoutingTable::build(&serving_config, &list.roster, &list.trust, now);
         let build = TableBuild { version: list.roster.version(), at: now };
         drop(list);
         *self.routing_table.write() = Arc::new(routing_table);
--- a/crates/workshold-gateway/src/routing_table.rs
+++ b/crates/workshold-gateway/src/routing_table.rs
@@ -53,7 +53,7 @@
 
 impl RoutingTable {
     /// Builds the table from the instance list and the configuration in force.
-    pub fn make(
+    pub fn build(
         serving_config: &ServingConfig,
         roster: &Roster,
         trust: &ListTrust,
@@ -66,7 +66,7 @@
             let entries = roster.iter().filter(of_service);
             let targets: Vec<Arc<Target>> = match &upstream.engine {
                 Some(engine) if !engine.models.is_empty() => {
-                    let groups = groups::collate(entries.filter(serving));
+                    let groups = groups::assemble_groups(entries.filter(serving));
                     let head = |group| head_target(group, engine);
                     groups.iter().filter_map(head).map(Arc::new).collect()
                 }
--- a/crates/workshold-gateway/src/tasks/stewarding/planning_round.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding/planning_round.rs
@@ -27,7 +27,7 @@
 use workshold_core::hosted::steward::DomainContext;
 use workshold_core::hosted::steward::DomainSummary;
 use workshold_core::hosted::steward::Steward;
-use workshold_core::hosted::steward::StewardRules;
+use workshold_core::hosted::steward::StewardTimings;
 use workshold_core::hosted::suspicion::Loss;
 use workshold_core::hosted::suspicion::Suspicions;
 use workshold_protocol::Millis;
@@ -114,7 +114,7 @@
             let partition = partition_of(domain, self.parts);
             let steward = stewards.entry(partition).or_insert_with(|| {
                 let issued = Arc::clone(self.issued);
-                Steward::new(StewardRules::default(), partition, self.fence, issued)
+                Steward::new(StewardTimings::default(), partition, self.fence, issued)
             });
             steward.raise_fence(self.fence);
             commands.extend(steward.plan(&DomainContext {
@@ -225,10 +225,7 @@
         log_times.insert(domain.clone(), self.now);
         let least = |spec: &ModelSpec| {
             let work = service_view.demand.by_model.get(&spec.name).copied().unwrap_or_default();
-            (
-                spec.name.clone(),
-                CapacityEstimate::new(service_view.engine, spec, work).least_groups(),
-            )
+            (spec.name.clone(), CapacityEstimate::new(service_view.engine, spec, work).min_groups())
         };
         let least: BTreeMap<ModelName, f64> =
             service_view.engine.models.iter().map(least).collect();
@@ -258,7 +255,7 @@
         let serving = entries.iter().copied().filter(serving);
         let mut known = BTreeSet::new();
         let mut counts = BTreeMap::new();
-        for group in groups::collate(serving) {
+        for group in groups::assemble_groups(serving) {
             let Some(spec) = engine.model(group.model()) else { continue };
             let is_open =
                 group.members.len() == spec.size && group.state() == Some(MemberState::Open);
--- a/crates/workshold-model/src/bundles.rs
+++ b/crates/workshold-model/src/bundles.rs
@@ -163,7 +163,7 @@
             Item::Publish(2),
         ];
         let mut authority = Authority::default();
-        authority.on_log();
+        authority.on_log_read();
         let next = Some(log.len());
         let node = Node { next, log_heard: 0, peer_heard: 0, is_cut: false, authority };
         Self {
@@ -313,7 +313,7 @@
         if self.can_reach_log(i) {
             if let Some(next) = self.started(self.first, self.log.len()) {
                 self.nodes[i].log_heard = self.now;
-                self.nodes[i].authority.on_log();
+                self.nodes[i].authority.on_log_read();
                 self.read_to(i, next);
             }
         } else if self.can_reach_peer(i) {
@@ -343,7 +343,7 @@
         for i in 0..NODES {
             if self.nodes[i].next.is_some() && self.can_reach_log(i) {
                 self.nodes[i].log_heard = self.now;
-                self.nodes[i].authority.on_log();
+                self.nodes[i].authority.on_log_read();
             }
             if self.can_reach_peer(i) {
                 self.nodes[i].peer_heard = self.now;
--- a/crates/workshold-model/src/groups.rs
+++ b/crates/workshold-model/src/groups.rs
@@ -462,7 +462,7 @@
             return;
         }
         let now = self.now;
-        self.nodes.iter_mut().for_each(|node| node.observations.drop_older(now, REPORT_TTL));
+        self.nodes.iter_mut().for_each(|node| node.observations.remove_older_than(now, REPORT_TTL));
     }
 }
 
--- a/crates/workshold-model/src/hosted/office.rs
+++ b/crates/workshold-model/src/hosted/office.rs
@@ -22,7 +22,7 @@
 use workshold_core::hosted::steward::Order;
 use workshold_core::hosted::steward::OrderReply;
 use workshold_core::hosted::steward::Steward;
-use workshold_core::hosted::steward::StewardRules;
+use workshold_core::hosted::steward::StewardTimings;
 use workshold_core::hosted::store_era::Fence;
 use workshold_core::hosted::suspicion::Loss;
 use workshold_protocol::Millis;
@@ -184,7 +184,7 @@
             self.issued = Arc::default();
         }
         let number = self.fence.number().expect("worlds end before it grows too long");
-        Steward::new(StewardRules::default(), 1, number, Arc::clone(&self.issued))
+        Steward::new(StewardTimings::default(), 1, number, Arc::clone(&self.issued))
     }
 
     /// An answer came.
@@ -254,7 +254,7 @@
 
 /// The models with the groups that serve.
 fn counted(view: &View<'_>, entries: &[&Entry]) -> Vec<planner::Model> {
-    let groups = groups::collate(entries.iter().copied());
+    let groups = groups::assemble_groups(entries.iter().copied());
     let open = groups.iter().filter(|group| group.state() == Some(MemberState::Open));
     let open: Vec<&str> = open.map(Group::model).collect();
     let of = |name: &str| open.iter().filter(|model| **model == name).count() as f64;
--- a/crates/workshold-model/src/streams.rs
+++ b/crates/workshold-model/src/streams.rs
@@ -1,10 +1,10 @@
 //! The world of one streamed answer: attempts that break, overlap and speak late.
 
-use workshold_core::lifecycle::End;
 use workshold_core::lifecycle::Event;
 use workshold_core::lifecycle::Next;
 use workshold_core::lifecycle::Repeatability;
 use workshold_core::lifecycle::RequestLifecycle;
+use workshold_core::lifecycle::RequestResult;
 use workshold_protocol::Millis;
 
 use crate::checker::Promise;
@@ -37,7 +37,7 @@
     attempts: Vec<Attempt>,
     /// Tokens that the caller has, by the attempt and place that they came from.
     caller: Vec<(u32, u32)>,
-    told: Option<End>,
+    told: Option<RequestResult>,
     runs: u32,
 }
 
@@ -86,7 +86,7 @@
             (_, event) => event,
         };
         let mut next = self.lifecycle.on(attempt, event, Millis(1), || true);
-        let is_over = matches!(next, Next::Finish(End::Unknown(_)));
+        let is_over = matches!(next, Next::Finish(RequestResult::Unknown(_)));
         if self.mutation == Some(Mutation::RetryBroken) && event == Event::Broken && is_over {
             // The rule that is broken: it is sent again all the same.
             next = Next::TryAgain(attempt + 1);
@@ -196,10 +196,10 @@
     fn breach(&self) -> Option<Promise> {
         let in_order = self.caller.iter().map(|(_, index)| *index).eq(0..self.caller.len() as u32);
         let is_whole = self.caller.len() as u32 == TOKENS;
-        if !in_order || (self.told == Some(End::Answered) && !is_whole) {
+        if !in_order || (self.told == Some(RequestResult::Answered) && !is_whole) {
             return Some(Promise::OwnWholeAnswer);
         }
-        if matches!(self.told, Some(End::NotRun(_))) && self.runs > 0 {
+        if matches!(self.told, Some(RequestResult::NotRun(_))) && self.runs > 0 {
             return Some(Promise::NotRunMeansNotRun);
         }
         let is_once = self.repeatability == Repeatability::AtMostOnce;
--- a/crates/workshold-node/src/callers/generation.rs
+++ b/crates/workshold-node/src/callers/generation.rs
@@ -10,11 +10,11 @@
 use uuid::Uuid;
 use workshold_core::admission::Arrival;
 use workshold_core::admission::Priority;
-use workshold_core::lifecycle::End;
 use workshold_core::lifecycle::Event;
 use workshold_core::lifecycle::Next;
 use workshold_core::lifecycle::Repeatability;
 use workshold_core::lifecycle::RequestLifecycle;
+use workshold_core::lifecycle::RequestResult;
 use workshold_core::prefix::PrefixChain;
 use workshold_core::retry::RetryBudget;
 use workshold_core::retry::RetryRules;
@@ -146,7 +146,7 @@
 
 impl Run<'_> {
     /// Makes attempts until the request is over; none if its caller went away.
-    async fn drive(&mut self) -> Option<End> {
+    async fn drive(&mut self) -> Option<RequestResult> {
         loop {
             let ended = match self.place().await {
                 Ok(group) => self.attempt(group).await,
@@ -489,7 +489,7 @@
         }
     }
 
-    async fn finish(&self, end: Option<End>) {
+    async fn finish(&self, end: Option<RequestResult>) {
         self.charge();
         let counters = &self.node.counters;
         let (code, ran) = match end {
@@ -498,16 +498,16 @@
                 emit(events::Event::CallerGone, &[("model", self.job.model.as_str())]);
                 return;
             }
-            Some(End::Answered) => {
+            Some(RequestResult::Answered) => {
                 counters.answered.add(1);
                 let _ = self.tell(Piece::Done { tokens: self.lifecycle.tokens() }).await;
                 return;
             }
-            Some(End::NotRun(code)) => {
+            Some(RequestResult::NotRun(code)) => {
                 counters.not_run.add(1);
                 (code, Problem::not_run(code, self.detail()))
             }
-            Some(End::Unknown(code)) => {
+            Some(RequestResult::Unknown(code)) => {
                 counters.unknown.add(1);
                 (code, Problem::unknown(code, self.detail()))
             }
--- a/crates/workshold-node/src/callers/plain.rs
+++ b/crates/workshold-node/src/callers/plain.rs
@@ -16,11 +16,11 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HOST;
 use tokio::time::timeout;
-use workshold_core::lifecycle::End;
 use workshold_core::lifecycle::Event;
 use workshold_core::lifecycle::Next;
 use workshold_core::lifecycle::Repeatability;
 use workshold_core::lifecycle::RequestLifecycle;
+use workshold_core::lifecycle::RequestResult;
 use workshold_core::outlier::OutlierDetector;
 use workshold_core::outlier::OutlierRules;
 use workshold_core::retry::RetryRules;
@@ -227,15 +227,15 @@
         let (event, answer) = attempt_one(node, &call, &mut lifecycle, &mut tried).await;
         let budget = || may_retry(node, &call);
         match lifecycle.on(attempt, event, node.now(), budget) {
-            Next::Finish(End::Answered) => {
+            Next::Finish(RequestResult::Answered) => {
                 node.counters.answered.add(1);
                 return answer.ok_or_else(|| Problem::unknown(Code::UpstreamFailed, "no answer"));
             }
-            Next::Finish(End::NotRun(code)) => {
+            Next::Finish(RequestResult::NotRun(code)) => {
                 node.counters.not_run.add(1);
                 return Err(Problem::not_run(code, detail(&lifecycle)).retry_after(RETRY_AFTER));
             }
-            Next::Finish(End::Unknown(code)) => {
+            Next::Finish(RequestResult::Unknown(code)) => {
                 node.counters.unknown.add(1);
                 return Err(Problem::unknown(code, detail(&lifecycle)));
             }
--- a/crates/workshold-node/src/desk.rs
+++ b/crates/workshold-node/src/desk.rs
@@ -5,8 +5,8 @@
 
 use tokio::sync::oneshot;
 use workshold_core::admission::Arrival;
+use workshold_core::admission::Dequeued;
 use workshold_core::admission::FairQueue;
-use workshold_core::admission::Popped;
 use workshold_core::admission::QueueRules;
 use workshold_core::admission::Refused;
 use workshold_core::outlier::OutlierDetector;
@@ -124,8 +124,8 @@
         }
         while !self.queue.is_empty() && self.has_room(view) {
             match self.queue.pop(view.now) {
-                Some(Popped::Start(waiter)) => self.give_turn(view, waiter),
-                Some(Popped::Expired(waiter)) => {
+                Some(Dequeued::Start(waiter)) => self.give_turn(view, waiter),
+                Some(Dequeued::Expired(waiter)) => {
                     let _ = waiter.turn.send(Turn::Expired);
                 }
                 None => return,
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -427,7 +427,7 @@
     /// Forgets reports and nodes that are long gone.
     pub fn forget_gone(&self) {
         let now = self.now();
-        self.observations.write().drop_older(now, REPORT_KEPT);
+        self.observations.write().remove_older_than(now, REPORT_KEPT);
         self.membership.write().forget_gone(now, &self.settings.membership_rules());
         if let Some(floor) = self.with_state(|state| state.keys.floor()) {
             self.keys.forget_before(floor);
--- a/crates/workshold-node/src/tasks/replaying.rs
+++ b/crates/workshold-node/src/tasks/replaying.rs
@@ -50,7 +50,7 @@
             Gathered::More(_) => continue,
             Gathered::Started(started) => {
                 // A peer's records are only taken from one that has custody.
-                node.lasting.write().authority.on_log();
+                node.lasting.write().authority.on_log_read();
                 install(node, *started);
                 return;
             }
@@ -101,7 +101,7 @@
             return;
         }
         if source == Source::Log && node.with_state(|state| state.next()) == Some(reply.end) {
-            node.lasting.write().authority.on_log();
+            node.lasting.write().authority.on_log_read();
         }
     }
 }
