--- a/crates/workshold-gateway/src/callers/directory.rs
+++ b/crates/workshold-gateway/src/callers/directory.rs
@@ -8,9 +8,9 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderValue;
 use rand::Rng;
-use workshold_platform::face;
-use workshold_platform::face::Question;
 use workshold_platform::names;
+use workshold_platform::resolve;
+use workshold_platform::resolve::ResolveQuery;
 
 use crate::callers::responses;
 use crate::callers::responses::ResponseBody;
@@ -25,12 +25,12 @@
     if req.uri().path() != names::RESOLVE_PATH {
         return responses::plain_text(StatusCode::NOT_FOUND, "no such question");
     }
-    let question = Question::parse(req.uri().query().unwrap_or_default());
+    let question = ResolveQuery::parse(req.uri().query().unwrap_or_default());
     let addresses = addresses(node, question.data_centre);
     if addresses.is_empty() {
         return responses::plain_text(StatusCode::SERVICE_UNAVAILABLE, "no node serves now");
     }
-    let body: Bytes = face::addresses(&addresses, node.settings().address_ttl_s());
+    let body: Bytes = resolve::encode_addresses(&addresses, node.settings().address_ttl_s());
     let mut res = Response::new(responses::full_body(body));
     res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     res
@@ -61,7 +61,7 @@
     // Each response starts at another node, or all callers would use the same ones first.
     let start = rand::rng().random_range(0..chosen.len().max(1));
     chosen.rotate_left(start);
-    chosen.truncate(face::MOST_ADDRESSES);
+    chosen.truncate(resolve::MAX_ADDRESSES);
     chosen
 }
 
--- a/crates/workshold-gateway/src/callers/requests.rs
+++ b/crates/workshold-gateway/src/callers/requests.rs
@@ -135,7 +135,7 @@
     let model = header_text(&headers, &names::MODEL);
     let prompt_tokens = prompt_tokens(&headers);
     let last_event_id =
-        header_text(&headers, &names::LAST_EVENT).and_then(|text| text.parse().ok());
+        header_text(&headers, &names::LAST_EVENT_ID).and_then(|text| text.parse().ok());
     let rank = team.as_ref().map_or(0, |(_, rank)| *rank);
     let path = parts.uri.path_and_query().map_or(path, |path| path.as_str());
     let caller = team.as_ref().map(|(name, _)| name.as_str());
@@ -195,7 +195,7 @@
         emit(Event::RequestNotRun, &[("request", id), ("why", why)]);
         return Err(refuse(why));
     }
-    let key = header_text(headers, &names::KEY);
+    let key = header_text(headers, &names::API_KEY);
     match serving_config.caller(route, key.as_deref()) {
         Caller::Anonymous => Ok(None),
         Caller::Team(team) => Ok(Some((SmolStr::new(team.name.as_str()), team.priority))),
@@ -255,9 +255,9 @@
 fn set_upstream_headers(headers: &mut HeaderMap, team: Option<SmolStr>, urgency: u8) {
     responses::remove_hop_by_hop(headers);
     headers.remove(header::EXPECT);
-    headers.remove(names::KEY);
+    headers.remove(names::API_KEY);
     headers.remove(names::TEAM);
-    headers.remove(names::ONLY_AT);
+    headers.remove(names::EXPECTED_INSTANCE);
     headers.remove(names::URGENCY);
     headers.remove(names::TIME_LEFT);
     if let Some(team) = team.and_then(|team| HeaderValue::from_str(&team).ok()) {
--- a/crates/workshold-gateway/src/node/instance_limits.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -16,7 +16,7 @@
 use workshold_http::client::CallError;
 use workshold_http::client::Connected;
 use workshold_http::client::Driver;
-use workshold_platform::words::Limit;
+use workshold_platform::response_headers::AnnouncedLimit;
 use workshold_protocol::Millis;
 
 use crate::events::Event;
@@ -56,11 +56,11 @@
 
 impl Node {
     /// Handles the rate limit, or the absence of one, in the answer to a request sent at `asked`.
-    pub fn on_rate_limit(&self, id: &Identity, limit: Limit, asked: Millis) {
+    pub fn on_rate_limit(&self, id: &Identity, limit: AnnouncedLimit, asked: Millis) {
         let limit = match limit {
-            Limit::PerSecond(limit) => Some(Rate::per_s(limit)),
-            Limit::None => None,
-            Limit::Unreadable => return,
+            AnnouncedLimit::PerSecond(limit) => Some(Rate::per_s(limit)),
+            AnnouncedLimit::None => None,
+            AnnouncedLimit::Unreadable => return,
         };
         self.apply_limit_report(
             id,
--- a/crates/workshold-gateway/src/proxy/attempt.rs
+++ b/crates/workshold-gateway/src/proxy/attempt.rs
@@ -24,7 +24,7 @@
 use workshold_http::client::CallError;
 use workshold_http::client::Driver;
 use workshold_platform::names;
-use workshold_platform::words;
+use workshold_platform::response_headers;
 use workshold_protocol::Millis;
 
 use crate::callers::requests::AdmittedRequest;
@@ -123,9 +123,12 @@
         Err(_) => return Err((AttemptEnd::Broken, "the connection broke before the response")),
     };
     if is_from_target(&request, &res) {
-        node.on_rate_limit(&target.id, words::limit(res.headers()), sent);
-        node.on_backoff(&target.id, words::rest(res.status(), res.headers(), node.wall()));
-        node.on_leaving(&target.id, words::leaves(res.headers()));
+        node.on_rate_limit(&target.id, response_headers::announced_limit(res.headers()), sent);
+        node.on_backoff(
+            &target.id,
+            response_headers::retry_after(res.status(), res.headers(), node.wall()),
+        );
+        node.on_leaving(&target.id, response_headers::is_leaving(res.headers()));
     }
     check_head(&request, &res)?;
     let is_stream = request.route.kind == RequestKind::Stream && res.status().is_success();
@@ -172,10 +175,10 @@
     let headers = req.headers_mut();
     headers.insert(names::TIME_LEFT, HeaderValue::from(left.0));
     if let Ok(id) = HeaderValue::from_str(target.id.as_str()) {
-        headers.insert(names::ONLY_AT, id);
+        headers.insert(names::EXPECTED_INSTANCE, id);
     }
     if let Some(last) = last {
-        headers.insert(names::LAST_EVENT, HeaderValue::from(last));
+        headers.insert(names::LAST_EVENT_ID, HeaderValue::from(last));
     }
     req
 }
@@ -188,7 +191,7 @@
 /// Checks that a response belongs to this request and proves that it has run.
 fn check_head(request: &AdmittedRequest, res: &Response<Incoming>) -> Result<(), Failure> {
     let (status, headers) = (res.status(), res.headers());
-    if headers.contains_key(names::NOT_RUN) {
+    if headers.contains_key(names::NOT_EXECUTED) {
         return Err((AttemptEnd::Refused, "the upstream refused it without running it"));
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
@@ -203,7 +206,7 @@
             "the response has a content encoding that was not requested",
         ));
     }
-    if status.is_success() && !headers.contains_key(names::STAMP) {
+    if status.is_success() && !headers.contains_key(names::RESPONSE_STAMP) {
         return Err((AttemptEnd::Unknown, "the response has no stamp as proof"));
     }
     // The caller would take these to mean that the request has not run. Only the upstream's
--- a/crates/workshold-gateway/src/store_monitor.rs
+++ b/crates/workshold-gateway/src/store_monitor.rs
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Earlier`] if the answer is of an earlier era and must be ignored.
+    /// [`StoreError::OlderEra`] if the answer is of an earlier era and must be ignored.
     pub fn take<T>(
         &self,
         answer: Answer<T>,
@@ -45,11 +45,11 @@
     ) -> Result<(T, bool), StoreError> {
         let order = self.observe(answer.era, now);
         if order == EraOrder::Older {
-            return Err(StoreError::Earlier(self.era().0 - answer.era.0));
+            return Err(StoreError::OlderEra(self.era().0 - answer.era.0));
         }
         let mut answered = self.answered.lock();
         *answered = (*answered).max(sent);
-        Ok((answer.said, order == EraOrder::Newer))
+        Ok((answer.value, order == EraOrder::Newer))
     }
 
     /// Records that `era` has been known since `since`, to this node or a peer. Returns how it
--- a/crates/workshold-gateway/src/tasks/gossip.rs
+++ b/crates/workshold-gateway/src/tasks/gossip.rs
@@ -436,8 +436,8 @@
         }
         let newer = peer_with_newer_config(&node);
         let now = node.now();
-        if node.config_store.received() > received {
-            received = node.config_store.received();
+        if node.config_store.received_len() > received {
+            received = node.config_store.received_len();
             received_at = now;
         }
         newer_since = newer.and(newer_since.or(Some(now)));
--- a/crates/workshold-gateway/src/tasks/leasing.rs
+++ b/crates/workshold-gateway/src/tasks/leasing.rs
@@ -7,7 +7,7 @@
 
 use workshold_core::hosted::partition_lease::PartitionLease;
 use workshold_core::hosted::store_era::Fence;
-use workshold_platform::store::Joined;
+use workshold_platform::store::GroupAssignment;
 use workshold_platform::store::StoreError;
 use workshold_protocol::Millis;
 
@@ -52,7 +52,7 @@
     while !node.is_leaving() {
         let sent = node.now();
         if let Ok((joined, fence)) = join(&node, &member, ttl, sent).await {
-            take(&node, fence, &joined.parts, sent);
+            take(&node, fence, &joined.partitions, sent);
         }
         wait_for_renewal(&node).await;
     }
@@ -68,7 +68,7 @@
     member: &str,
     ttl: Millis,
     sent: Millis,
-) -> Result<(Joined, Fence), StoreError> {
+) -> Result<(GroupAssignment, Fence), StoreError> {
     let last_fence = node.lease.lock().fence;
     let generation =
         if last_fence.era == node.store_monitor.era() { last_fence.generation } else { 0 };
--- a/crates/workshold-gateway/src/tasks/long_poll.rs
+++ b/crates/workshold-gateway/src/tasks/long_poll.rs
@@ -120,12 +120,12 @@
     let wait = if from().is_some() { rules.wait } else { Millis::ZERO };
     let mut round = PollRound::new(LongPollRules { wait, ..rules }, node.now());
     let mut pending = FuturesUnordered::new();
-    let mut received = store.received();
+    let mut received = store.received_len();
     loop {
         let now = node.now();
         if round.next_poll_at() <= now {
-            let is_arriving = !pending.is_empty() && store.received() > received;
-            received = store.received();
+            let is_arriving = !pending.is_empty() && store.received_len() > received;
+            received = store.received_len();
             if is_arriving {
                 round.on_partial_answer(now);
                 continue;
--- a/crates/workshold-gateway/src/tasks/stewarding.rs
+++ b/crates/workshold-gateway/src/tasks/stewarding.rs
@@ -18,7 +18,7 @@
 use workshold_core::hosted::steward::OrderReply;
 use workshold_core::hosted::steward::Steward;
 use workshold_core::hosted::store_era::Fence;
-use workshold_platform::engines;
+use workshold_platform::orders;
 use workshold_protocol::Millis;
 
 use crate::events::Event;
@@ -173,7 +173,7 @@
 fn send_order(node: Arc<Node>, stewards: Stewards, command: Command) {
     tokio::spawn(async move {
         node.metrics.count(Metric::Orders);
-        let reply = engines::order(&command, ORDER_TIMEOUT).await;
+        let reply = orders::send_order(&command, ORDER_TIMEOUT).await;
         let mut is_outranked = false;
         for steward in stewards.lock().values_mut() {
             is_outranked |= steward.on_reply(&command, reply);
--- a/crates/workshold-gateway/tests/decoders.rs
+++ b/crates/workshold-gateway/tests/decoders.rs
@@ -99,8 +99,8 @@
 fn decode_all(bytes: &[u8]) {
     let _ = entries::decode(&id(), bytes);
     let _ = config::decode(bytes);
-    let _ = store::records(&Bytes::copy_from_slice(bytes), 3);
-    let _ = store::owners(bytes);
+    let _ = store::decode_records(&Bytes::copy_from_slice(bytes), 3);
+    let _ = store::decode_owners(bytes);
     let _ = postcard::from_bytes::<Datagram>(bytes);
 }
 
@@ -148,7 +148,7 @@
             .iter()
             .map(|value| value.to_str().ok().and_then(|text| text.trim().parse().ok()))
             .collect();
-        match store::era(&headers) {
+        match store::decode_era(&headers) {
             Ok(era) if numbers.is_empty() => prop_assert_eq!(era.0, 0),
             Ok(era) => prop_assert!(numbers.iter().all(|number| *number == Some(era.0))),
             Err(_) => prop_assert!(numbers.iter().any(|n| n.is_none() || *n != numbers[0])),
@@ -159,7 +159,7 @@
     fn a_header_that_is_a_number_is_that_past(era in any::<u64>()) {
         let mut headers = HeaderMap::new();
         headers.append(store::ERA_HEADER, era.into());
-        prop_assert_eq!(store::era(&headers).unwrap().0, era);
+        prop_assert_eq!(store::decode_era(&headers).unwrap().0, era);
     }
 
     /// Lengths that a datagram claims are no reason to make room for them.
@@ -182,9 +182,9 @@
         raw.push(3);
         raw.extend(b"i-1");
         raw.extend(value.as_bytes());
-        let whole = store::records(&Bytes::from(raw.clone()), 3).unwrap();
+        let whole = store::decode_records(&Bytes::from(raw.clone()), 3).unwrap();
         prop_assert_eq!(whole.records.len(), 1);
         raw.truncate(raw.len() - cut);
-        prop_assert!(store::records(&Bytes::from(raw), 3).is_err());
+        prop_assert!(store::decode_records(&Bytes::from(raw), 3).is_err());
     }
 }
--- a/crates/workshold-gateway/tests/doubts.rs
+++ b/crates/workshold-gateway/tests/doubts.rs
@@ -33,8 +33,8 @@
 use workshold_gateway::peers::ProbeAudience;
 use workshold_gateway::peers::exchange::LocalNode;
 use workshold_gateway::tasks::probing;
+use workshold_platform_standin::proxy::LinkState;
 use workshold_platform_standin::proxy::Proxy;
-use workshold_platform_standin::proxy::Way;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
 use workshold_protocol::ids::InstanceId;
@@ -88,23 +88,23 @@
     assert!(node.is_probe_due(&id()), "what was seen then may have changed");
 }
 
-async fn way(way: Way) -> Proxy {
+async fn way(way: LinkState) -> Proxy {
     let proxy = Proxy::start();
-    proxy.set(way).await;
+    proxy.set_state(way).await;
     proxy
 }
 
 #[rstest]
-#[case::it_reaches_its_peers(Some(Way::Open), Some(ProbeResult::Silent))]
-#[case::it_reaches_nobody_at_the_moment(Some(Way::Silent), None)]
+#[case::it_reaches_its_peers(Some(LinkState::Open), Some(ProbeResult::Silent))]
+#[case::it_reaches_nobody_at_the_moment(Some(LinkState::Silent), None)]
 #[case::it_knows_of_nobody_else(None, Some(ProbeResult::Silent))]
 #[tokio::test]
 async fn silence_shows_something_only_to_a_node_that_others_answer(
-    #[case] peers: Option<Way>,
+    #[case] peers: Option<LinkState>,
     #[case] conclusive: Option<ProbeResult>,
 ) {
     let (node, _, mut rx) = node();
-    let instance = way(Way::Silent).await;
+    let instance = way(LinkState::Silent).await;
     let mut proxies = Vec::new();
     for i in 0..if peers.is_some() { 3 } else { 0 } {
         proxies.push(way(peers.unwrap()).await);
@@ -122,8 +122,8 @@
 #[tokio::test]
 async fn a_refusal_shows_that_a_life_has_ended_whoever_else_answers() {
     let (node, _, _rx) = node();
-    let gone = way(Way::Open).await.address;
-    let peer = way(Way::Silent).await;
+    let gone = way(LinkState::Open).await.address;
+    let peer = way(LinkState::Silent).await;
     let own = node.settings().control();
     let said = heartbeat(peer.address);
     node.peers.lock().on_heartbeat(own, peer.address, SmolStr::new("n"), said, node.now());
@@ -165,12 +165,12 @@
 #[tokio::test]
 async fn silence_shows_something_to_a_node_that_other_instances_answer() {
     let (node, _, _rx) = node();
-    let instance = way(Way::Silent).await;
-    let peer = way(Way::Silent).await;
+    let instance = way(LinkState::Silent).await;
+    let peer = way(LinkState::Silent).await;
     let own = node.settings().control();
     let said = heartbeat(peer.address);
     node.peers.lock().on_heartbeat(own, peer.address, SmolStr::new("n"), said, node.now());
-    let other = way(Way::Open).await;
+    let other = way(LinkState::Open).await;
     let entry = Instance {
         identity: InstanceId::new("i-2").unwrap().into(),
         service: ServiceName::new("llm").unwrap(),
--- a/crates/workshold-gateway/tests/leases.rs
+++ b/crates/workshold-gateway/tests/leases.rs
@@ -45,13 +45,13 @@
     #[case] expected: bool,
 ) {
     let (node, clock, _) = common::node();
-    node.take_answer(Answer { era: Era(0), said: () }, node.now()).unwrap();
+    node.take_answer(Answer { era: Era(0), value: () }, node.now()).unwrap();
     leasing::take(&node, fence(0, 7), &[3], node.now());
     clock.go_on(Millis(400));
     assert!(may_order(&node), "nobody else orders");
     leasing::take(&node, fence(0, 7), &[3], node.now());
     clock.go_on(Millis(pause));
-    node.take_answer(Answer { era: Era(era), said: () }, node.now()).unwrap();
+    node.take_answer(Answer { era: Era(era), value: () }, node.now()).unwrap();
     leasing::take(&node, fence(era, generation), &[3], node.now());
     assert_eq!(may_order(&node), expected);
     clock.go_on(Millis(400));
--- a/crates/workshold-gateway/tests/platform/copies.rs
+++ b/crates/workshold-gateway/tests/platform/copies.rs
@@ -13,11 +13,11 @@
 use workshold_platform_standin::caller;
 use workshold_platform_standin::deployment::Deployment;
 use workshold_platform_standin::deployment::config;
-use workshold_platform_standin::instance::ENDS_ITS_INSTANCE;
+use workshold_platform_standin::instance::CRASH_BODY;
 use workshold_platform_standin::instance::Identity;
 use workshold_platform_standin::instance::StandInInstance;
+use workshold_platform_standin::proxy::LinkState;
 use workshold_platform_standin::proxy::Proxy;
-use workshold_platform_standin::proxy::Way;
 use workshold_platform_standin::wait_for;
 
 /// What the store loses, and when others have written it again.
@@ -47,7 +47,7 @@
 
 /// An instance writes more than once, and all of it is lost.
 fn write_much(instance: &StandInInstance) {
-    (0..10).for_each(|_| instance.check_in());
+    (0..10).for_each(|_| instance.write_entry());
 }
 
 #[tokio::test]
@@ -58,7 +58,7 @@
     tokio::time::sleep(STANDS).await;
     write_much(&deployment.gates[0]);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    deployment.store.return_from_copy(LOST, AGAIN);
+    deployment.store.restore_backup(LOST, AGAIN);
     deployment.gates[0].drain();
     let is_heard = || is_leaving(&node, "i-gate0");
     wait_for("the word of one that leaves", is_heard).await;
@@ -78,17 +78,17 @@
 async fn what_was_written_below_a_place_that_is_given_out_again_is_read() {
     let deployment = Deployment::start(2, 2).await;
     let to_store = Proxy::start();
-    to_store.lead_to(Some(deployment.store.address));
+    to_store.set_target(Some(deployment.store.address));
     let node = TestNode::start_at("n-1", to_store.address, "");
     node.serving().await;
     tokio::time::sleep(STANDS).await;
     write_much(&deployment.gates[0]);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    to_store.set(Way::Silent).await;
-    deployment.store.return_from_copy(LOST, AGAIN);
+    to_store.set_state(LinkState::Silent).await;
+    deployment.store.restore_backup(LOST, AGAIN);
     deployment.gates[1].drain();
     (0..4).for_each(|_| write_much(&deployment.gates[0]));
-    to_store.set(Way::Open).await;
+    to_store.set_state(LinkState::Open).await;
     wait_for("a word in between", || is_leaving(&node, "i-gate1")).await;
 }
 
@@ -100,7 +100,7 @@
     let node = TestNode::start("n-1", &deployment.store, "");
     node.serving().await;
     // Before the engines were in a group.
-    deployment.store.return_from_copy(Duration::from_millis(1_200), Duration::from_millis(1_500));
+    deployment.store.restore_backup(Duration::from_millis(1_200), Duration::from_millis(1_500));
     for turn in 0..20 {
         let req = caller::request(&format!("r-{turn}"), "/chat/x", "k1");
         let (res, body) = caller::send(node.callers, req).await.unwrap();
@@ -109,7 +109,7 @@
         assert_eq!(got, 200, "print {turn}: {}", state(&node).await);
         tokio::time::sleep(Duration::from_millis(80)).await;
     }
-    assert_eq!(deployment.store.witness.breaches(), Vec::<String>::new());
+    assert_eq!(deployment.store.monitor.breaches(), Vec::<String>::new());
 }
 
 /// The lease's numbers are given out again, and every instance has seen higher ones.
@@ -125,13 +125,13 @@
     }
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     let before = state(&node).await["lease"]["generation"].as_u64().unwrap();
-    deployment.store.return_from_copy(Duration::from_secs(30), AGAIN);
+    deployment.store.restore_backup(Duration::from_secs(30), AGAIN);
     wait_for("a lease by the new past", || async { state(&node).await["lease"]["era"] == 1 }).await;
     let after = state(&node).await["lease"]["generation"].as_u64().unwrap();
     assert!(after < before, "{after} is given out again, {before} was the last");
     for lost in &deployment.engines[..2] {
         lost.crash();
-        lost.lapse();
+        lost.drop_entry();
     }
     wait_for("a group of those that are left", || async {
         let state = state(&node).await;
@@ -141,7 +141,7 @@
         instances.iter().any(|i| open(i) && left.contains(&i["id"].as_str().unwrap()))
     })
     .await;
-    assert_eq!(deployment.store.witness.breaches(), Vec::<String>::new());
+    assert_eq!(deployment.store.monitor.breaches(), Vec::<String>::new());
 }
 
 /// A key was taken away, and the store has lost that.
@@ -153,7 +153,7 @@
     node.ready().await;
     deployment.store.configure(&config(9, "k2"));
     wait_for("the newer configuration", || async { status(&node, "r-0", "k2").await == 200 }).await;
-    deployment.store.return_from_copy(LOST, NEVER);
+    deployment.store.restore_backup(LOST, NEVER);
     let other = TestNode::start_again("n-2", &deployment.store, BOUNDS);
     for turn in 0..50 {
         for node in [&node, &other] {
@@ -179,7 +179,7 @@
     tokio::time::sleep(STANDS).await;
     let ended = || deployment.gates.iter().filter(|gate| gate.has_ended()).count();
     let ask = async |node: &TestNode, id: &str| {
-        let req = caller::request_with(id, "/print/x", "k1", ENDS_ITS_INSTANCE);
+        let req = caller::request_with(id, "/print/x", "k1", CRASH_BODY);
         let sent = caller::send(node.callers, req).await;
         sent.map_or(0, |(res, _)| res.status().as_u16())
     };
@@ -194,7 +194,7 @@
             tokio::time::sleep(Duration::from_millis(400)).await;
         }
         assert_eq!(ended(), 3);
-        deployment.store.return_from_copy(Duration::from_secs(20), AGAIN);
+        deployment.store.restore_backup(Duration::from_secs(20), AGAIN);
         tokio::time::sleep(Duration::from_millis(2_500)).await;
     }
     // Everybody who knew it is gone.
@@ -208,7 +208,7 @@
 #[tokio::test]
 async fn a_store_that_does_not_say_is_one_that_has_never_come_back() {
     let deployment = Deployment::start(2, 1).await;
-    deployment.store.say_no_era();
+    deployment.store.omit_era();
     let node = TestNode::start("n-1", &deployment.store, "");
     node.serving().await;
     deployment.gates[0].drain();
--- a/crates/workshold-gateway/tests/platform/ending.rs
+++ b/crates/workshold-gateway/tests/platform/ending.rs
@@ -16,7 +16,7 @@
 use workshold_http::client;
 use workshold_platform_standin::caller;
 use workshold_platform_standin::deployment::Deployment;
-use workshold_platform_standin::instance::ENDS_ITS_INSTANCE;
+use workshold_platform_standin::instance::CRASH_BODY;
 use workshold_platform_standin::instance::StandInInstance;
 use workshold_platform_standin::wait_for;
 
@@ -38,7 +38,7 @@
 
 /// Asks once; the status, and in how many seconds to come back.
 async fn ask(node: &TestNode, id: &str, path: &str) -> (u16, f64) {
-    let req = caller::request_with(id, path, "k1", ENDS_ITS_INSTANCE);
+    let req = caller::request_with(id, path, "k1", CRASH_BODY);
     let Ok((res, _)) = caller::send(node.callers, req).await else { return (0, 0.0) };
     let after =
         res.headers().get("retry-after").and_then(|after| after.to_str().ok()?.parse().ok());
--- a/crates/workshold-gateway/tests/platform/limits.rs
+++ b/crates/workshold-gateway/tests/platform/limits.rs
@@ -88,7 +88,7 @@
 }
 
 fn head(deployment: &Deployment) -> &StandInInstance {
-    deployment.engines.iter().find(|engine| engine.asked() > 0).expect("a head was asked")
+    deployment.engines.iter().find(|engine| engine.request_count() > 0).expect("a head was asked")
 }
 
 /// Fails where nodes send an instance more than the limit that it names in its answers.
@@ -104,12 +104,12 @@
     let callers = Callers::start(&nodes, path);
     tokio::time::sleep(Duration::from_secs(1)).await;
     let limited = if path.starts_with("/plate") { &deployment.gates[0] } else { head(&deployment) };
-    limited.name_limit(Some("2.1"));
-    let before = limited.asked();
+    limited.announce_rate_limit(Some("2.1"));
+    let before = limited.request_count();
     tokio::time::sleep(LASTS).await;
-    let got = limited.asked() - before;
+    let got = limited.request_count() - before;
     let served = callers.stop().await;
-    assert_eq!(deployment.store.witness.overloads(), Vec::<String>::new());
+    assert_eq!(deployment.store.monitor.overloads(), Vec::<String>::new());
     assert!(got >= 6, "it takes 17 in that time, and got {got}");
     assert!(served > 400, "the others have room for all, and {served} were served");
 }
@@ -120,14 +120,15 @@
     let deployment = Deployment::start(2, 2).await;
     let nodes = three_nodes(&deployment).await;
     let limited = &deployment.gates[0];
-    limited.name_limit(Some("0"));
+    limited.announce_rate_limit(Some("0"));
     let callers = Callers::start(&nodes, "/plate/x");
     tokio::time::sleep(LASTS).await;
-    limited.name_limit(None);
-    let before = limited.asked();
-    wait_for("the other half of all requests", || async { limited.asked() > before + 100 }).await;
+    limited.announce_rate_limit(None);
+    let before = limited.request_count();
+    wait_for("the other half of all requests", || async { limited.request_count() > before + 100 })
+        .await;
     callers.stop().await;
-    assert_eq!(deployment.store.witness.overloads(), Vec::<String>::new());
+    assert_eq!(deployment.store.monitor.overloads(), Vec::<String>::new());
 }
 
 /// Fails where a value that is no number lifts, sets or breaks anything.
@@ -143,7 +144,7 @@
     let deployment = Deployment::start(2, 1).await;
     let node = TestNode::start("n-1", &deployment.store, "");
     node.serving().await;
-    deployment.gates[0].name_limit(Some(value));
+    deployment.gates[0].announce_rate_limit(Some(value));
     for turn in 0..10 {
         let req = caller::request(&format!("r-{turn}"), "/plate/x", "k1");
         let (res, _) = caller::send(node.callers, req).await.unwrap();
@@ -156,7 +157,7 @@
     let deployment = Deployment::start(2, 1).await;
     let node = TestNode::start("n-1", &deployment.store, "");
     node.serving().await;
-    deployment.gates[0].name_limit(Some("0.5"));
+    deployment.gates[0].announce_rate_limit(Some("0.5"));
     let mut refused = 0;
     for turn in 0..10 {
         let req = caller::request(&format!("r-{turn}"), "/print/x", "k1");
--- a/crates/workshold-gateway/tests/platform/path.rs
+++ b/crates/workshold-gateway/tests/platform/path.rs
@@ -11,15 +11,15 @@
 use workshold_platform_standin::caller;
 use workshold_platform_standin::deployment::Deployment;
 use workshold_platform_standin::deployment::config;
-use workshold_platform_standin::instance::EVENTS;
-use workshold_platform_standin::instance::Manner;
-use workshold_platform_standin::store::Mood;
+use workshold_platform_standin::instance::InstanceBehaviour;
+use workshold_platform_standin::instance::STREAM_EVENTS;
+use workshold_platform_standin::store::StoreBehaviour;
 use workshold_platform_standin::wait_for;
 
 const MANY_REPEATS: &str = "repeat_slack = 100.0";
 
 fn all_events() -> Vec<u64> {
-    (1..=EVENTS).collect()
+    (1..=STREAM_EVENTS).collect()
 }
 
 #[tokio::test]
@@ -59,14 +59,17 @@
     let deployment = Deployment::start(4, 0).await;
     let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
     node.serving().await;
-    deployment.engines.iter().for_each(|engine| engine.behave(Manner::CutsEvent));
+    deployment
+        .engines
+        .iter()
+        .for_each(|engine| engine.set_behaviour(InstanceBehaviour::TruncatesEvent));
     let (res, _driver) =
         caller::open(node.callers, caller::request("r-1", "/chat/x", "k1")).await.unwrap();
-    deployment.engines.iter().for_each(|engine| engine.behave(Manner::Good));
+    deployment.engines.iter().for_each(|engine| engine.set_behaviour(InstanceBehaviour::Normal));
     let text = res.into_body().collect().await.unwrap().to_bytes();
     let text = String::from_utf8(text.to_vec()).unwrap();
     assert_eq!(caller::event_ids(&text), all_events());
-    assert_eq!(text.matches("token").count(), EVENTS as usize);
+    assert_eq!(text.matches("token").count(), STREAM_EVENTS as usize);
 }
 
 #[tokio::test]
@@ -85,7 +88,7 @@
     let deployment = Deployment::start(2, 0).await;
     let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
     node.serving().await;
-    deployment.engines.iter().for_each(|engine| engine.behave(Manner::Endless));
+    deployment.engines.iter().for_each(|engine| engine.set_behaviour(InstanceBehaviour::Endless));
     let (res, driver) =
         caller::open(node.callers, caller::request("r-1", "/chat/x", "k1")).await.unwrap();
     let engine = deployment.serving("r-1").unwrap();
@@ -96,19 +99,19 @@
 }
 
 #[rstest]
-#[case::broken(Manner::Breaks, 502)]
-#[case::failed(Manner::Fails, 500)]
-#[case::unproved(Manner::Unproved, 502)]
-#[case::foreign(Manner::Foreign, 502)]
+#[case::broken(InstanceBehaviour::Breaks, 502)]
+#[case::failed(InstanceBehaviour::Fails, 500)]
+#[case::unproved(InstanceBehaviour::NoStamp, 502)]
+#[case::foreign(InstanceBehaviour::WrongRequestId, 502)]
 #[tokio::test]
 async fn what_must_run_once_runs_once_and_is_not_called_not_run(
-    #[case] manner: Manner,
+    #[case] behaviour: InstanceBehaviour,
     #[case] status: u16,
 ) {
     let deployment = Deployment::start(2, 3).await;
     let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
     node.ready().await;
-    deployment.gates.iter().for_each(|gate| gate.behave(manner));
+    deployment.gates.iter().for_each(|gate| gate.set_behaviour(behaviour));
     let (res, _) =
         caller::send(node.callers, caller::request("r-1", "/print/x", "k1")).await.unwrap();
     assert_eq!(res.status(), status);
@@ -120,7 +123,7 @@
     let deployment = Deployment::start(2, 2).await;
     let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
     node.ready().await;
-    deployment.gates.iter().for_each(|gate| gate.behave(Manner::Refuses));
+    deployment.gates.iter().for_each(|gate| gate.set_behaviour(InstanceBehaviour::Refuses));
     let (res, _) =
         caller::send(node.callers, caller::request("r-1", "/print/x", "k1")).await.unwrap();
     assert_eq!(res.status(), 503);
@@ -134,7 +137,7 @@
     let deployment = Deployment::start(2, 2).await;
     let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
     node.ready().await;
-    deployment.gates[0].behave(Manner::Breaks);
+    deployment.gates[0].set_behaviour(InstanceBehaviour::Breaks);
     for i in 0..6 {
         let id = format!("r-{i}");
         let (res, text) =
@@ -182,7 +185,7 @@
     let deployment = Deployment::start(2, 1).await;
     let node = TestNode::start("n-1", &deployment.store, "keys_believed_ms = 2500");
     node.ready().await;
-    deployment.store.set_mood(Mood::Down);
+    deployment.store.set_behaviour(StoreBehaviour::Down);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let send = |id: &'static str| async {
         let sent = caller::send(node.callers, caller::request(id, "/print/x", "k1")).await;
@@ -191,7 +194,7 @@
     assert_eq!(send("r-1").await, 200);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert_eq!(send("r-2").await, 503);
-    deployment.store.set_mood(Mood::Well);
+    deployment.store.set_behaviour(StoreBehaviour::Normal);
     node.ready().await;
     assert_eq!(send("r-3").await, 200);
 }
@@ -203,7 +206,7 @@
     let settings = "keys_believed_ms = 1000\nrefuse_stale_keys = false";
     let node = TestNode::start("n-1", &deployment.store, settings);
     node.ready().await;
-    deployment.store.set_mood(Mood::Down);
+    deployment.store.set_behaviour(StoreBehaviour::Down);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let send = |node: std::net::SocketAddr, id: &'static str, key: &'static str| async move {
         let sent = caller::send(node, caller::request(id, "/print/x", key)).await;
@@ -300,7 +303,7 @@
     deployment.store.configure(&text.replace("\"version\":1", "\"version\":2"));
     let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
     node.ready().await;
-    deployment.gates[0].behave(Manner::Slow);
+    deployment.gates[0].set_behaviour(InstanceBehaviour::Slow);
     let (res, _) =
         caller::send(node.callers, caller::request("r-1", "/plate/x", "k1")).await.unwrap();
     assert_eq!(res.status(), 200, "three times the goal has passed, but not its time");
--- a/crates/workshold-gateway/tests/platform/resting.rs
+++ b/crates/workshold-gateway/tests/platform/resting.rs
@@ -18,8 +18,8 @@
 use workshold_platform_standin::caller;
 use workshold_platform_standin::deployment::Deployment;
 use workshold_platform_standin::instance::StandInInstance;
+use workshold_platform_standin::monitor::Arrival;
 use workshold_platform_standin::wait_for;
-use workshold_platform_standin::witness::Arrival;
 
 use crate::support::TestNode;
 
@@ -69,7 +69,7 @@
 
 /// What came to an instance, the first first.
 fn came_to(deployment: &Deployment, instance: &StandInInstance) -> Vec<Arrival> {
-    let all = deployment.store.witness.arrivals();
+    let all = deployment.store.monitor.arrivals();
     all.into_iter().filter(|arrival| arrival.instance == instance.name()).collect()
 }
 
@@ -84,26 +84,26 @@
     let node = one_node(&deployment, "n-1").await;
     ask_for(&node, Duration::from_secs(3), path).await;
     let all = if path.starts_with("/plate") { &deployment.gates } else { &deployment.engines };
-    let asked = all.iter().filter(|instance| instance.asked() > 0);
+    let asked = all.iter().filter(|instance| instance.request_count() > 0);
     let resting: Vec<_> = asked.skip(1).collect();
     assert!(!resting.is_empty(), "two were asked at least");
-    resting.iter().for_each(|instance| instance.ask_rest(Some("3")));
+    resting.iter().for_each(|instance| instance.announce_retry_after(Some("3")));
     let served = ask_for(&node, Duration::from_secs(7), path).await;
-    resting.iter().for_each(|instance| instance.ask_rest(None));
+    resting.iter().for_each(|instance| instance.announce_retry_after(None));
     assert!(served > 0, "the one that is left serves");
     for instance in resting {
         let came = came_to(&deployment, instance);
-        let refused: Vec<_> = came.iter().filter_map(|a| Some((a.at, a.rest?))).collect();
+        let refused: Vec<_> = came.iter().filter_map(|a| Some((a.at, a.retry_after?))).collect();
         assert!(!refused.is_empty(), "it was asked at all");
         for (at, rest) in refused {
             let in_rest = |a: &&Arrival| a.at > at + ON_ITS_WAY && a.at < at + rest;
             let got = came.iter().filter(in_rest).count();
             assert!(got <= MOST_IN_A_REST, "{got} came within a rest");
         }
-        let before = instance.asked();
+        let before = instance.request_count();
         wait_for("work for who has rested", || async {
             ask(&node, path).await;
-            instance.asked() > before
+            instance.request_count() > before
         })
         .await;
     }
@@ -119,9 +119,9 @@
 async fn whatever_form_a_rest_has_it_is_kept(#[case] rest: &str) {
     let deployment = Deployment::start(2, 2).await;
     let node = one_node(&deployment, "n-1").await;
-    deployment.gates[0].ask_rest(Some(rest));
+    deployment.gates[0].announce_retry_after(Some(rest));
     ask_for(&node, Duration::from_millis(2_500), "/plate/x").await;
-    let got = deployment.gates[0].asked();
+    let got = deployment.gates[0].request_count();
     assert!((1..=MOST_IN_A_REST + 1).contains(&got), "{got} came");
 }
 
@@ -136,9 +136,9 @@
 async fn what_is_no_time_to_rest_keeps_nobody_out(#[case] rest: &str) {
     let deployment = Deployment::start(2, 1).await;
     let node = one_node(&deployment, "n-1").await;
-    deployment.gates[0].ask_rest(Some(rest));
+    deployment.gates[0].announce_retry_after(Some(rest));
     ask(&node, "/plate/x").await;
-    deployment.gates[0].ask_rest(None);
+    deployment.gates[0].announce_retry_after(None);
     assert_eq!(ask(&node, "/plate/x").await.0, 200);
 }
 
@@ -148,7 +148,7 @@
 async fn what_nobody_takes_for_rest_is_refused_at_once() {
     let deployment = Deployment::start(2, 2).await;
     let node = one_node(&deployment, "n-1").await;
-    deployment.gates.iter().for_each(|gate| gate.ask_rest(Some("2")));
+    deployment.gates.iter().for_each(|gate| gate.announce_retry_after(Some("2")));
     ask(&node, "/plate/x").await;
     let before = came_to(&deployment, &deployment.gates[0]).len();
     for _ in 0..10 {
@@ -173,25 +173,25 @@
     let deployment = Deployment::start(2, 3).await;
     let nodes = [one_node(&deployment, "n-1").await, one_node(&deployment, "n-2").await];
     let leaving = &deployment.gates[0];
-    leaving.say_leaving();
+    leaving.announce_leaving();
     wait_for("an answer that says so", || async {
         ask(&nodes[0], "/plate/x").await;
         came_to(&deployment, leaving).iter().any(|arrival| arrival.leaves)
     })
     .await;
     tokio::time::sleep(HEARD).await;
-    let before = leaving.asked();
+    let before = leaving.request_count();
     for turn in 0..3 {
         for node in &nodes {
             let served = ask_for(node, Duration::from_millis(700), "/plate/x").await;
             assert!(served > 5, "the others serve, {served} at turn {turn}");
         }
         match turn {
-            0 => leaving.lapse(),
+            0 => leaving.drop_entry(),
             _ => leaving.reconnect(),
         }
     }
-    assert_eq!(leaving.asked(), before);
+    assert_eq!(leaving.request_count(), before);
 }
 
 /// Fails where what one life said keeps the next one out.
@@ -199,9 +199,9 @@
 async fn a_new_life_is_free_of_what_the_last_one_said() {
     let mut deployment = Deployment::start(2, 1).await;
     let node = one_node(&deployment, "n-1").await;
-    deployment.gates[0].ask_rest(Some("600"));
-    deployment.gates[0].say_leaving();
-    deployment.gates[0].name_limit(Some("0"));
+    deployment.gates[0].announce_retry_after(Some("600"));
+    deployment.gates[0].announce_leaving();
+    deployment.gates[0].announce_rate_limit(Some("0"));
     ask(&node, "/plate/x").await;
     let last = deployment.gates[0].identity();
     deployment.gates[0].crash();
--- a/crates/workshold-gateway/tests/platform/silence.rs
+++ b/crates/workshold-gateway/tests/platform/silence.rs
@@ -17,7 +17,7 @@
 use workshold_platform_standin::caller;
 use workshold_platform_standin::deployment::Deployment;
 use workshold_platform_standin::deployment::config;
-use workshold_platform_standin::store::Mood;
+use workshold_platform_standin::store::StoreBehaviour;
 use workshold_platform_standin::wait_for;
 
 /// What is written after the store's return is in force by then at a node that nothing else
@@ -33,9 +33,10 @@
 /// moment to come back.
 async fn be_silent(deployment: &Deployment, topic: &str, readings: usize) {
     let store = &deployment.store;
-    store.set_mood(Mood::Silent);
-    wait_for("readings into the silence", || async { store.swallowed(topic) >= readings }).await;
-    store.set_mood(Mood::Well);
+    store.set_behaviour(StoreBehaviour::Silent);
+    wait_for("readings into the silence", || async { store.unanswered_reads(topic) >= readings })
+        .await;
+    store.set_behaviour(StoreBehaviour::Normal);
 }
 
 #[rstest]
--- a/crates/workshold-gateway/tests/platform/stopping.rs
+++ b/crates/workshold-gateway/tests/platform/stopping.rs
@@ -15,8 +15,8 @@
 use workshold_platform_standin::caller;
 use workshold_platform_standin::deployment::Deployment;
 use workshold_platform_standin::free_address;
-use workshold_platform_standin::instance::EVENTS;
-use workshold_platform_standin::instance::Manner;
+use workshold_platform_standin::instance::InstanceBehaviour;
+use workshold_platform_standin::instance::STREAM_EVENTS;
 use workshold_platform_standin::wait_for;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_workshold-gateway");
@@ -108,7 +108,7 @@
     assert_eq!(late.status(), 200);
     let text = res.into_body().collect().await.unwrap().to_bytes();
     let text = String::from_utf8(text.to_vec()).unwrap();
-    assert_eq!(caller::event_ids(&text), (1..=EVENTS).collect::<Vec<u64>>());
+    assert_eq!(caller::event_ids(&text), (1..=STREAM_EVENTS).collect::<Vec<u64>>());
     assert!(node.ended(Duration::from_secs(8)).await.success());
 }
 
@@ -117,7 +117,7 @@
     let deployment = Deployment::start(2, 0).await;
     let mut node = Process::start("endless", deployment.store.address, 3.0).await;
     node.serving().await;
-    deployment.engines.iter().for_each(|engine| engine.behave(Manner::Endless));
+    deployment.engines.iter().for_each(|engine| engine.set_behaviour(InstanceBehaviour::Endless));
     let (_res, _driver) =
         caller::open(node.callers, caller::request("r-1", "/chat/x", "k1")).await.unwrap();
     let began = Instant::now();
--- a/crates/workshold-soak/src/callers.rs
+++ b/crates/workshold-soak/src/callers.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use workshold_platform_standin::caller;
 use workshold_platform_standin::caller::Failure;
-use workshold_platform_standin::instance::ENDS_ITS_INSTANCE;
+use workshold_platform_standin::instance::CRASH_BODY;
 
 use crate::fleet::Fleet;
 
@@ -181,7 +181,7 @@
             let (Some(door), Some(key)) = (door, self.fleet.keys().pop()) else { continue };
             let id = format!("{ENDING_IDS}{seed}-{count}");
             let sent = Instant::now();
-            let req = caller::request_with(&id, ENDING_PATH, &key.text, ENDS_ITS_INSTANCE);
+            let req = caller::request_with(&id, ENDING_PATH, &key.text, CRASH_BODY);
             // Whatever comes back: what counts is where it ran.
             let _ = caller::send(door.callers, req).await;
             self.note_probe(id, Asked::Chat, &key.text, sent);
--- a/crates/workshold-soak/src/fleet.rs
+++ b/crates/workshold-soak/src/fleet.rs
@@ -9,10 +9,10 @@
 use tokio::task::JoinHandle;
 use workshold_platform_standin::deployment::config_with;
 use workshold_platform_standin::instance::Identity;
-use workshold_platform_standin::instance::Manner;
+use workshold_platform_standin::instance::InstanceBehaviour;
 use workshold_platform_standin::instance::StandInInstance;
+use workshold_platform_standin::proxy::LinkState;
 use workshold_platform_standin::proxy::Proxy;
-use workshold_platform_standin::proxy::Way;
 use workshold_platform_standin::store::StandInStore;
 
 /// An entry of the list disappears this long after its instance fell silent.
@@ -84,7 +84,7 @@
     keys: Mutex<Vec<Key>>,
     lives: Mutex<u64>,
     /// How new lives treat requests.
-    manner: Mutex<Manner>,
+    behaviour: Mutex<InstanceBehaviour>,
     /// When instances stated that they will end.
     leaving: Mutex<BTreeMap<String, Instant>>,
 }
@@ -113,7 +113,7 @@
             size,
             keys: Mutex::new(vec![first]),
             lives: Mutex::default(),
-            manner: Mutex::new(Manner::Good),
+            behaviour: Mutex::new(InstanceBehaviour::Normal),
             leaving: Mutex::default(),
         });
         for i in 0..fleet.engines {
@@ -143,8 +143,8 @@
             ..Identity::simple(&format!("i-{service}-{life}"), service)
         };
         let instance = StandInInstance::start(identity, &self.store).await;
-        instance.behave(*self.manner.lock());
-        way.lead_to(Some(instance.address()));
+        instance.set_behaviour(*self.behaviour.lock());
+        way.set_target(Some(instance.address()));
         Seat { instance, way, domain, service }
     }
 
@@ -173,7 +173,7 @@
         let mut seat = seat.lock().await;
         let last_words = self.store.newest("keyed.servers", seat.instance.name());
         seat.instance.crash();
-        seat.way.lead_to(None);
+        seat.way.set_target(None);
         tokio::time::sleep(lasts.min(COMES_BACK)).await;
         let last = seat.instance.identity();
         let born = match whom % CLOCKS {
@@ -181,14 +181,14 @@
             _ => last.born.map(|born| born + 1 + lasts.as_millis() as u64),
         };
         let next = StandInInstance::start(Identity { born, ..last }, &self.store).await;
-        next.behave(*self.manner.lock());
-        seat.way.lead_to(Some(next.address()));
+        next.set_behaviour(*self.behaviour.lock());
+        seat.way.set_target(Some(next.address()));
         seat.instance = next;
         if let Some(words) = last_words.filter(|_| whom % LATE_WORDS == 1) {
             tokio::time::sleep(LATE_BY).await;
             self.store.put("keyed.servers", seat.instance.name(), &words);
             tokio::time::sleep(CHECKS_IN).await;
-            seat.instance.check_in();
+            seat.instance.write_entry();
         }
     }
 
@@ -236,7 +236,7 @@
         seat.way = Proxy::start();
         tokio::time::sleep(lasts.min(LAPSES_AFTER)).await;
         if lasts >= LAPSES_AFTER {
-            seat.instance.lapse();
+            seat.instance.drop_entry();
             tokio::time::sleep(lasts - LAPSES_AFTER).await;
         }
         let next = self.seat(seat.service, seat.domain.clone()).await;
@@ -244,7 +244,7 @@
         let old = std::mem::replace(&mut *seat, next);
         tokio::spawn(async move {
             tokio::time::sleep(LAPSES_AFTER).await;
-            old.instance.lapse();
+            old.instance.drop_entry();
         });
     }
 
@@ -252,34 +252,37 @@
     pub async fn darken(&self, whom: usize, lasts: Duration) {
         let seat = self.engine(whom);
         let seat = seat.lock().await;
-        seat.instance.cut_off();
-        seat.way.set(Way::Silent).await;
+        seat.instance.isolate();
+        seat.way.set_state(LinkState::Silent).await;
         tokio::time::sleep(lasts.min(LAPSES_AFTER)).await;
         if lasts >= LAPSES_AFTER {
-            seat.instance.lapse();
+            seat.instance.drop_entry();
             tokio::time::sleep(lasts - LAPSES_AFTER).await;
         }
-        seat.way.set(Way::Open).await;
+        seat.way.set_state(LinkState::Open).await;
         seat.instance.reconnect();
     }
 
     /// An instance treats requests or orders like this for a while.
-    pub async fn behave(&self, whom: usize, manner: Manner, lasts: Duration) {
-        let is_for_engines = matches!(manner, Manner::Late(_) | Manner::CutsEvent);
+    pub async fn set_behaviour(&self, whom: usize, behaviour: InstanceBehaviour, lasts: Duration) {
+        let is_for_engines = matches!(
+            behaviour,
+            InstanceBehaviour::DelaysOrders(_) | InstanceBehaviour::TruncatesEvent
+        );
         let seat = if is_for_engines { self.engine(whom) } else { self.anybody(whom) };
         let seat = seat.lock().await;
-        seat.instance.behave(manner);
+        seat.instance.set_behaviour(behaviour);
         tokio::time::sleep(lasts).await;
-        seat.instance.behave(Manner::Good);
+        seat.instance.set_behaviour(InstanceBehaviour::Normal);
     }
 
     /// An instance names a limit of so many tenths of a request a second for a while.
     pub async fn limit(&self, whom: usize, tenths: u32, lasts: Duration) {
         let seat = self.anybody(whom);
         let seat = seat.lock().await;
-        seat.instance.name_limit(Some(&format!("{}.{}", tenths / 10, tenths % 10)));
+        seat.instance.announce_rate_limit(Some(&format!("{}.{}", tenths / 10, tenths % 10)));
         tokio::time::sleep(lasts).await;
-        seat.instance.name_limit(None);
+        seat.instance.announce_rate_limit(None);
     }
 
     /// An instance refuses all requests for a while and asks for so many tenths of a second of
@@ -287,23 +290,23 @@
     pub async fn rest(&self, whom: usize, tenths: u32, lasts: Duration) {
         let seat = self.anybody(whom);
         let seat = seat.lock().await;
-        seat.instance.ask_rest(Some(&format!("{}.{}", tenths / 10, tenths % 10)));
+        seat.instance.announce_retry_after(Some(&format!("{}.{}", tenths / 10, tenths % 10)));
         tokio::time::sleep(lasts).await;
-        seat.instance.ask_rest(None);
+        seat.instance.announce_retry_after(None);
     }
 
     /// An instance says that it leaves in its answers alone; another life takes its place.
     pub async fn leave(&self, whom: usize, lasts: Duration) {
         let seat = self.anybody(whom);
         let mut seat = seat.lock().await;
-        seat.instance.say_leaving();
+        seat.instance.announce_leaving();
         tokio::time::sleep(DRAINS_FOR + lasts).await;
         self.replace(&mut seat).await;
     }
 
     /// An instance that leaves ends once it has finished what it has; another life comes.
     async fn replace(&self, seat: &mut Seat) {
-        seat.instance.lapse();
+        seat.instance.drop_entry();
         while seat.instance.streams() > 0 {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -327,10 +330,10 @@
     }
 
     /// All engines, and new lives of them, treat requests like this from here on.
-    pub async fn all_behave(&self, manner: Manner) {
-        *self.manner.lock() = manner;
+    pub async fn all_behave(&self, behaviour: InstanceBehaviour) {
+        *self.behaviour.lock() = behaviour;
         for whom in 0..self.engines {
-            self.engine(whom).lock().await.instance.behave(manner);
+            self.engine(whom).lock().await.instance.set_behaviour(behaviour);
         }
     }
 
@@ -347,18 +350,18 @@
         if says {
             old.instance.drain();
         } else {
-            old.instance.lapse();
+            old.instance.drop_entry();
         }
         self.leaving.lock().insert(old.instance.name().to_owned(), Instant::now());
         tokio::time::sleep(DRAINS_FOR).await;
         old.way.stop_listening();
         old.instance.stop_listening();
         let began = Instant::now();
-        while old.instance.is_needed() && began.elapsed() < STAYS_FOR {
+        while old.instance.has_work() && began.elapsed() < STAYS_FOR {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         tokio::time::sleep(FLUSHED).await;
-        old.instance.lapse();
+        old.instance.drop_entry();
         old.instance.crash();
     }
 
--- a/crates/workshold-soak/src/judge.rs
+++ b/crates/workshold-soak/src/judge.rs
@@ -8,9 +8,9 @@
 
 use displaydoc::Display;
 use workshold_platform_standin::caller;
-use workshold_platform_standin::instance::EVENTS;
-use workshold_platform_standin::witness::Arrival;
-use workshold_platform_standin::witness::Run;
+use workshold_platform_standin::instance::STREAM_EVENTS;
+use workshold_platform_standin::monitor::Arrival;
+use workshold_platform_standin::monitor::Run;
 
 use crate::callers::Asked;
 use crate::callers::ENDING_IDS;
@@ -172,7 +172,8 @@
     }
     let mut breaches = Vec::new();
     for ((instance, node), came) in came {
-        for (at, rest) in came.iter().filter_map(|arrival| Some((arrival.at, arrival.rest?))) {
+        for (at, rest) in came.iter().filter_map(|arrival| Some((arrival.at, arrival.retry_after?)))
+        {
             let in_rest = |a: &&&Arrival| a.at > at + ON_ITS_WAY && a.at < at + rest;
             let got = came.iter().filter(in_rest).count();
             if got > MOST_IN_A_REST {
@@ -234,9 +235,9 @@
     }
     let is_whole = match outcome.asked {
         Asked::Chat => {
-            let ids: Vec<u64> = (1..=EVENTS).collect();
+            let ids: Vec<u64> = (1..=STREAM_EVENTS).collect();
             let own = text.matches(&format!("of {id}\n")).count() as u64;
-            caller::event_ids(text) == ids && own == EVENTS
+            caller::event_ids(text) == ids && own == STREAM_EVENTS
         }
         Asked::Print | Asked::Plate => *text == format!("{stamp} {}", outcome.asked.path(id)),
     };
--- a/crates/workshold-soak/src/nodes.rs
+++ b/crates/workshold-soak/src/nodes.rs
@@ -108,7 +108,7 @@
             self.directory,
             self.control.port(),
             self.store,
-            workshold_platform_standin::store::PARTS,
+            workshold_platform_standin::store::PARTITIONS,
             KEYS_BELIEVED.as_millis(),
             STOP_WITHIN.as_secs_f64(),
         )
--- a/crates/workshold-soak/src/run.rs
+++ b/crates/workshold-soak/src/run.rs
@@ -15,10 +15,10 @@
 use parking_lot::Mutex;
 use tokio::task::JoinSet;
 use workshold_platform_standin::caller;
-use workshold_platform_standin::instance::Manner;
+use workshold_platform_standin::instance::InstanceBehaviour;
+use workshold_platform_standin::proxy::LinkState;
 use workshold_platform_standin::proxy::Proxy;
-use workshold_platform_standin::proxy::Way;
-use workshold_platform_standin::store::Mood;
+use workshold_platform_standin::store::StoreBehaviour;
 
 use crate::callers::Asked;
 use crate::callers::Callers;
@@ -194,13 +194,13 @@
     if streams > 0 {
         add(Promise::EndsAbandoned, format!("{streams} streams go on without a caller"));
     }
-    let witness = &stage.fleet.store.witness;
-    witness.breaches().into_iter().for_each(|what| add(Promise::WholeGroups, what));
-    witness.overloads().into_iter().for_each(|what| add(Promise::KeepsToLimits, what));
+    let monitor = &stage.fleet.store.monitor;
+    monitor.breaches().into_iter().for_each(|what| add(Promise::WholeGroups, what));
+    monitor.overloads().into_iter().for_each(|what| add(Promise::KeepsToLimits, what));
     let record = Record {
         outcomes: stage.callers.outcomes(),
-        runs: witness.runs(),
-        arrivals: witness.arrivals(),
+        runs: monitor.runs(),
+        arrivals: monitor.arrivals(),
         keys: stage.fleet.keys(),
         leaving: stage.fleet.leaving(),
         faults: Some((began, over)),
@@ -222,7 +222,7 @@
     let (mut nodes, mut ways) = (Vec::new(), Vec::new());
     for i in 0..options.size.nodes {
         let way = Proxy::start();
-        way.lead_to(Some(fleet.store.address));
+        way.set_target(Some(fleet.store.address));
         let mut node = make_node(&options.binary, &folder, i, &way);
         node.start().map_err(SoakError::Machine)?;
         nodes.push(node);
@@ -281,16 +281,16 @@
 
 /// Carries planned work out while engines are full, and waits until the last is over.
 async fn work_as_planned(stage: &Arc<Stage>, work: Vec<Fault>) {
-    stage.fleet.all_behave(Manner::Full).await;
+    stage.fleet.all_behave(InstanceBehaviour::Overloaded).await;
     befall(stage, work).await;
-    stage.fleet.all_behave(Manner::Good).await;
+    stage.fleet.all_behave(InstanceBehaviour::Normal).await;
     tokio::time::sleep(AFTERMATH).await;
 }
 
 /// Lets the store be silent again and again, and writes a configuration after each return.
 async fn be_silent(stage: &Arc<Stage>, silences: Vec<Silence>) {
     for Silence { lasts, then } in silences {
-        stage.store(Mood::Silent, lasts).await;
+        stage.store(StoreBehaviour::Silent, lasts).await;
         tokio::time::sleep(then).await;
         stage.fleet.new_config();
         tokio::time::sleep(IN_FORCE_WITHIN + CALM).await;
@@ -381,29 +381,33 @@
                 node.wait_for_begin().await;
                 node.signal(Signal::SIGHUP);
             }
-            Kind::CutNode => self.cut(whom, Way::Silent, lasts).await,
-            Kind::CutNodeOneWay => self.cut(whom, Way::OneWay, lasts).await,
-            Kind::SlowNode => self.cut(whom, Way::Slow(SLOW_WAY), lasts).await,
+            Kind::CutNode => self.cut(whom, LinkState::Silent, lasts).await,
+            Kind::CutNodeOneWay => self.cut(whom, LinkState::OneWay, lasts).await,
+            Kind::SlowNode => self.cut(whom, LinkState::Slow(SLOW_WAY), lasts).await,
             Kind::ResetNode => self.ways[whom % self.ways.len()].reset(),
-            Kind::StoreDown => self.store(Mood::Down, lasts).await,
-            Kind::StoreSilent => self.store(Mood::Silent, lasts).await,
-            Kind::StoreLosesAnswers => self.store(Mood::LosesAnswers, lasts).await,
-            Kind::StoreSlow => self.store(Mood::Slow(SLOW_STORE), lasts).await,
-            Kind::StoreForgets => self.fleet.store.forget_history(),
-            Kind::DealAnew => self.fleet.store.deal_anew(),
+            Kind::StoreDown => self.store(StoreBehaviour::Down, lasts).await,
+            Kind::StoreSilent => self.store(StoreBehaviour::Silent, lasts).await,
+            Kind::StoreLosesAnswers => self.store(StoreBehaviour::LosesAnswers, lasts).await,
+            Kind::StoreSlow => self.store(StoreBehaviour::Slow(SLOW_STORE), lasts).await,
+            Kind::StoreForgets => self.fleet.store.compact(),
+            Kind::DealAnew => self.fleet.store.reassign_partitions(),
             Kind::StoreReturns => {
                 let age = lasts.min(OLDEST_COPY);
-                self.fleet.store.return_from_copy(age, WRITTEN_AGAIN);
+                self.fleet.store.restore_backup(age, WRITTEN_AGAIN);
             }
             Kind::CrashEngine => self.fleet.crash_engine(whom, lasts).await,
             Kind::BeginAnew => self.fleet.begin_anew(whom, lasts).await,
             Kind::CrashDomain => self.fleet.crash_domain(whom, lasts).await,
             Kind::DarkEngine => self.fleet.darken(whom, lasts).await,
-            Kind::LateOrders => self.fleet.behave(whom, Manner::Late(LATE_ORDERS), lasts).await,
+            Kind::LateOrders => {
+                self.fleet
+                    .set_behaviour(whom, InstanceBehaviour::DelaysOrders(LATE_ORDERS), lasts)
+                    .await
+            }
             Kind::DrainInstance => self.fleet.drain(whom, lasts).await,
             Kind::CrashGate => self.fleet.crash_gate(whom, lasts).await,
             Kind::ResetInstance => self.fleet.reset(whom).await,
-            Kind::BadAnswers => self.fleet.behave(whom, bad_manner(whom), lasts).await,
+            Kind::BadAnswers => self.fleet.set_behaviour(whom, bad_manner(whom), lasts).await,
             Kind::NewConfig => self.fleet.new_config(),
             Kind::RetireEngine => self.fleet.retire(whom, true).await,
             Kind::RetireUnsaid => self.fleet.retire(whom, false).await,
@@ -429,17 +433,17 @@
         self.start(i, &mut node);
     }
 
-    async fn cut(&self, whom: usize, how: Way, lasts: Duration) {
+    async fn cut(&self, whom: usize, how: LinkState, lasts: Duration) {
         let way = &self.ways[whom % self.ways.len()];
-        way.set(how).await;
+        way.set_state(how).await;
         tokio::time::sleep(lasts).await;
-        way.set(Way::Open).await;
+        way.set_state(LinkState::Open).await;
     }
 
-    async fn store(&self, mood: Mood, lasts: Duration) {
-        self.fleet.store.set_mood(mood);
+    async fn store(&self, behaviour: StoreBehaviour, lasts: Duration) {
+        self.fleet.store.set_behaviour(behaviour);
         tokio::time::sleep(lasts).await;
-        self.fleet.store.set_mood(Mood::Well);
+        self.fleet.store.set_behaviour(StoreBehaviour::Normal);
     }
 
     /// Whether each node serves a stream and a print, soon enough.
@@ -488,15 +492,15 @@
 }
 
 /// One of the ways in which answers go wrong.
-fn bad_manner(whom: usize) -> Manner {
-    const MANNERS: [Manner; 7] = [
-        Manner::Refuses,
-        Manner::Breaks,
-        Manner::Fails,
-        Manner::Unproved,
-        Manner::Foreign,
-        Manner::CutsEvent,
-        Manner::Slow,
+fn bad_manner(whom: usize) -> InstanceBehaviour {
+    const MANNERS: [InstanceBehaviour; 7] = [
+        InstanceBehaviour::Refuses,
+        InstanceBehaviour::Breaks,
+        InstanceBehaviour::Fails,
+        InstanceBehaviour::NoStamp,
+        InstanceBehaviour::WrongRequestId,
+        InstanceBehaviour::TruncatesEvent,
+        InstanceBehaviour::Slow,
     ];
     MANNERS[whom / 7 % MANNERS.len()]
 }
--- a/crates/workshold-soak/tests/judge.rs
+++ b/crates/workshold-soak/tests/judge.rs
@@ -4,9 +4,9 @@
 use std::time::Instant;
 
 use rstest::rstest;
-use workshold_platform_standin::instance::EVENTS;
-use workshold_platform_standin::witness::Arrival;
-use workshold_platform_standin::witness::Run;
+use workshold_platform_standin::instance::STREAM_EVENTS;
+use workshold_platform_standin::monitor::Arrival;
+use workshold_platform_standin::monitor::Run;
 use workshold_soak::callers::Asked;
 use workshold_soak::callers::Outcome;
 use workshold_soak::callers::Seen;
@@ -34,7 +34,7 @@
         let start = Instant::now();
         let at = |secs: u64| start + Duration::from_secs(secs);
         let text = match asked {
-            Asked::Chat => events("r-1", 1..=EVENTS),
+            Asked::Chat => events("r-1", 1..=STREAM_EVENTS),
             Asked::Print | Asked::Plate => format!("i-1 {}", asked.path("r-1")),
         };
         let outcome = Outcome {
@@ -92,9 +92,9 @@
 }
 
 #[rstest]
-#[case::missing(events("r-1", 1..EVENTS))]
-#[case::twice(events("r-1", (1..=5).chain(5..=EVENTS)))]
-#[case::anothers(events("r-2", 1..=EVENTS))]
+#[case::missing(events("r-1", 1..STREAM_EVENTS))]
+#[case::twice(events("r-1", (1..=5).chain(5..=STREAM_EVENTS)))]
+#[case::anothers(events("r-2", 1..=STREAM_EVENTS))]
 fn a_stream_that_is_not_its_whole_own_answer_is_seen(#[case] text: String) {
     let case = Case::new(Asked::Chat).seen(answer(200, Some("i-1"), text));
     assert_eq!(case.broken(), [Promise::OwnWholeAnswer]);
@@ -258,7 +258,7 @@
             request: id,
             instance: "i-2".to_owned(),
             at: at(tenths),
-            rest: (i == 0 && !leaves).then_some(Duration::from_secs(3)),
+            retry_after: (i == 0 && !leaves).then_some(Duration::from_secs(3)),
             leaves: i == 0 && leaves,
         });
     }
