--- a/crates/workshold-bench/src/fixtures.rs
+++ b/crates/workshold-bench/src/fixtures.rs
@@ -23,13 +23,13 @@
 use workshold_protocol::ids::Version;
 use workshold_protocol::record::Envelope;
 use workshold_protocol::record::Fact;
-use workshold_protocol::record::Formation;
+use workshold_protocol::record::GroupFormation;
 use workshold_protocol::record::Intent;
 use workshold_protocol::record::Member;
 use workshold_protocol::record::SignOff;
+use workshold_protocol::report::GroupMembership;
 use workshold_protocol::report::InstanceKind;
 use workshold_protocol::report::ListedInstance;
-use workshold_protocol::report::Membership;
 use workshold_protocol::report::Readiness;
 use workshold_protocol::report::Report;
 use workshold_protocol::signing::OperatorKey;
@@ -99,7 +99,7 @@
         let members = (g * size..(g + 1) * size)
             .map(|i| Member { instance: instance(i), incarnation: Incarnation(1) });
         let group = name(GroupId::new(&format!("g{g}")));
-        let fence = append(Fact::GroupFormed(Formation {
+        let fence = append(Fact::GroupFormed(GroupFormation {
             group: group.clone(),
             bundle: hash,
             model: name(ModelName::new("m")),
@@ -112,7 +112,7 @@
         }));
         for i in g * size..(g + 1) * size {
             let readiness = Readiness::Ready;
-            let seat = Membership { group: group.clone(), fence: fence.into(), readiness };
+            let seat = GroupMembership { group: group.clone(), fence: fence.into(), readiness };
             observations.take(&instance(i), now, now, report(Some(seat)));
         }
     }
@@ -130,7 +130,7 @@
     Fixture { state, observations, list, now, rules: rules(), domain }
 }
 
-fn report(membership: Option<Membership>) -> Report {
+fn report(membership: Option<GroupMembership>) -> Report {
     let incarnation = Incarnation(1);
     Report {
         incarnation,
--- a/crates/workshold-bench/src/repair.rs
+++ b/crates/workshold-bench/src/repair.rs
@@ -4,7 +4,7 @@
 
 use workshold_core::repair::Expectations;
 use workshold_protocol::Millis;
-use workshold_protocol::bundle::Weights;
+use workshold_protocol::bundle::CostWeights;
 
 use crate::Length;
 use crate::repair::fleet::Month;
@@ -22,8 +22,8 @@
 /// Both deployments' weights, with and without spares, each with all policies.
 pub fn run(length: Length, seed: u64) -> Vec<Table> {
     let days = if length == Length::Long { 10 } else { 1 };
-    let parkowisko = Weights { group_downtime: 1.0, stranded_accelerator: 0.002 };
-    let sifr = Weights { group_downtime: 0.2, stranded_accelerator: 0.02 };
+    let parkowisko = CostWeights { group_downtime: 1.0, stranded_accelerator: 0.002 };
+    let sifr = CostWeights { group_downtime: 0.2, stranded_accelerator: 0.02 };
     let mut tables = Vec::new();
     for (name, weights) in [("Parkowisko", parkowisko), ("Sifr", sifr)] {
         for (fleet, spares) in [("five spares a domain", true), ("no spares", false)] {
--- a/crates/workshold-bench/src/repair/fleet.rs
+++ b/crates/workshold-bench/src/repair/fleet.rs
@@ -19,10 +19,10 @@
 use workshold_core::steward::View;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
+use workshold_protocol::bundle::CostWeights;
 use workshold_protocol::bundle::SignedBundle;
-use workshold_protocol::bundle::Weights;
 use workshold_protocol::ids::FabricDomain;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::Incarnation;
 use workshold_protocol::ids::InstanceId;
@@ -34,9 +34,9 @@
 use workshold_protocol::record::Member;
 use workshold_protocol::record::SignOff;
 use workshold_protocol::report;
+use workshold_protocol::report::GroupMembership;
 use workshold_protocol::report::InstanceKind;
 use workshold_protocol::report::ListedInstance;
-use workshold_protocol::report::Membership;
 use workshold_protocol::report::Order;
 use workshold_protocol::report::OrderAction;
 use workshold_protocol::report::Readiness;
@@ -88,7 +88,7 @@
 #[derive(Debug, Clone)]
 struct Seat {
     group: GroupId,
-    fence: Fence,
+    fence: FencingToken,
     ready_at: Millis,
     is_draining: bool,
 }
@@ -117,7 +117,7 @@
 /// A month in one domain after the other; they do not touch each other.
 pub(super) struct Month {
     days: u64,
-    weights: Weights,
+    weights: CostWeights,
     policy: Policy,
     rng: ChaCha8Rng,
 }
@@ -152,7 +152,7 @@
 }
 
 impl Month {
-    pub(super) fn new(days: u64, weights: Weights, policy: Policy, seed: u64) -> Self {
+    pub(super) fn new(days: u64, weights: CostWeights, policy: Policy, seed: u64) -> Self {
         Self { days, weights, policy, rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
@@ -219,8 +219,8 @@
     InstanceId::new(&format!("i{i}")).expect("it is a name")
 }
 
-fn weights() -> report::Weights {
-    report::Weights {
+fn weights() -> report::ModelWeights {
+    report::ModelWeights {
         model: ModelName::new("big").expect("it is a name"),
         version: Version::new("v1").expect("it is a name"),
     }
@@ -381,7 +381,7 @@
             if instance.back_at.is_some() {
                 continue;
             }
-            let membership = instance.seat.as_ref().map(|seat| Membership {
+            let membership = instance.seat.as_ref().map(|seat| GroupMembership {
                 group: seat.group.clone(),
                 fence: seat.fence,
                 readiness: seat.readiness(self.now),
--- a/crates/workshold-cli/src/commands/bundle/publish.rs
+++ b/crates/workshold-cli/src/commands/bundle/publish.rs
@@ -48,7 +48,7 @@
 /// does not take it, as it does not for a key that it does not trust.
 pub async fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let signed = bundle::read_signed(&args.file)?;
-    signed.bundle.clone().checked().map_err(CliError::Input)?;
+    signed.bundle.clone().into_validated().map_err(CliError::Input)?;
     let key = operator_key::read(&args.writing.key)?;
     let hash = signed.bundle.hash().to_string();
     let fact = Fact::BundlePublished(Box::new(signed));
--- a/crates/workshold-cli/src/commands/bundle/sign.rs
+++ b/crates/workshold-cli/src/commands/bundle/sign.rs
@@ -46,7 +46,7 @@
 ///
 /// [`CliError::Input`] for a bundle with faults, [`CliError::File`] for files.
 pub fn run(args: &Args, out: Output) -> Result<(), CliError> {
-    let bundle = bundle::read_bundle(&args.file)?.checked().map_err(CliError::Input)?;
+    let bundle = bundle::read_bundle(&args.file)?.into_validated().map_err(CliError::Input)?;
     let key = operator_key::read(&args.key)?;
     let hash = bundle.hash().to_string();
     let signed = SignedBundle::sign(bundle, &key);
--- a/crates/workshold-cli/src/remote.rs
+++ b/crates/workshold-cli/src/remote.rs
@@ -56,7 +56,7 @@
 ///
 /// [`CliError::Node`] if it does not answer, or refuses.
 pub async fn delete(node: &str, path: &str) -> Result<(), CliError> {
-    client::call_plain(node, Method::DELETE, path, WITHIN).await.map_err(CliError::Node)?;
+    client::call_raw(node, Method::DELETE, path, WITHIN).await.map_err(CliError::Node)?;
     Ok(())
 }
 
--- a/crates/workshold-core/src/at_most_once.rs
+++ b/crates/workshold-core/src/at_most_once.rs
@@ -7,7 +7,7 @@
 
 use workshold_protocol::ids::Incarnation;
 use workshold_protocol::ids::NodeId;
-use workshold_protocol::problem::Code;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::keys::KeyStatus;
 use crate::keys::Owner;
@@ -39,7 +39,7 @@
     /// Ask the owner for the result; never run the request.
     AskOwner(&'a Owner),
     /// Refuse the request with this code.
-    Refuse(Code),
+    Refuse(ProblemCode),
 }
 
 /// The next action, given what the log says of the key and what this node (`me`)
@@ -51,8 +51,8 @@
 ) -> KeyAction<'a> {
     match (status, local) {
         (_, KeyProgress::Begun | KeyProgress::GivenUp) => KeyAction::AnswerFromStore,
-        (KeyStatus::Reused, _) => KeyAction::Refuse(Code::KeyReused),
-        (KeyStatus::Forgotten, _) => KeyAction::Refuse(Code::KeyExpired),
+        (KeyStatus::Reused, _) => KeyAction::Refuse(ProblemCode::KeyReused),
+        (KeyStatus::Forgotten, _) => KeyAction::Refuse(ProblemCode::KeyExpired),
         (KeyStatus::Free, KeyProgress::Untouched) => KeyAction::Record,
         (KeyStatus::Free, KeyProgress::Recording) => KeyAction::Wait,
         (KeyStatus::Owned(owner), KeyProgress::Recording) if is_me(owner, me) => KeyAction::Run,
--- a/crates/workshold-core/src/checkpointing.rs
+++ b/crates/workshold-core/src/checkpointing.rs
@@ -5,7 +5,7 @@
 use workshold_protocol::ids::NodeId;
 use workshold_protocol::ids::Offset;
 use workshold_protocol::record::Fact;
-use workshold_protocol::record::KeyFloor;
+use workshold_protocol::record::KeyExpiry;
 
 use crate::rendezvous;
 use crate::state::State;
@@ -61,8 +61,8 @@
     records >= rules.checkpoint_records || (is_old && records > 0)
 }
 
-fn floor_due(view: &LogMaintenanceView<'_>, rules: &LogMaintenanceRules) -> Option<KeyFloor> {
+fn floor_due(view: &LogMaintenanceView<'_>, rules: &LogMaintenanceRules) -> Option<KeyExpiry> {
     let before = view.wall - rules.key_window;
     let due = before.since(view.state.keys.floor()) >= rules.forget_every;
-    (due && !view.state.keys.is_empty()).then_some(KeyFloor { before })
+    (due && !view.state.keys.is_empty()).then_some(KeyExpiry { before })
 }
--- a/crates/workshold-core/src/fleet.rs
+++ b/crates/workshold-core/src/fleet.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 use workshold_protocol::ids::FabricDomain;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::ids::ModelName;
@@ -14,11 +14,11 @@
 use workshold_protocol::ids::RoleName;
 use workshold_protocol::ids::Version;
 use workshold_protocol::record::EndCause;
-use workshold_protocol::record::Formation;
 use workshold_protocol::record::GroupEnd;
+use workshold_protocol::record::GroupFormation;
 use workshold_protocol::record::Member;
-use workshold_protocol::record::Release;
-use workshold_protocol::record::Replaced;
+use workshold_protocol::record::MemberRelease;
+use workshold_protocol::record::ReplacedGroup;
 use workshold_protocol::record::StopRequest;
 
 use crate::bundles::InForce;
@@ -47,7 +47,7 @@
     pub id: GroupId,
     /// Its fencing token: the log offset of its formation. Orders to its members
     /// and their reports carry it.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// The model that it serves.
     pub model: ModelName,
     /// The version of that model.
@@ -59,7 +59,7 @@
     /// Its members; the first one, its head, serves callers.
     pub members: Vec<Member>,
     /// The group that it was formed to replace, if any.
-    pub replaces: Option<Replaced>,
+    pub replaces: Option<ReplacedGroup>,
     /// Its phase, from formation to dissolution.
     pub phase: Phase,
 }
@@ -97,7 +97,7 @@
     }
 
     /// Sort key: oldest group first, groups formed by one record by name.
-    pub fn age_key(&self) -> (Fence, &GroupId) {
+    pub fn age_key(&self) -> (FencingToken, &GroupId) {
         (self.fence, &self.id)
     }
 
@@ -161,7 +161,7 @@
     /// The [`Rejection`] names the first precondition that no longer holds.
     pub fn form(
         &mut self,
-        formation: &Formation,
+        formation: &GroupFormation,
         in_force: Option<&InForce>,
         at: Offset,
     ) -> Result<(), Rejection> {
@@ -180,7 +180,7 @@
 
     fn check_wanted(
         &self,
-        formation: &Formation,
+        formation: &GroupFormation,
         in_force: Option<&InForce>,
     ) -> Result<(), Rejection> {
         let in_force = in_force.ok_or(Rejection::BundleChanged { in_force: None })?;
@@ -201,7 +201,7 @@
 
     /// Whether the formation replaces a group that is still active and that no other
     /// group replaces.
-    fn may_replace(&self, formation: &Formation) -> bool {
+    fn may_replace(&self, formation: &GroupFormation) -> bool {
         let Some(replaced) = &formation.replaces else { return false };
         let old = self.groups.get(&replaced.group);
         let is_there = old.is_some_and(|old| {
@@ -218,7 +218,7 @@
         })
     }
 
-    fn check_members(&self, formation: &Formation) -> Result<(), Rejection> {
+    fn check_members(&self, formation: &GroupFormation) -> Result<(), Rejection> {
         let mut seen = BTreeSet::new();
         for Member { instance, .. } in &formation.members {
             if !seen.insert(instance) || self.claims.contains_key(instance) {
@@ -267,7 +267,7 @@
     ///
     /// [`Rejection::GroupChanged`] if the group is unknown, not dissolved, or has another
     /// fencing token, [`Rejection::InstanceChanged`] if it does not claim the instance.
-    pub fn release(&mut self, release: &Release, at: Offset) -> Result<(), Rejection> {
+    pub fn release(&mut self, release: &MemberRelease, at: Offset) -> Result<(), Rejection> {
         if !self.fenced_group(&release.group, release.fence)?.is_dissolved() {
             return Err(Rejection::GroupChanged);
         }
@@ -297,7 +297,7 @@
         if changed { Ok(()) } else { Err(Rejection::NoChange) }
     }
 
-    fn fenced_group(&mut self, id: &GroupId, fence: Fence) -> Result<&mut Group, Rejection> {
+    fn fenced_group(&mut self, id: &GroupId, fence: FencingToken) -> Result<&mut Group, Rejection> {
         let group = self.groups.get_mut(id).ok_or(Rejection::GroupChanged)?;
         if group.fence == fence { Ok(group) } else { Err(Rejection::GroupChanged) }
     }
@@ -314,7 +314,7 @@
 }
 
 impl Group {
-    fn formed(formation: &Formation, at: Offset) -> Self {
+    fn formed(formation: &GroupFormation, at: Offset) -> Self {
         Self {
             id: formation.group.clone(),
             fence: at.into(),
--- a/crates/workshold-core/src/keys.rs
+++ b/crates/workshold-core/src/keys.rs
@@ -17,7 +17,7 @@
 use workshold_protocol::ids::Offset;
 use workshold_protocol::ids::RequestDigest;
 use workshold_protocol::record::Intent;
-use workshold_protocol::record::KeyFloor;
+use workshold_protocol::record::KeyExpiry;
 
 use crate::state::Rejection;
 
@@ -111,7 +111,7 @@
     /// # Errors
     ///
     /// [`Rejection::NoChange`] if the floor is as high already.
-    pub fn forget(&mut self, floor: KeyFloor) -> Result<(), Rejection> {
+    pub fn forget(&mut self, floor: KeyExpiry) -> Result<(), Rejection> {
         if floor.before <= self.floor {
             return Err(Rejection::NoChange);
         }
--- a/crates/workshold-core/src/lifecycle.rs
+++ b/crates/workshold-core/src/lifecycle.rs
@@ -7,7 +7,7 @@
 //! superseded attempt are dropped.
 
 use workshold_protocol::Millis;
-use workshold_protocol::problem::Code;
+use workshold_protocol::problem::ProblemCode;
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -24,9 +24,9 @@
     /// The caller got the whole answer, once.
     Answered,
     /// It provably did not run and never will.
-    NotRun(Code),
+    NotRun(ProblemCode),
     /// It may have run, in whole or in part.
-    Unknown(Code),
+    Unknown(ProblemCode),
 }
 
 /// What happened to an attempt.
@@ -45,7 +45,7 @@
     /// The caller's deadline passed.
     DeadlinePassed,
     /// No upstream would take the request, for this reason.
-    NotPlaced(Code),
+    NotPlaced(ProblemCode),
 }
 
 /// What to do next.
@@ -141,9 +141,9 @@
         match event {
             Event::Sending => self.on_sending(now),
             Event::Done => self.finish(RequestResult::Answered),
-            Event::DeadlinePassed => self.give_up(Code::DeadlineExceeded),
+            Event::DeadlinePassed => self.give_up(ProblemCode::DeadlineExceeded),
             Event::NotPlaced(code) => self.give_up(code),
-            Event::ConnectFailed => self.try_again(Code::NoUpstream, now, may_retry),
+            Event::ConnectFailed => self.try_again(ProblemCode::NoUpstream, now, may_retry),
             Event::RefusedBeforeStart => self.on_refused(now, may_retry),
             Event::Broken => self.on_broken(now, may_retry),
         }
@@ -151,7 +151,7 @@
 
     fn on_sending(&mut self, now: Millis) -> Next {
         if now >= self.deadline {
-            return self.give_up(Code::DeadlineExceeded);
+            return self.give_up(ProblemCode::DeadlineExceeded);
         }
         self.sent = true;
         Next::GoOn
@@ -159,14 +159,14 @@
 
     fn on_refused(&mut self, now: Millis, may_retry: impl FnOnce() -> bool) -> Next {
         self.sent = false;
-        self.try_again(Code::Overloaded, now, may_retry)
+        self.try_again(ProblemCode::Overloaded, now, may_retry)
     }
 
     fn on_broken(&mut self, now: Millis, may_retry: impl FnOnce() -> bool) -> Next {
         if self.repeatability == Repeatability::AtMostOnce {
-            return self.give_up(Code::UpstreamFailed);
+            return self.give_up(ProblemCode::UpstreamFailed);
         }
-        self.try_again(Code::UpstreamFailed, now, may_retry)
+        self.try_again(ProblemCode::UpstreamFailed, now, may_retry)
     }
 
     /// Whether another attempt is allowed, the retry budget aside.
@@ -176,7 +176,12 @@
         self.end.is_none() && is_safe && in_time
     }
 
-    fn try_again(&mut self, code: Code, now: Millis, may_retry: impl FnOnce() -> bool) -> Next {
+    fn try_again(
+        &mut self,
+        code: ProblemCode,
+        now: Millis,
+        may_retry: impl FnOnce() -> bool,
+    ) -> Next {
         if self.may_try_again(now) && may_retry() {
             self.attempt += 1;
             self.sent_earlier |= self.sent;
@@ -186,7 +191,7 @@
         self.give_up(code)
     }
 
-    fn give_up(&mut self, code: Code) -> Next {
+    fn give_up(&mut self, code: ProblemCode) -> Next {
         let end = if self.may_have_run() {
             RequestResult::Unknown(code)
         } else {
--- a/crates/workshold-core/src/observation.rs
+++ b/crates/workshold-core/src/observation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use workshold_protocol::Millis;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::report::Report;
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GroupObservation {
     /// The fencing token of the group that was checked.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Lower bound of the time at which the oldest member's report was true.
     pub true_since: Millis,
     /// The same for the head's report, which states the load.
@@ -97,7 +97,7 @@
     pub fn group_observation(
         &self,
         group: &GroupId,
-        fence: Fence,
+        fence: FencingToken,
         now: Millis,
         ttl: Millis,
     ) -> Option<&GroupObservation> {
--- a/crates/workshold-core/src/repair.rs
+++ b/crates/workshold-core/src/repair.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 use workshold_protocol::Millis;
-use workshold_protocol::bundle::Weights;
+use workshold_protocol::bundle::CostWeights;
 use workshold_protocol::ids::RoleName;
 
 /// Statistics of the deployment about instances that go missing.
@@ -134,7 +134,7 @@
 pub fn choose_repair(
     situation: Situation,
     expect: &Expectations,
-    weights: Weights,
+    weights: CostWeights,
 ) -> RepairChoice {
     let costs = CostModel { situation: &situation, expect, weights };
     let mut options = vec![costs.wait()];
@@ -148,7 +148,7 @@
 struct CostModel<'a> {
     situation: &'a Situation,
     expect: &'a Expectations,
-    weights: Weights,
+    weights: CostWeights,
 }
 
 impl CostModel<'_> {
--- a/crates/workshold-core/src/steward/ending.rs
+++ b/crates/workshold-core/src/steward/ending.rs
@@ -1,14 +1,14 @@
 //! Drains groups, dissolves them and releases their members.
 
 use workshold_protocol::Millis;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::ids::Offset;
 use workshold_protocol::record::EndCause;
 use workshold_protocol::record::Fact;
 use workshold_protocol::record::GroupEnd;
 use workshold_protocol::record::Member;
-use workshold_protocol::record::Release;
+use workshold_protocol::record::MemberRelease;
 use workshold_protocol::report::Order;
 use workshold_protocol::report::OrderAction;
 use workshold_protocol::report::Readiness;
@@ -113,7 +113,7 @@
     rules: &StewardRules,
     plan: &mut Plan,
 ) {
-    let fence = Fence(view.state.next().0.saturating_sub(1));
+    let fence = FencingToken(view.state.next().0.saturating_sub(1));
     for listed in view.engines() {
         if view.state.fleet.claim_of(&listed.instance).is_some() {
             continue;
@@ -138,7 +138,7 @@
     timers: &mut StewardTimers,
     rules: &StewardRules,
     instance: &InstanceId,
-    fence: Fence,
+    fence: FencingToken,
     action: &OrderAction,
     plan: &mut Plan,
 ) {
@@ -156,7 +156,7 @@
 }
 
 fn release_fact(group: &Group, instance: &InstanceId) -> Fact {
-    Fact::MemberReleased(Release {
+    Fact::MemberReleased(MemberRelease {
         group: group.id.clone(),
         fence: group.fence,
         instance: instance.clone(),
--- a/crates/workshold-core/src/steward/forming.rs
+++ b/crates/workshold-core/src/steward/forming.rs
@@ -8,9 +8,9 @@
 use workshold_protocol::ids::ModelName;
 use workshold_protocol::record::EndCause;
 use workshold_protocol::record::Fact;
-use workshold_protocol::record::Formation;
+use workshold_protocol::record::GroupFormation;
 use workshold_protocol::record::Member;
-use workshold_protocol::record::Replaced;
+use workshold_protocol::record::ReplacedGroup;
 use workshold_protocol::report::ListedInstance;
 
 use crate::bundles::InForce;
@@ -141,7 +141,11 @@
 
 /// The formation of a group that replaces `old`, in the model's best role; `None` if
 /// too few instances are free.
-pub(super) fn replacement(view: &View<'_>, rules: &StewardRules, old: &Group) -> Option<Formation> {
+pub(super) fn replacement(
+    view: &View<'_>,
+    rules: &StewardRules,
+    old: &Group,
+) -> Option<GroupFormation> {
     let in_force = view.state.bundles.in_force()?;
     let model = in_force.bundle.models.get(&old.model)?;
     let role = model.roles.first()?;
@@ -150,7 +154,7 @@
     let chosen = free.get(..usize::from(role.instances))?;
     let members = members_of(view, chosen)?;
     let id = group_id(view, 0);
-    let replaces = Some(Replaced { group: old.id.clone(), fence: old.fence });
+    let replaces = Some(ReplacedGroup { group: old.id.clone(), fence: old.fence });
     Some(formation(view, in_force, id, &old.model, model, role, members, replaces))
 }
 
@@ -198,9 +202,9 @@
     model: &Model,
     role: &Role,
     members: Vec<Member>,
-    replaces: Option<Replaced>,
-) -> Formation {
-    Formation {
+    replaces: Option<ReplacedGroup>,
+) -> GroupFormation {
+    GroupFormation {
         group,
         bundle: in_force.hash,
         model: name.clone(),
--- a/crates/workshold-core/src/steward/preloading.rs
+++ b/crates/workshold-core/src/steward/preloading.rs
@@ -5,12 +5,12 @@
 //! group of the domain is ready.
 
 use workshold_protocol::bundle::Model;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::ids::ModelName;
 use workshold_protocol::report::ListedInstance;
+use workshold_protocol::report::ModelWeights;
 use workshold_protocol::report::OrderAction;
-use workshold_protocol::report::Weights;
 
 use crate::bundles::InForce;
 use crate::group_readiness::check_group;
@@ -45,9 +45,9 @@
     if !timers.may_preload(load_time(model, rules) + rules.order_every, view.now) {
         return;
     }
-    let weights = Weights { model: name.clone(), version: model.version.clone() };
+    let weights = ModelWeights { model: name.clone(), version: model.version.clone() };
     let action = OrderAction::Load { weights, weights_mib: model.weights_mib };
-    let fence = Fence(view.state.next().0.saturating_sub(1));
+    let fence = FencingToken(view.state.next().0.saturating_sub(1));
     push_order(view, timers, rules, &spare.instance, fence, &action, plan);
 }
 
--- a/crates/workshold-core/tests/keys.rs
+++ b/crates/workshold-core/tests/keys.rs
@@ -13,7 +13,7 @@
 use workshold_protocol::ids::Offset;
 use workshold_protocol::ids::RequestDigest;
 use workshold_protocol::record::Intent;
-use workshold_protocol::record::KeyFloor;
+use workshold_protocol::record::KeyExpiry;
 
 fn intent(key: &str, time: u64, node: &str) -> Intent {
     Intent {
@@ -39,7 +39,7 @@
 fn a_forgotten_key_is_refused_and_never_free_again() {
     let mut keys = Keys::default();
     keys.claim(&intent("a", 10, "n1"), Offset(0)).unwrap();
-    keys.forget(KeyFloor { before: Millis(11) }).unwrap();
+    keys.forget(KeyExpiry { before: Millis(11) }).unwrap();
     assert!(keys.is_empty());
     let (key, request) = (KeyDigest::of(b"a"), RequestDigest::of(b"request"));
     assert_eq!(keys.status(&key, Millis(10), &request), KeyStatus::Forgotten);
--- a/crates/workshold-core/tests/repair.rs
+++ b/crates/workshold-core/tests/repair.rs
@@ -7,11 +7,13 @@
 use workshold_core::repair::SmallerRole;
 use workshold_core::repair::choose_repair;
 use workshold_protocol::Millis;
-use workshold_protocol::bundle::Weights;
+use workshold_protocol::bundle::CostWeights;
 use workshold_protocol::ids::RoleName;
 
-const DOWNTIME_COSTLY: Weights = Weights { group_downtime: 1.0, stranded_accelerator: 0.002 };
-const ACCELERATORS_COSTLY: Weights = Weights { group_downtime: 0.2, stranded_accelerator: 0.02 };
+const DOWNTIME_COSTLY: CostWeights =
+    CostWeights { group_downtime: 1.0, stranded_accelerator: 0.002 };
+const ACCELERATORS_COSTLY: CostWeights =
+    CostWeights { group_downtime: 0.2, stranded_accelerator: 0.02 };
 
 fn situation() -> Situation {
     Situation {
@@ -40,7 +42,7 @@
 #[rstest]
 #[case::downtime_costly(DOWNTIME_COSTLY)]
 #[case::accelerators_costly(ACCELERATORS_COSTLY)]
-fn uses_a_free_spare_instead_of_waiting(#[case] weights: Weights) {
+fn uses_a_free_spare_instead_of_waiting(#[case] weights: CostWeights) {
     let situation = Situation { spares: 1, ..situation() };
     // Even if the member is expected back at once: the spare would be idle meanwhile.
     let choice = choose_repair(situation, &fast_return(), weights);
--- a/crates/workshold-core/tests/steward.rs
+++ b/crates/workshold-core/tests/steward.rs
@@ -24,13 +24,13 @@
 use workshold_protocol::record::Fact;
 use workshold_protocol::record::SignOff;
 use workshold_protocol::record::StopRequest;
+use workshold_protocol::report::GroupMembership;
 use workshold_protocol::report::InstanceKind;
 use workshold_protocol::report::ListedInstance;
-use workshold_protocol::report::Membership;
+use workshold_protocol::report::ModelWeights;
 use workshold_protocol::report::OrderAction;
 use workshold_protocol::report::Readiness;
 use workshold_protocol::report::Report;
-use workshold_protocol::report::Weights;
 use workshold_protocol::signing::OperatorKey;
 
 const STEP: Millis = Millis(500);
@@ -51,8 +51,8 @@
 struct Instance {
     is_up: bool,
     incarnation: u64,
-    membership: Option<Membership>,
-    loaded: Option<Weights>,
+    membership: Option<GroupMembership>,
+    loaded: Option<ModelWeights>,
 }
 
 fn id(i: u16) -> InstanceId {
@@ -163,9 +163,10 @@
             match order.action {
                 OrderAction::Join(join) => {
                     let (group, fence) = (join.group, order.fence);
-                    instance.loaded = Some(Weights { model: join.model, version: join.version });
+                    instance.loaded =
+                        Some(ModelWeights { model: join.model, version: join.version });
                     instance.membership =
-                        Some(Membership { group, fence, readiness: Readiness::Ready });
+                        Some(GroupMembership { group, fence, readiness: Readiness::Ready });
                 }
                 OrderAction::Drain { .. } => {
                     if let Some(membership) = &mut instance.membership {
--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -18,11 +18,11 @@
 use tokio::task::JoinSet;
 use tower::service_fn;
 use workshold_http::server;
-use workshold_http::server::Bounds;
-use workshold_http::server::Stage;
+use workshold_http::server::ServerLimits;
+use workshold_http::server::ServerState;
 use workshold_http::server::infallible;
+use workshold_http::signals::SignalAction;
 use workshold_http::signals::Signals;
-use workshold_http::signals::Wanted;
 use workshold_protocol::Millis;
 use workshold_protocol::clock::SystemClock;
 
@@ -91,7 +91,7 @@
 ) -> Result<(), DaemonError> {
     let (probes, probes_rx) = mpsc::unbounded_channel();
     let node = Arc::new(Node::new(settings, Box::new(SystemClock::default()), probes));
-    let (stage, rx) = watch::channel(Stage::Running);
+    let (stage, rx) = watch::channel(ServerState::Running);
     let callers = start_servers(&node, &rx)?;
     let socket = tasks::gossip::open(&node).await.map_err(DaemonError::GossipSocket)?;
     let socket = Arc::new(socket);
@@ -115,9 +115,9 @@
         tokio::select! {
             _ = background_tasks.join_next() => return Err(DaemonError::TaskEnded),
             wanted = signals.next() => match wanted {
-                Wanted::Settings => reload(&node, &path),
-                Wanted::Dump => print_state(&node),
-                Wanted::Stop => break,
+                SignalAction::Reload => reload(&node, &path),
+                SignalAction::Dump => print_state(&node),
+                SignalAction::Stop => break,
             },
         }
     }
@@ -137,14 +137,14 @@
 /// ends with the count of connections that it cut.
 fn start_servers(
     node: &Arc<Node>,
-    stage: &watch::Receiver<Stage>,
+    stage: &watch::Receiver<ServerState>,
 ) -> Result<JoinHandle<usize>, DaemonError> {
     let settings = node.settings();
-    let bounds = Bounds {
-        connections: settings.caller_connections(),
-        head_len: HEAD_LEN_MAX,
-        head_time: IDLE_TIMEOUT,
-        ..Bounds::default()
+    let bounds = ServerLimits {
+        max_connections: settings.caller_connections(),
+        max_head_len: HEAD_LEN_MAX,
+        head_read_timeout: IDLE_TIMEOUT,
+        ..ServerLimits::default()
     };
     let listener = bind(settings.listen.callers)?;
     let handler_node = Arc::clone(node);
@@ -165,13 +165,13 @@
 fn serve_auxiliary(
     node: &Arc<Node>,
     address: SocketAddr,
-    stage: &watch::Receiver<Stage>,
+    stage: &watch::Receiver<ServerState>,
     handler: AuxiliaryHandler,
 ) -> Result<(), DaemonError> {
-    let bounds = Bounds {
-        connections: AUXILIARY_CONNECTIONS_MAX,
-        head_time: IDLE_TIMEOUT,
-        ..Bounds::default()
+    let bounds = ServerLimits {
+        max_connections: AUXILIARY_CONNECTIONS_MAX,
+        head_read_timeout: IDLE_TIMEOUT,
+        ..ServerLimits::default()
     };
     let listener = bind(address)?;
     let node = Arc::clone(node);
@@ -216,7 +216,7 @@
 /// Stops gracefully: withdraws this node's address from the directory, serves until callers no
 /// longer use it, refuses new streams that might not end in time, and waits for the requests in
 /// flight.
-async fn stop(node: &Arc<Node>, callers: JoinHandle<usize>, stage: &watch::Sender<Stage>) {
+async fn stop(node: &Arc<Node>, callers: JoinHandle<usize>, stage: &watch::Sender<ServerState>) {
     node.leave();
     emit(Event::Leaving, &[]);
     let settings = node.settings();
@@ -234,7 +234,7 @@
     while node.in_flight() > 0 && node.now() < deadline {
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
-    stage.send_replace(Stage::Finishing);
+    stage.send_replace(ServerState::Draining);
     // The platform would kill whatever takes longer.
     let _ = tokio::time::timeout(FLUSH_TIMEOUT, callers).await;
 }
--- a/crates/workshold-gateway/src/main.rs
+++ b/crates/workshold-gateway/src/main.rs
@@ -71,6 +71,6 @@
     if let Err(err) = &ended {
         eprintln!("{err}");
     }
-    queue.end(daemon::LOG_FLUSH_TIMEOUT);
+    queue.shut_down(daemon::LOG_FLUSH_TIMEOUT);
     if ended.is_ok() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILED) }
 }
--- a/crates/workshold-gateway/src/node/instance_limits.rs
+++ b/crates/workshold-gateway/src/node/instance_limits.rs
@@ -14,8 +14,8 @@
 use workshold_core::hosted::instance_limits::Withheld;
 use workshold_http::body::Body;
 use workshold_http::client::CallError;
-use workshold_http::client::Connected;
-use workshold_http::client::Driver;
+use workshold_http::client::ConnectionTask;
+use workshold_http::client::FreshConnection;
 use workshold_platform::response_headers::AnnouncedLimit;
 use workshold_protocol::Millis;
 
@@ -46,10 +46,10 @@
     /// [`CallError`] of the connection.
     pub async fn send(
         self,
-        connected: Connected,
+        connected: FreshConnection,
         req: Request<Body>,
         within: Duration,
-    ) -> Result<(Response<Incoming>, Driver), CallError> {
+    ) -> Result<(Response<Incoming>, ConnectionTask), CallError> {
         connected.send(req, within).await
     }
 }
--- a/crates/workshold-gateway/src/proxy/attempt.rs
+++ b/crates/workshold-gateway/src/proxy/attempt.rs
@@ -22,7 +22,7 @@
 use workshold_http::body::full;
 use workshold_http::client;
 use workshold_http::client::CallError;
-use workshold_http::client::Driver;
+use workshold_http::client::ConnectionTask;
 use workshold_platform::names;
 use workshold_platform::response_headers;
 use workshold_protocol::Millis;
@@ -64,7 +64,7 @@
     pub sent_at: Millis,
     /// Whether the body has ended.
     pub is_complete: bool,
-    _driver: Driver,
+    _driver: ConnectionTask,
     in_flight: InFlight,
 }
 
--- a/crates/workshold-gateway/tests/platform/ending.rs
+++ b/crates/workshold-gateway/tests/platform/ending.rs
@@ -159,5 +159,5 @@
 async fn release(node: &TestNode, fingerprint: &str) -> bool {
     let path = format!("/quarantine/{fingerprint}");
     let address = node.control.to_string();
-    client::call_plain(&address, Method::DELETE, &path, HEARD).await.is_ok()
+    client::call_raw(&address, Method::DELETE, &path, HEARD).await.is_ok()
 }
--- a/crates/workshold-http/src/body.rs
+++ b/crates/workshold-http/src/body.rs
@@ -36,7 +36,7 @@
 /// A response of `value` as JSON.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let text = serde_json::to_vec(value).expect("responses have only text keys");
-    with_type(status, "application/json", text)
+    with_content_type(status, "application/json", text)
 }
 
 /// A response of `bytes` with their content type.
@@ -44,7 +44,7 @@
 /// # Panics
 ///
 /// If `content_type` is not a header's value.
-pub fn with_type(
+pub fn with_content_type(
     status: StatusCode,
     content_type: &str,
     bytes: impl Into<Bytes>,
--- a/crates/workshold-http/src/client.rs
+++ b/crates/workshold-http/src/client.rs
@@ -1,7 +1,7 @@
 //! One connection for each request.
 //!
 //! A pooled connection that the other side closes leaves it open whether a
-//! request was taken. A fresh one does not: until [`Connected::send`] is called,
+//! request was taken. A fresh one does not: until [`FreshConnection::send`] is called,
 //! no byte of the request has left.
 
 use std::time::Duration;
@@ -77,17 +77,17 @@
 
 /// A connection that no request has been sent on.
 #[derive(Debug)]
-pub struct Connected {
+pub struct FreshConnection {
     address: String,
     sender: SendRequest<Body>,
-    driver: Driver,
+    driver: ConnectionTask,
 }
 
 /// Ends the connection's task when the last user of it is gone.
 #[derive(Debug)]
-pub struct Driver(JoinHandle<()>);
+pub struct ConnectionTask(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -98,7 +98,7 @@
 /// # Errors
 ///
 /// [`CallError::Connect`] or [`CallError::TimedOut`]; no byte left in either case.
-pub async fn connect(address: &str, within: Duration) -> Result<Connected, CallError> {
+pub async fn connect(address: &str, within: Duration) -> Result<FreshConnection, CallError> {
     let failed = |why: String| CallError::Connect { address: address.to_owned(), why };
     let connecting = timeout(within, TcpStream::connect(address)).await;
     let stream = connecting
@@ -111,13 +111,13 @@
         // What breaks a connection is seen by whoever waits on it.
         let _ = connection.await;
     });
-    Ok(Connected { address: address.to_owned(), sender, driver: Driver(driver) })
+    Ok(FreshConnection { address: address.to_owned(), sender, driver: ConnectionTask(driver) })
 }
 
-impl Connected {
+impl FreshConnection {
     /// Sends the request; from here on the other side may have it.
     ///
-    /// The response's body lives as long as the [`Driver`] that comes with it.
+    /// The response's body lives as long as the [`ConnectionTask`] that comes with it.
     ///
     /// # Errors
     ///
@@ -126,7 +126,7 @@
         mut self,
         req: Request<Body>,
         within: Duration,
-    ) -> Result<(Response<Incoming>, Driver), CallError> {
+    ) -> Result<(Response<Incoming>, ConnectionTask), CallError> {
         match timeout(within, self.sender.send_request(req)).await {
             Err(_) => Err(CallError::TimedOut { address: self.address, after: within }),
             Ok(Err(err)) => Err(CallError::Broken { address: self.address, why: err.to_string() }),
@@ -178,7 +178,7 @@
 /// # Errors
 ///
 /// As [`call`], but for [`CallError::Unreadable`].
-pub async fn call_plain(
+pub async fn call_raw(
     address: &str,
     method: Method,
     path: &str,
--- a/crates/workshold-http/src/server.rs
+++ b/crates/workshold-http/src/server.rs
@@ -23,24 +23,24 @@
 
 /// What one peer may use up.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct ServerLimits {
     /// Connections at once; more wait in the machine's backlog.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Headers of a request.
-    pub headers: usize,
+    pub max_headers: usize,
     /// Bytes of a request's head.
-    pub head_len: usize,
+    pub max_head_len: usize,
     /// Time for a request's head to come.
-    pub head_time: Duration,
+    pub head_read_timeout: Duration,
 }
 
-impl Default for Bounds {
+impl Default for ServerLimits {
     fn default() -> Self {
         Self {
-            connections: 4096,
-            headers: 64,
-            head_len: 16 * 1024,
-            head_time: Duration::from_secs(10),
+            max_connections: 4096,
+            max_headers: 64,
+            max_head_len: 16 * 1024,
+            head_read_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -77,21 +77,21 @@
 
 /// How far the end of a server has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum ServerState {
     /// It serves.
     Running,
     /// It accepts nothing and finishes what it has.
-    Finishing,
+    Draining,
     /// It cuts what is left.
-    Cutting,
+    Aborting,
 }
 
 /// Serves until `stage` says otherwise; returns how many connections were cut.
 pub async fn serve<S, B>(
     listener: TcpListener,
-    bounds: Bounds,
+    bounds: ServerLimits,
     service: S,
-    mut stage: watch::Receiver<Stage>,
+    mut stage: watch::Receiver<ServerState>,
 ) -> usize
 where
     S: Service<Request<Incoming>, Response = Response<B>, Error = Infallible>,
@@ -101,9 +101,9 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let permits = Arc::new(Semaphore::new(bounds.connections));
+    let permits = Arc::new(Semaphore::new(bounds.max_connections));
     let mut connections = JoinSet::new();
-    while *stage.borrow() == Stage::Running {
+    while *stage.borrow() == ServerState::Running {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { break };
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
@@ -133,9 +133,9 @@
 
 async fn run_connection<S, B>(
     io: TokioIo<tokio::net::TcpStream>,
-    bounds: Bounds,
+    bounds: ServerLimits,
     service: TowerToHyperService<S>,
-    mut stage: watch::Receiver<Stage>,
+    mut stage: watch::Receiver<ServerState>,
 ) where
     S: Service<Request<Incoming>, Response = Response<B>, Error = Infallible>,
     S: Clone + Send + 'static,
@@ -146,9 +146,9 @@
 {
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.head_time)
-        .max_headers(bounds.headers)
-        .max_buf_size(bounds.head_len.max(MIN_BUF_LEN))
+        .header_read_timeout(bounds.head_read_timeout)
+        .max_headers(bounds.max_headers)
+        .max_buf_size(bounds.max_head_len.max(MIN_BUF_LEN))
         .serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
     loop {
@@ -156,9 +156,9 @@
             // A peer that misbehaves or goes away ends only its own connection.
             _ = connection.as_mut() => return,
             changed = stage.changed() => match changed.map(|()| *stage.borrow()) {
-                Ok(Stage::Running) => {}
-                Ok(Stage::Finishing) => connection.as_mut().graceful_shutdown(),
-                Ok(Stage::Cutting) | Err(_) => return,
+                Ok(ServerState::Running) => {}
+                Ok(ServerState::Draining) => connection.as_mut().graceful_shutdown(),
+                Ok(ServerState::Aborting) | Err(_) => return,
             },
         }
     }
@@ -167,12 +167,12 @@
 /// What `hyper` asks for at least.
 const MIN_BUF_LEN: usize = 8192;
 
-async fn finish(mut connections: JoinSet<()>, mut stage: watch::Receiver<Stage>) -> usize {
+async fn finish(mut connections: JoinSet<()>, mut stage: watch::Receiver<ServerState>) -> usize {
     loop {
         tokio::select! {
             ended = connections.join_next() => if ended.is_none() { return 0 },
             changed = stage.changed() => {
-                if changed.is_err() || *stage.borrow() == Stage::Cutting {
+                if changed.is_err() || *stage.borrow() == ServerState::Aborting {
                     while connections.try_join_next().is_some() {}
                     return connections.len();
                 }
--- a/crates/workshold-http/src/signals.rs
+++ b/crates/workshold-http/src/signals.rs
@@ -8,11 +8,11 @@
 
 /// What a signal asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wanted {
+pub enum SignalAction {
     /// To stop with a plan.
     Stop,
     /// To read the settings again.
-    Settings,
+    Reload,
     /// To print its state.
     Dump,
 }
@@ -43,12 +43,12 @@
     }
 
     /// Waits for the next one.
-    pub async fn next(&mut self) -> Wanted {
+    pub async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => Wanted::Stop,
-            _ = self.interrupt.recv() => Wanted::Stop,
-            _ = self.hang_up.recv() => Wanted::Settings,
-            _ = self.dump.recv() => Wanted::Dump,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Stop,
+            _ = self.hang_up.recv() => SignalAction::Reload,
+            _ = self.dump.recv() => SignalAction::Dump,
         }
     }
 }
--- a/crates/workshold-model/src/bundles.rs
+++ b/crates/workshold-model/src/bundles.rs
@@ -136,7 +136,7 @@
 fn bundle(n: u8) -> Bundle {
     Bundle {
         name: format!("bundle {n}"),
-        weights: workshold_protocol::bundle::Weights::default(),
+        weights: workshold_protocol::bundle::CostWeights::default(),
         models: std::collections::BTreeMap::new(),
         services: std::collections::BTreeMap::new(),
         teams: std::collections::BTreeMap::new(),
--- a/crates/workshold-model/src/groups/instance.rs
+++ b/crates/workshold-model/src/groups/instance.rs
@@ -1,10 +1,10 @@
 //! An instance of the groups' world, and what it truly was.
 
 use workshold_protocol::Millis;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::Incarnation;
-use workshold_protocol::report::Membership;
+use workshold_protocol::report::GroupMembership;
 use workshold_protocol::report::Order;
 use workshold_protocol::report::OrderAction;
 use workshold_protocol::report::Readiness;
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Past {
     group: GroupId,
-    fence: Fence,
+    fence: FencingToken,
     until: Millis,
 }
 
@@ -28,17 +28,17 @@
     /// Whether the steward is cut off from it.
     pub(super) is_hidden: bool,
     pub(super) incarnation: Incarnation,
-    seat: Option<Membership>,
+    seat: Option<GroupMembership>,
     /// The life in which it took its seat.
     seated_in: Incarnation,
-    highest: Fence,
+    highest: FencingToken,
     pub(super) running: u8,
     past: Option<Past>,
 }
 
 impl Instance {
-    pub(super) fn new(seat: Option<Membership>) -> Self {
-        let highest = seat.as_ref().map_or(Fence(0), |seat| seat.fence);
+    pub(super) fn new(seat: Option<GroupMembership>) -> Self {
+        let highest = seat.as_ref().map_or(FencingToken(0), |seat| seat.fence);
         Self {
             is_up: true,
             is_hidden: false,
@@ -111,7 +111,7 @@
                 if !self.seat.as_ref().is_some_and(|s| s.group == named && s.fence == fence) {
                     self.note_past(now);
                     let readiness = Readiness::Ready;
-                    self.seat = Some(Membership { group: named, fence, readiness });
+                    self.seat = Some(GroupMembership { group: named, fence, readiness });
                     self.seated_in = self.incarnation;
                 }
                 false
--- a/crates/workshold-model/src/groups/node.rs
+++ b/crates/workshold-model/src/groups/node.rs
@@ -20,7 +20,7 @@
 use workshold_protocol::Millis;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::InstanceId;
-use workshold_protocol::report::Membership;
+use workshold_protocol::report::GroupMembership;
 use workshold_protocol::report::Order;
 use workshold_protocol::report::OrderAction;
 use workshold_protocol::report::Readiness;
@@ -184,7 +184,7 @@
     /// Takes an order's reply for the instance's own report.
     pub(super) fn trust(&mut self, i: usize, instance: &Instance, order: &Order, now: Millis) {
         let OrderAction::Join(join) = &order.action else { return };
-        let membership = Membership {
+        let membership = GroupMembership {
             group: join.group.clone(),
             fence: order.fence,
             readiness: Readiness::Ready,
--- a/crates/workshold-model/src/groups/start.rs
+++ b/crates/workshold-model/src/groups/start.rs
@@ -5,13 +5,13 @@
 use workshold_core::state::State;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
+use workshold_protocol::bundle::CostWeights;
 use workshold_protocol::bundle::Model;
 use workshold_protocol::bundle::Role;
 use workshold_protocol::bundle::SignedBundle;
-use workshold_protocol::bundle::Weights;
 use workshold_protocol::ids::DataCentre;
 use workshold_protocol::ids::FabricDomain;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::Incarnation;
 use workshold_protocol::ids::InstanceId;
@@ -20,14 +20,14 @@
 use workshold_protocol::ids::RoleName;
 use workshold_protocol::ids::Version;
 use workshold_protocol::record::Fact;
-use workshold_protocol::record::Formation;
+use workshold_protocol::record::GroupFormation;
 use workshold_protocol::record::Member;
 use workshold_protocol::record::SignOff;
 use workshold_protocol::record::StopRequest;
+use workshold_protocol::report::GroupMembership;
 use workshold_protocol::report::InstanceKind;
 use workshold_protocol::report::JoinOrder;
 use workshold_protocol::report::ListedInstance;
-use workshold_protocol::report::Membership;
 use workshold_protocol::report::Order;
 use workshold_protocol::report::OrderAction;
 use workshold_protocol::report::Readiness;
@@ -108,16 +108,16 @@
     };
     Bundle {
         name: "bundle".to_owned(),
-        weights: Weights::default(),
+        weights: CostWeights::default(),
         models: BTreeMap::from([(model(), wanted)]),
         services: BTreeMap::new(),
         teams: BTreeMap::new(),
     }
 }
 
-fn formation() -> Formation {
+fn formation() -> GroupFormation {
     let member = |i| Member { instance: instance_id(i), incarnation: Incarnation(1) };
-    Formation {
+    GroupFormation {
         group: GroupId::new(GROUP).expect("it is a name"),
         bundle: bundle().hash(),
         model: model(),
@@ -160,7 +160,7 @@
         role: role(),
         weights_mib: 1,
     };
-    vec![(1, Order { fence: Fence(FORMED_AT), action: OrderAction::Join(join) })]
+    vec![(1, Order { fence: FencingToken(FORMED_AT), action: OrderAction::Join(join) })]
 }
 
 impl GroupWorld {
@@ -172,9 +172,9 @@
             state.apply(Offset(at as u64), &entry.envelope()).expect("offsets follow");
         }
         let seat = |i: usize| {
-            (i < usize::from(SIZE)).then(|| Membership {
+            (i < usize::from(SIZE)).then(|| GroupMembership {
                 group: GroupId::new(GROUP).expect("it is a name"),
-                fence: Fence(FORMED_AT),
+                fence: FencingToken(FORMED_AT),
                 readiness: Readiness::Ready,
             })
         };
--- a/crates/workshold-model/src/once.rs
+++ b/crates/workshold-model/src/once.rs
@@ -12,7 +12,7 @@
 use workshold_protocol::ids::Offset;
 use workshold_protocol::ids::RequestDigest;
 use workshold_protocol::record::Intent;
-use workshold_protocol::record::KeyFloor;
+use workshold_protocol::record::KeyExpiry;
 
 use crate::checker::Promise;
 use crate::checker::World;
@@ -146,7 +146,7 @@
                     keys = Keys::default();
                 }
                 Item::Floor => {
-                    let _ = keys.forget(KeyFloor { before: FLOOR });
+                    let _ = keys.forget(KeyExpiry { before: FLOOR });
                 }
             }
         }
--- a/crates/workshold-node/src/callers.rs
+++ b/crates/workshold-node/src/callers.rs
@@ -22,8 +22,8 @@
 use workshold_http::body;
 use workshold_http::body::BodyError;
 use workshold_protocol::Millis;
-use workshold_protocol::problem::Code;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::callers::completions::Style;
 use crate::node::Node;
@@ -70,7 +70,7 @@
 }
 
 fn wrong_method(right: &str) -> Problem {
-    Problem::not_run(Code::MethodNotAllowed, format!("this path takes {right}"))
+    Problem::not_run(ProblemCode::MethodNotAllowed, format!("this path takes {right}"))
 }
 
 /// Refuses at once if this node does not serve, and says who does.
@@ -80,7 +80,7 @@
 /// The final answer, with the other nodes' addresses.
 fn check_ready(node: &Node) -> Result<(), Problem> {
     let Err(why) = node.can_serve() else { return Ok(()) };
-    let code = if why == Unready::Leaving { Code::Leaving } else { Code::NotReady };
+    let code = if why == Unready::Leaving { ProblemCode::Leaving } else { ProblemCode::NotReady };
     let mut problem = Problem::not_run(code, why.to_string()).retry_after(RETRY_ELSEWHERE);
     problem.entries = node.entries().into_iter().map(|entry| entry.address).collect();
     Err(problem)
@@ -98,8 +98,8 @@
     let read = body::read(body, bounds.body_len, bounds.read_time.to_duration()).await;
     read.map_err(|err| {
         let code = match err {
-            BodyError::TooLarge(_) => Code::TooLarge,
-            BodyError::TooSlow(_) | BodyError::Broken => Code::BadRequest,
+            BodyError::TooLarge(_) => ProblemCode::TooLarge,
+            BodyError::TooSlow(_) | BodyError::Broken => ProblemCode::BadRequest,
         };
         Problem::not_run(code, err.to_string())
     })
--- a/crates/workshold-node/src/callers/at_most_once.rs
+++ b/crates/workshold-node/src/callers/at_most_once.rs
@@ -21,11 +21,11 @@
 use workshold_protocol::ids::KeyDigest;
 use workshold_protocol::ids::RequestDigest;
 use workshold_protocol::ids::TeamName;
-use workshold_protocol::peer::AnswerBody;
-use workshold_protocol::peer::Ask;
-use workshold_protocol::peer::StoredAnswer;
-use workshold_protocol::problem::Code;
+use workshold_protocol::peer::PeerQuery;
+use workshold_protocol::peer::PeerResponseBody;
+use workshold_protocol::peer::StoredResponse;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 use workshold_protocol::record::Intent;
 use workshold_protocol::signing::SealPurpose;
 
@@ -78,7 +78,7 @@
 pub async fn run<F, W>(node: &Arc<Node>, call: Call, work: W) -> Response<Body>
 where
     W: FnOnce() -> F + Send + 'static,
-    F: Future<Output = Result<StoredAnswer, StoredAnswer>> + Send,
+    F: Future<Output = Result<StoredResponse, StoredResponse>> + Send,
 {
     let keyed = match check_key(node, call) {
         Ok(keyed) => keyed,
@@ -90,11 +90,14 @@
     match task.await {
         Ok(Ok(answer)) => respond(&answer),
         Ok(Err(problem)) => problems::response(&problem),
-        Err(_) => problems::response(&Problem::unknown(Code::UpstreamFailed, "the run broke off")),
+        Err(_) => problems::response(&Problem::may_have_run(
+            ProblemCode::UpstreamFailed,
+            "the run broke off",
+        )),
     }
 }
 
-fn respond(answer: &StoredAnswer) -> Response<Body> {
+fn respond(answer: &StoredResponse) -> Response<Body> {
     match serde_json::from_slice::<Problem>(&answer.body) {
         Ok(problem) if answer.content_type == workshold_protocol::problem::PROBLEM_JSON => {
             problems::response(&problem)
@@ -104,7 +107,7 @@
 }
 
 fn check_key(node: &Node, call: Call) -> Result<Keyed, Problem> {
-    let bad = |why: String| Problem::not_run(Code::BadRequest, why);
+    let bad = |why: String| Problem::not_run(ProblemCode::BadRequest, why);
     let time = key_time(&call.key).map_err(|err| bad(format!("{err}; {}", err.help())))?;
     let wall = node.clock.wall();
     if time > wall + MAX_KEY_AHEAD {
@@ -115,7 +118,7 @@
     let window = Millis(node.settings.times.key_window.0 / 2);
     if time + window < wall {
         let why = "the idempotency key is older than what is remembered";
-        return Err(Problem::unknown(Code::KeyExpired, why));
+        return Err(Problem::may_have_run(ProblemCode::KeyExpired, why));
     }
     let named =
         [call.team.as_str().as_bytes(), b"\0", call.key.to_ascii_lowercase().as_bytes()].concat();
@@ -123,10 +126,10 @@
     Ok(Keyed { key: KeyDigest::of(&seal), time, call })
 }
 
-async fn run_keyed<F, W>(node: &Node, keyed: Keyed, work: W) -> Result<StoredAnswer, Problem>
+async fn run_keyed<F, W>(node: &Node, keyed: Keyed, work: W) -> Result<StoredResponse, Problem>
 where
     W: FnOnce() -> F,
-    F: Future<Output = Result<StoredAnswer, StoredAnswer>>,
+    F: Future<Output = Result<StoredResponse, StoredResponse>>,
 {
     let running = match node.keys.begin(&keyed.key, keyed.time) {
         Begin::Mine(running) => running,
@@ -168,7 +171,7 @@
     GiveUp,
     LogAway,
     AskOwner(Owner),
-    Refuse(Code),
+    Refuse(ProblemCode),
 }
 
 fn decide(node: &Node, keyed: &Keyed, local: KeyProgress) -> Decided {
@@ -190,26 +193,26 @@
     node: &Node,
     keyed: &Keyed,
     step: Decided,
-) -> Result<StoredAnswer, Problem> {
+) -> Result<StoredResponse, Problem> {
     match step {
         Decided::AskOwner(owner) => ask_owner(node, keyed, &owner).await,
-        Decided::Refuse(Code::KeyReused) => Err(Problem::not_run(
-            Code::KeyReused,
+        Decided::Refuse(ProblemCode::KeyReused) => Err(Problem::not_run(
+            ProblemCode::KeyReused,
             "the idempotency key was used for another request",
         )),
-        Decided::Refuse(_) => Err(Problem::unknown(
-            Code::KeyExpired,
+        Decided::Refuse(_) => Err(Problem::may_have_run(
+            ProblemCode::KeyExpired,
             "the idempotency key is older than what is remembered",
         )),
         Decided::LogAway => Err(Problem::not_run(
-            Code::LogUnavailable,
+            ProblemCode::LogUnavailable,
             "what must last cannot be written; it was not run",
         )
         .retry_after(RETRY_WHEN_LOG_IS_AWAY)),
         // The record may still come to stand in the log. Only this node could run
         // under it, and with this answer kept it never will.
         Decided::GiveUp | Decided::Record | Decided::Run => Err(Problem::not_run(
-            Code::LogUnavailable,
+            ProblemCode::LogUnavailable,
             "what must last cannot be written; it was not run. Ask again with a new key",
         )
         .retry_after(RETRY_WHEN_LOG_IS_AWAY)),
@@ -217,10 +220,10 @@
 }
 
 /// Asks the node that has the key what came of it.
-async fn ask_owner(node: &Node, keyed: &Keyed, owner: &Owner) -> Result<StoredAnswer, Problem> {
+async fn ask_owner(node: &Node, keyed: &Keyed, owner: &Owner) -> Result<StoredResponse, Problem> {
     let gone = || {
-        Problem::unknown(
-            Code::UpstreamFailed,
+        Problem::may_have_run(
+            ProblemCode::UpstreamFailed,
             "the node that had the request is gone; whether it ran is not known",
         )
     };
@@ -231,10 +234,10 @@
     let Some(address) = known.get(&owner.node) else { return Err(gone()) };
     let within = node.settings.times.probe_every.to_duration();
     let link = node.link(&owner.node, address);
-    let ask = Ask::KeyResult { key: keyed.key };
+    let ask = PeerQuery::KeyResult { key: keyed.key };
     let key = &node.checked.cluster_key;
     match link.ask(node.name(), ask, key, &node.counters, within).await {
-        Ok(AnswerBody::KeyResult(Some(answer))) => Ok(answer),
+        Ok(PeerResponseBody::KeyResult(Some(answer))) => Ok(answer),
         Ok(_) if has_same_life(node, owner) => Err(in_progress()),
         Ok(_) => Err(gone()),
         Err(_) => Err(gone().retry_after(RETRY_WHILE_RUNNING)),
@@ -250,15 +253,15 @@
 
 fn in_progress() -> Problem {
     let detail = "the request with this key is still running at another node";
-    Problem::unknown(Code::KeyInProgress, detail).retry_after(RETRY_WHILE_RUNNING)
+    Problem::may_have_run(ProblemCode::KeyInProgress, detail).retry_after(RETRY_WHILE_RUNNING)
 }
 
 /// Waits for the request that had the key first at this node.
 async fn wait_for_other(
     node: &Node,
     keyed: &Keyed,
-    mut answer: watch::Receiver<Option<StoredAnswer>>,
-) -> Result<StoredAnswer, Problem> {
+    mut answer: watch::Receiver<Option<StoredResponse>>,
+) -> Result<StoredResponse, Problem> {
     let left = keyed.call.deadline.since(node.now()).to_duration();
     let known = tokio::time::timeout(left, answer.wait_for(Option::is_some)).await;
     match known {
--- a/crates/workshold-node/src/callers/completions.rs
+++ b/crates/workshold-node/src/callers/completions.rs
@@ -21,9 +21,9 @@
 use workshold_protocol::ids::AdapterName;
 use workshold_protocol::ids::ModelName;
 use workshold_protocol::ids::TeamName;
-use workshold_protocol::peer::StoredAnswer;
-use workshold_protocol::problem::Code;
+use workshold_protocol::peer::StoredResponse;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::callers::at_most_once;
 use crate::callers::check_ready;
@@ -99,7 +99,8 @@
     style: Style,
 ) -> Result<Response<Body>, Problem> {
     check_ready(node)?;
-    let bundle = node.bundle().ok_or_else(|| Problem::not_run(Code::NotReady, "no bundle"))?;
+    let bundle =
+        node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
     let team = identity::team(req.headers(), &bundle)?;
     let wishes = Wishes::read(req.headers(), &node.settings.times)?;
     let bytes = read_body(node, req.into_body()).await?;
@@ -115,7 +116,7 @@
 
 fn parse(bytes: &[u8]) -> Result<CompletionBody, Problem> {
     serde_json::from_slice(bytes)
-        .map_err(|err| Problem::not_run(Code::BadRequest, format!("the body: {err}")))
+        .map_err(|err| Problem::not_run(ProblemCode::BadRequest, format!("the body: {err}")))
 }
 
 fn make_job(
@@ -132,7 +133,7 @@
     let limit = node.settings.bounds.max_tokens;
     if max_tokens == 0 || max_tokens > limit {
         let why = format!("max_tokens must be 1 to {limit}");
-        return Err(Problem::not_run(Code::BadRequest, why));
+        return Err(Problem::not_run(ProblemCode::BadRequest, why));
     }
     let mut chain = PrefixChain::of(model.as_str(), &prompt);
     if let Some(session) = wishes.session.as_ref().filter(|_| chain.hashes().is_empty()) {
@@ -156,7 +157,7 @@
 
 /// A model's name, or `model:adapter`.
 fn find_model(bundle: &Bundle, wanted: &str) -> Result<(ModelName, Option<AdapterName>), Problem> {
-    let unknown = || Problem::not_run(Code::NotFound, "there is no such model or adapter");
+    let unknown = || Problem::not_run(ProblemCode::NotFound, "there is no such model or adapter");
     let (name, adapter) = match wanted.split_once(':') {
         Some((name, adapter)) => (name, Some(AdapterName::new(adapter).map_err(|_| unknown())?)),
         None => (wanted, None),
@@ -174,7 +175,7 @@
     prompt: Option<String>,
     messages: Option<Vec<MessageBody>>,
 ) -> Result<String, Problem> {
-    let bad = |why: &str| Problem::not_run(Code::BadRequest, why);
+    let bad = |why: &str| Problem::not_run(ProblemCode::BadRequest, why);
     let text = match style {
         Style::Text => prompt.ok_or_else(|| bad("prompt is missing"))?,
         Style::Chat => {
@@ -197,7 +198,7 @@
     match taken {
         Some(Err(over)) => {
             let detail = format!("team {} is over its allowance", job.team);
-            Err(Problem::not_run(Code::TeamLimit, detail).retry_after(over.retry_after))
+            Err(Problem::not_run(ProblemCode::TeamLimit, detail).retry_after(over.retry_after))
         }
         Some(Ok(())) | None => Ok(()),
     }
@@ -214,7 +215,12 @@
             Some(Piece::Placed(placed)) => id = placed,
             Some(Piece::Problem(problem)) => return Err(problem),
             Some(piece) => break piece,
-            None => return Err(Problem::unknown(Code::UpstreamFailed, "the stream broke off")),
+            None => {
+                return Err(Problem::may_have_run(
+                    ProblemCode::UpstreamFailed,
+                    "the stream broke off",
+                ));
+            }
         }
     };
     let pieces = stream::iter([first]).chain(ReceiverStream::new(rx));
@@ -261,7 +267,7 @@
 }
 
 /// Runs the job to its end; gives the whole answer, or the problem as one.
-async fn collect(node: &Arc<Node>, job: Job) -> (StoredAnswer, String) {
+async fn collect(node: &Arc<Node>, job: Job) -> (StoredResponse, String) {
     let (style, model) = (job.style, job.model.clone());
     let mut rx = start(node, job);
     let mut text = String::new();
@@ -274,11 +280,11 @@
             Piece::Done { tokens } => {
                 let body = sse::whole(style, model.as_str(), &id, &text, tokens);
                 let content_type = "application/json".to_owned();
-                return (StoredAnswer { status: 200, content_type, body }, id);
+                return (StoredResponse { status: 200, content_type, body }, id);
             }
         }
     }
-    let problem = Problem::unknown(Code::UpstreamFailed, "the stream broke off");
+    let problem = Problem::may_have_run(ProblemCode::UpstreamFailed, "the stream broke off");
     (stored(&problem), id)
 }
 
@@ -292,7 +298,7 @@
 ) -> Result<Response<Body>, Problem> {
     if is_stream {
         let why = "a completion under an idempotency key is answered whole: set stream to false";
-        return Err(Problem::not_run(Code::BadRequest, why));
+        return Err(Problem::not_run(ProblemCode::BadRequest, why));
     }
     job.repeatability = Repeatability::AtMostOnce;
     let call = at_most_once::Call {
--- a/crates/workshold-node/src/callers/generation.rs
+++ b/crates/workshold-node/src/callers/generation.rs
@@ -25,8 +25,8 @@
 use workshold_protocol::ids::AdapterName;
 use workshold_protocol::ids::ModelName;
 use workshold_protocol::ids::TeamName;
-use workshold_protocol::problem::Code;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::callers::completions::Style;
 use crate::callers::talk::Heard;
@@ -196,11 +196,11 @@
             Some(Placed::Waits(turn)) => self.wait(turn).await,
             Some(Placed::Refused(refused)) => {
                 self.hint = Some(refused.retry_after);
-                Err(Event::NotPlaced(Code::Overloaded))
+                Err(Event::NotPlaced(ProblemCode::Overloaded))
             }
             Some(Placed::NoGroup) | None => {
                 self.hint = Some(Millis((NO_GROUP_RETRY_MS * (1.0 + draw)) as u64));
-                Err(Event::NotPlaced(Code::NoGroup))
+                Err(Event::NotPlaced(ProblemCode::NoGroup))
             }
         }
     }
@@ -224,7 +224,7 @@
             turn = turn => match turn {
                 Ok(Turn::Go(group)) => Ok(group),
                 Ok(Turn::Expired) => Err(Event::DeadlinePassed),
-                Err(_) => Err(Event::NotPlaced(Code::NoGroup)),
+                Err(_) => Err(Event::NotPlaced(ProblemCode::NoGroup)),
             },
             // Nobody is left to answer: the place in the queue is given up.
             () = self.tx.closed() => Err(Event::DeadlinePassed),
@@ -509,7 +509,7 @@
             }
             Some(RequestResult::Unknown(code)) => {
                 counters.unknown.add(1);
-                (code, Problem::unknown(code, self.detail()))
+                (code, Problem::may_have_run(code, self.detail()))
             }
         };
         let fields = [("model", self.job.model.as_str()), ("code", &format!("{code:?}"))];
--- a/crates/workshold-node/src/callers/headers.rs
+++ b/crates/workshold-node/src/callers/headers.rs
@@ -3,8 +3,8 @@
 use hyper::HeaderMap;
 use workshold_core::admission::Priority;
 use workshold_protocol::Millis;
-use workshold_protocol::problem::Code;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::settings::TimeSettings;
 
@@ -84,5 +84,5 @@
 }
 
 fn bad(name: &str, why: &str) -> Problem {
-    Problem::not_run(Code::BadRequest, format!("header {name}: {why}"))
+    Problem::not_run(ProblemCode::BadRequest, format!("header {name}: {why}"))
 }
--- a/crates/workshold-node/src/callers/identity.rs
+++ b/crates/workshold-node/src/callers/identity.rs
@@ -4,8 +4,8 @@
 use hyper::header::AUTHORIZATION;
 use workshold_protocol::bundle::Bundle;
 use workshold_protocol::ids::TeamName;
-use workshold_protocol::problem::Code;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::callers::headers;
 
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// [`Code::Unauthorized`] if neither tells.
+/// [`ProblemCode::Unauthorized`] if neither tells.
 pub fn team(headers: &HeaderMap, bundle: &Bundle) -> Result<TeamName, Problem> {
     if bundle.teams.is_empty() {
         return TeamName::new(NOBODY).map_err(|err| unauthorized(&err.to_string()));
@@ -49,5 +49,5 @@
 }
 
 fn unauthorized(why: &str) -> Problem {
-    Problem::not_run(Code::Unauthorized, why)
+    Problem::not_run(ProblemCode::Unauthorized, why)
 }
--- a/crates/workshold-node/src/callers/info.rs
+++ b/crates/workshold-node/src/callers/info.rs
@@ -7,8 +7,8 @@
 use workshold_http::Body;
 use workshold_http::body;
 use workshold_protocol::Millis;
-use workshold_protocol::problem::Code;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::node::Node;
 
@@ -55,11 +55,11 @@
 ///
 /// # Errors
 ///
-/// [`Code::NotReady`] if this node knows of none.
+/// [`ProblemCode::NotReady`] if this node knows of none.
 pub fn entries(node: &Node) -> Result<Response<Body>, Problem> {
     let entries = node.entries();
     if entries.is_empty() {
-        let problem = Problem::not_run(Code::NotReady, "no node that serves is known here");
+        let problem = Problem::not_run(ProblemCode::NotReady, "no node that serves is known here");
         return Err(problem.retry_after(NO_ENTRY_RETRY));
     }
     let entries = Entries { entries, ttl_ms: node.settings.times.entries_ttl };
@@ -72,10 +72,11 @@
 ///
 /// # Errors
 ///
-/// [`Code::NotReady`] without a bundle.
+/// [`ProblemCode::NotReady`] without a bundle.
 pub fn models(node: &Node) -> Result<Response<Body>, Problem> {
     let bundle = node.bundle().ok_or_else(|| {
-        Problem::not_run(Code::NotReady, "no bundle is in force here").retry_after(NO_ENTRY_RETRY)
+        Problem::not_run(ProblemCode::NotReady, "no bundle is in force here")
+            .retry_after(NO_ENTRY_RETRY)
     })?;
     let (table, now) = (std::sync::Arc::clone(&node.serving.read()), node.now());
     let rows = bundle.models.iter().map(|(name, model)| ModelRow {
--- a/crates/workshold-node/src/callers/plain.rs
+++ b/crates/workshold-node/src/callers/plain.rs
@@ -34,9 +34,9 @@
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::ids::ServiceName;
 use workshold_protocol::ids::TeamName;
-use workshold_protocol::peer::StoredAnswer;
-use workshold_protocol::problem::Code;
+use workshold_protocol::peer::StoredResponse;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 use workshold_protocol::report::InstanceKind;
 use workshold_protocol::report::ListedInstance;
 
@@ -125,16 +125,17 @@
 /// The final answer if it was not run.
 pub async fn handle(node: &Arc<Node>, req: Request<Incoming>) -> Result<Response<Body>, Problem> {
     check_ready(node)?;
-    let bundle = node.bundle().ok_or_else(|| Problem::not_run(Code::NotReady, "no bundle"))?;
+    let bundle =
+        node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
     let path = req.uri().path().to_owned();
     let (name, service) = find(&bundle, &path)
-        .ok_or_else(|| Problem::not_run(Code::NotFound, "there is no such path"))?;
+        .ok_or_else(|| Problem::not_run(ProblemCode::NotFound, "there is no such path"))?;
     let team = identity::team(req.headers(), &bundle)?;
     let wishes = Wishes::read(req.headers(), &node.settings.times)?;
     let is_repeatable = service.is_repeatable(req.method().as_str());
     if !is_repeatable && wishes.idempotency_key.is_none() {
         let why = "this call must not run twice: send a UUID version 7 as Idempotency-Key";
-        return Err(Problem::not_run(Code::KeyRequired, why));
+        return Err(Problem::not_run(ProblemCode::KeyRequired, why));
     }
     let patience = wishes.patience.min(service.deadline);
     let (parts, incoming) = req.into_parts();
@@ -161,7 +162,7 @@
     }
 }
 
-fn answer_of(served: Result<StoredAnswer, Problem>) -> Response<Body> {
+fn answer_of(served: Result<StoredResponse, Problem>) -> Response<Body> {
     match served {
         Ok(answer) => problems::stored_response(&answer),
         Err(problem) => problems::response(&problem),
@@ -184,7 +185,7 @@
     match taken {
         Some(Err(over)) => {
             let detail = format!("team {} is over its allowance", call.team);
-            Err(Problem::not_run(Code::TeamLimit, detail).retry_after(over.retry_after))
+            Err(Problem::not_run(ProblemCode::TeamLimit, detail).retry_after(over.retry_after))
         }
         Some(Ok(())) | None => Ok(()),
     }
@@ -209,7 +210,7 @@
 }
 
 /// Makes attempts until the call is over.
-async fn serve(node: &Arc<Node>, call: Call) -> Result<StoredAnswer, Problem> {
+async fn serve(node: &Arc<Node>, call: Call) -> Result<StoredResponse, Problem> {
     let _guard = node.in_flight.enter(InFlight {
         team: call.team.clone(),
         target: call.service.to_string(),
@@ -229,7 +230,9 @@
         match lifecycle.on(attempt, event, node.now(), budget) {
             Next::Finish(RequestResult::Answered) => {
                 node.counters.answered.add(1);
-                return answer.ok_or_else(|| Problem::unknown(Code::UpstreamFailed, "no answer"));
+                return answer.ok_or_else(|| {
+                    Problem::may_have_run(ProblemCode::UpstreamFailed, "no answer")
+                });
             }
             Next::Finish(RequestResult::NotRun(code)) => {
                 node.counters.not_run.add(1);
@@ -237,7 +240,7 @@
             }
             Next::Finish(RequestResult::Unknown(code)) => {
                 node.counters.unknown.add(1);
-                return Err(Problem::unknown(code, detail(&lifecycle)));
+                return Err(Problem::may_have_run(code, detail(&lifecycle)));
             }
             Next::TryAgain(_) => node.counters.retries.add(1),
             Next::GoOn => {}
@@ -262,10 +265,10 @@
     call: &Call,
     lifecycle: &mut RequestLifecycle,
     tried: &mut BTreeSet<InstanceId>,
-) -> (Event, Option<StoredAnswer>) {
+) -> (Event, Option<StoredResponse>) {
     let started = node.now();
     let Some(chosen) = choose(node, &call.service, tried) else {
-        return (Event::NotPlaced(Code::NoUpstream), None);
+        return (Event::NotPlaced(ProblemCode::NoUpstream), None);
     };
     tried.insert(chosen.instance.clone());
     let left = call.deadline.since(started).to_duration();
@@ -303,7 +306,7 @@
     call: &Call,
     lifecycle: &mut RequestLifecycle,
     address: &str,
-) -> (Event, Option<StoredAnswer>) {
+) -> (Event, Option<StoredResponse>) {
     let Ok(connected) = client::connect(address, CONNECT_TIME).await else {
         return (Event::ConnectFailed, None);
     };
@@ -325,7 +328,7 @@
     match limited.collect().await {
         Ok(collected) => {
             let body = collected.to_bytes().to_vec();
-            (Event::Done, Some(StoredAnswer { status, content_type, body }))
+            (Event::Done, Some(StoredResponse { status, content_type, body }))
         }
         Err(_) => (Event::Broken, None),
     }
--- a/crates/workshold-node/src/callers/problems.rs
+++ b/crates/workshold-node/src/callers/problems.rs
@@ -6,7 +6,7 @@
 use hyper::header::RETRY_AFTER;
 use workshold_http::Body;
 use workshold_http::body;
-use workshold_protocol::peer::StoredAnswer;
+use workshold_protocol::peer::StoredResponse;
 use workshold_protocol::problem::PROBLEM_JSON;
 use workshold_protocol::problem::Problem;
 use workshold_protocol::problem::retry_after_secs;
@@ -15,7 +15,7 @@
 pub fn response(problem: &Problem) -> Response<Body> {
     let text = serde_json::to_vec(problem).expect("a problem is text");
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut res = body::with_type(status, PROBLEM_JSON, text);
+    let mut res = body::with_content_type(status, PROBLEM_JSON, text);
     if let Some(after) = problem.retry_after_ms {
         res.headers_mut().insert(RETRY_AFTER, HeaderValue::from(retry_after_secs(after)));
     }
@@ -23,7 +23,7 @@
 }
 
 /// An answer that was kept, as a response.
-pub fn stored_response(answer: &StoredAnswer) -> Response<Body> {
+pub fn stored_response(answer: &StoredResponse) -> Response<Body> {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    body::with_type(status, &answer.content_type, answer.body.clone())
+    body::with_content_type(status, &answer.content_type, answer.body.clone())
 }
--- a/crates/workshold-node/src/callers/resume.rs
+++ b/crates/workshold-node/src/callers/resume.rs
@@ -16,8 +16,8 @@
 use workshold_http::body;
 use workshold_http::client;
 use workshold_protocol::engine::TokenEvent;
-use workshold_protocol::problem::Code;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::callers::completions::Style;
 use crate::callers::completions::event;
@@ -38,8 +38,8 @@
 ///
 /// # Errors
 ///
-/// [`Code::NotFound`] for an id that is not this team's, and
-/// [`Code::ResumeLost`] if the engine does not have the stream any more.
+/// [`ProblemCode::NotFound`] for an id that is not this team's, and
+/// [`ProblemCode::ResumeLost`] if the engine does not have the stream any more.
 pub async fn resume(
     node: &Arc<Node>,
     req: &Request<Incoming>,
@@ -47,7 +47,7 @@
 ) -> Result<Response<Body>, Problem> {
     let place = find(node, req, id)?;
     let from = from(req)?;
-    let lost = |why: &str| Problem::unknown(Code::ResumeLost, why);
+    let lost = |why: &str| Problem::may_have_run(ProblemCode::ResumeLost, why);
     let address = address(node, &place).ok_or_else(|| lost("its instance is gone"))?;
     let connected = client::connect(&address, CONNECT_TIME).await;
     let connected = connected.map_err(|_| lost("its instance cannot be reached"))?;
@@ -94,7 +94,7 @@
     mut lines: Lines,
     from: u32,
     tx: tokio::sync::mpsc::Sender<Piece>,
-    _driver: client::Driver,
+    _driver: client::ConnectionTask,
 ) {
     let _guard = node.in_flight.enter(InFlight {
         team: place.team,
@@ -121,7 +121,7 @@
             Heard::Event(TokenEvent::Done { tokens }) if tokens == next => Piece::Done { tokens },
             _ => {
                 let detail = format!("the stream broke off after token {next}");
-                Piece::Problem(Problem::unknown(Code::ResumeLost, detail))
+                Piece::Problem(Problem::may_have_run(ProblemCode::ResumeLost, detail))
             }
         };
         let is_last = !matches!(piece, Piece::Token { .. });
@@ -136,7 +136,7 @@
 ///
 /// # Errors
 ///
-/// [`Code::NotFound`] for an id that is not this team's.
+/// [`ProblemCode::NotFound`] for an id that is not this team's.
 pub async fn cancel(
     node: &Arc<Node>,
     req: &Request<Incoming>,
@@ -151,18 +151,19 @@
 
 /// An id of another team is not told apart from one that is none.
 fn find(node: &Node, req: &Request<Incoming>, id: &str) -> Result<StreamPlace, Problem> {
-    let bundle = node.bundle().ok_or_else(|| Problem::not_run(Code::NotReady, "no bundle"))?;
+    let bundle =
+        node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
     let team = identity::team(req.headers(), &bundle)?;
     let place = StreamPlace::open(id, &node.checked.cluster_key);
     place
         .filter(|place| place.team == team)
-        .ok_or_else(|| Problem::not_run(Code::NotFound, "there is no such request"))
+        .ok_or_else(|| Problem::not_run(ProblemCode::NotFound, "there is no such request"))
 }
 
 fn from(req: &Request<Incoming>) -> Result<u32, Problem> {
     let query = req.uri().query().unwrap_or_default();
     let value = query.split('&').find_map(|pair| pair.strip_prefix("from="));
-    let bad = |_| Problem::not_run(Code::BadRequest, "from must be the number of a token");
+    let bad = |_| Problem::not_run(ProblemCode::BadRequest, "from must be the number of a token");
     value.map_or(Ok(0), |text| text.parse().map_err(bad))
 }
 
--- a/crates/workshold-node/src/callers/talk.rs
+++ b/crates/workshold-node/src/callers/talk.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout_at;
 use uuid::Uuid;
 use workshold_http::client::CallError;
-use workshold_http::client::Driver;
+use workshold_http::client::ConnectionTask;
 use workshold_protocol::Millis;
 use workshold_protocol::engine::NOT_STARTED_HEADER;
 use workshold_protocol::engine::TokenEvent;
@@ -39,14 +39,14 @@
     Broken,
 }
 
-type Sent = Result<(Response<Incoming>, Driver), CallError>;
+type Sent = Result<(Response<Incoming>, ConnectionTask), CallError>;
 
 /// The answer's head, once the request has been sent: nothing leaves before it is heard.
 pub type Opening = Pin<Box<dyn Future<Output = Sent> + Send>>;
 
 enum Phase {
     Opening(Opening),
-    Open { lines: Lines, _driver: Driver },
+    Open { lines: Lines, _driver: ConnectionTask },
 }
 
 /// One request at the head of one group.
@@ -90,7 +90,7 @@
         heard
     }
 
-    fn open(&mut self, res: Response<Incoming>, driver: Driver) -> Heard {
+    fn open(&mut self, res: Response<Incoming>, driver: ConnectionTask) -> Heard {
         if res.status() == StatusCode::OK {
             self.phase = Phase::Open { lines: Lines::new(res.into_body()), _driver: driver };
             return Heard::Opened;
--- a/crates/workshold-node/src/daemon.rs
+++ b/crates/workshold-node/src/daemon.rs
@@ -15,11 +15,11 @@
 use tokio::task::JoinSet;
 use tower::service_fn;
 use workshold_http::server;
-use workshold_http::server::Bounds;
-use workshold_http::server::Stage;
+use workshold_http::server::ServerLimits;
+use workshold_http::server::ServerState;
 use workshold_http::server::infallible;
+use workshold_http::signals::SignalAction;
 use workshold_http::signals::Signals;
-use workshold_http::signals::Wanted;
 use workshold_protocol::Millis;
 use workshold_protocol::clock::SystemClock;
 
@@ -65,7 +65,7 @@
 
 struct Servers {
     callers: JoinHandle<usize>,
-    stage: watch::Sender<Stage>,
+    stage: watch::Sender<ServerState>,
 }
 
 const METRICS_EVERY: Duration = Duration::from_secs(10);
@@ -91,10 +91,10 @@
                 return Err(DaemonError::TaskEnded);
             }
             wanted = signals.next() => match wanted {
-                Wanted::Dump => print_dump(&node),
+                SignalAction::Dump => print_dump(&node),
                 // Its settings are read at a start only.
-                Wanted::Settings => {}
-                Wanted::Stop => break,
+                SignalAction::Reload => {}
+                SignalAction::Stop => break,
             },
         }
     }
@@ -107,20 +107,20 @@
 async fn wait_for_stop(signals: &mut Signals, node: &Node) {
     loop {
         match signals.next().await {
-            Wanted::Stop => return,
-            Wanted::Dump => print_dump(node),
+            SignalAction::Stop => return,
+            SignalAction::Dump => print_dump(node),
             // Its settings are read at a start only.
-            Wanted::Settings => {}
+            SignalAction::Reload => {}
         }
     }
 }
 
 async fn start_servers(node: &Arc<Node>) -> Result<Servers, DaemonError> {
-    let (stage, rx) = watch::channel(Stage::Running);
-    let bounds = Bounds {
-        connections: node.settings.bounds.connections,
-        head_time: node.settings.bounds.read_time.to_duration(),
-        ..Bounds::default()
+    let (stage, rx) = watch::channel(ServerState::Running);
+    let bounds = ServerLimits {
+        max_connections: node.settings.bounds.connections,
+        head_read_timeout: node.settings.bounds.read_time.to_duration(),
+        ..ServerLimits::default()
     };
     let listener = bind(&node.settings.node.callers)?;
     let for_callers = Arc::clone(node);
@@ -133,7 +133,7 @@
     let service = service_fn(move |req: Request<Incoming>| {
         infallible(operators::handle(Arc::clone(&for_operators), req))
     });
-    tokio::spawn(server::serve(listener, Bounds::default(), service, rx));
+    tokio::spawn(server::serve(listener, ServerLimits::default(), service, rx));
     Ok(Servers { callers, stage })
 }
 
@@ -219,7 +219,7 @@
         return Ended { cut: 0 };
     }
     let cut = node.in_flight.len();
-    servers.stage.send_replace(Stage::Cutting);
+    servers.stage.send_replace(ServerState::Aborting);
     let ended = tokio::time::timeout(CUT_TIME, servers.callers).await;
     let unfinished = ended.ok().and_then(Result::ok).unwrap_or(0);
     Ended { cut: cut.max(unfinished) }
@@ -242,7 +242,7 @@
     if !node.in_flight.is_empty() {
         return false;
     }
-    servers.stage.send_replace(Stage::Finishing);
+    servers.stage.send_replace(ServerState::Draining);
     end_connections(node, servers, patience).await
 }
 
--- a/crates/workshold-node/src/keytable.rs
+++ b/crates/workshold-node/src/keytable.rs
@@ -3,10 +3,10 @@
 use tokio::sync::watch;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::KeyDigest;
-use workshold_protocol::peer::StoredAnswer;
-use workshold_protocol::problem::Code;
+use workshold_protocol::peer::StoredResponse;
 use workshold_protocol::problem::PROBLEM_JSON;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::shards::Shards;
 
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 struct Entry {
     key_time: Millis,
-    answer: watch::Receiver<Option<StoredAnswer>>,
+    answer: watch::Receiver<Option<StoredResponse>>,
 }
 
 /// The keys that this node has taken up since it started.
@@ -31,14 +31,14 @@
     /// Nothing: it is this request's to run. The answer goes in here.
     Mine(Running),
     /// Another request with the key is running or done; its answer comes here.
-    Others(watch::Receiver<Option<StoredAnswer>>),
+    Others(watch::Receiver<Option<StoredResponse>>),
 }
 
 /// A request that runs under its key. Dropped without an answer, it leaves
 /// "unknown" behind.
 #[derive(Debug)]
 pub struct Running {
-    answer: watch::Sender<Option<StoredAnswer>>,
+    answer: watch::Sender<Option<StoredResponse>>,
 }
 
 impl KeyTable {
@@ -55,7 +55,7 @@
     }
 
     /// The answer under a key, if it was taken up here and is there.
-    pub fn answer(&self, key: &KeyDigest) -> Option<StoredAnswer> {
+    pub fn answer(&self, key: &KeyDigest) -> Option<StoredResponse> {
         self.entries.get(key, |entry| entry.answer.borrow().clone()).flatten()
     }
 
@@ -82,12 +82,12 @@
 
 impl Running {
     /// Keeps the answer for whoever asks again.
-    pub fn finish(self, answer: &StoredAnswer) {
+    pub fn finish(self, answer: &StoredResponse) {
         let kept = if answer.body.len() <= MAX_KEPT_LEN {
             answer.clone()
         } else {
-            stored(&Problem::unknown(
-                Code::KeyInProgress,
+            stored(&Problem::may_have_run(
+                ProblemCode::KeyInProgress,
                 "it ran, but its answer was too long to keep",
             ))
         };
@@ -98,16 +98,18 @@
 impl Drop for Running {
     fn drop(&mut self) {
         if self.answer.borrow().is_none() {
-            let problem =
-                Problem::unknown(Code::UpstreamFailed, "its caller went away while it ran");
+            let problem = Problem::may_have_run(
+                ProblemCode::UpstreamFailed,
+                "its caller went away while it ran",
+            );
             self.answer.send_replace(Some(stored(&problem)));
         }
     }
 }
 
 /// A problem as an answer.
-pub fn stored(problem: &Problem) -> StoredAnswer {
-    StoredAnswer {
+pub fn stored(problem: &Problem) -> StoredResponse {
+    StoredResponse {
         status: problem.status,
         content_type: PROBLEM_JSON.to_owned(),
         body: serde_json::to_vec(problem).expect("a problem is text"),
--- a/crates/workshold-node/src/peer_link.rs
+++ b/crates/workshold-node/src/peer_link.rs
@@ -5,12 +5,12 @@
 use displaydoc::Display;
 use tokio::time::timeout;
 use workshold_protocol::ids::NodeId;
-use workshold_protocol::peer::Answer;
-use workshold_protocol::peer::AnswerBody;
-use workshold_protocol::peer::Ask;
-use workshold_protocol::peer::Question;
-use workshold_protocol::peer::pack;
-use workshold_protocol::peer::unpack;
+use workshold_protocol::peer::PeerQuery;
+use workshold_protocol::peer::PeerRequest;
+use workshold_protocol::peer::PeerResponse;
+use workshold_protocol::peer::PeerResponseBody;
+use workshold_protocol::peer::decode_sealed;
+use workshold_protocol::peer::encode_sealed;
 use workshold_protocol::signing::ClusterKey;
 use zeromq::ReqSocket;
 use zeromq::Socket;
@@ -64,24 +64,24 @@
     pub async fn ask(
         &self,
         from: &NodeId,
-        ask: Ask,
+        ask: PeerQuery,
         key: &ClusterKey,
         counters: &Counters,
         within: Duration,
-    ) -> Result<AnswerBody, AskError> {
+    ) -> Result<PeerResponseBody, AskError> {
         let mut slot = self.socket.lock().await;
         let mut socket = match slot.take() {
             Some(socket) => socket,
             None => self.connect(within).await?,
         };
         let nonce = rand::random();
-        let question = pack(&Question { nonce, from: from.clone(), ask }, key);
+        let question = encode_sealed(&PeerRequest { nonce, from: from.clone(), ask }, key);
         counters.questions.add(1);
         counters.control_sent.add(question.len() as u64);
         let exchange = timeout(within, exchange(&mut socket, question)).await;
         let bytes = exchange.map_err(|_| AskError::TimedOut)??;
         counters.control_received.add(bytes.len() as u64);
-        let answer: Answer = unpack(&bytes, key).map_err(|_| AskError::BadAnswer)?;
+        let answer: PeerResponse = decode_sealed(&bytes, key).map_err(|_| AskError::BadAnswer)?;
         if answer.nonce != nonce {
             return Err(AskError::BadAnswer);
         }
--- a/crates/workshold-node/src/requests.rs
+++ b/crates/workshold-node/src/requests.rs
@@ -45,7 +45,7 @@
     pub fn open(text: &str, key: &ClusterKey) -> Option<Self> {
         let bytes = URL_SAFE_NO_PAD.decode(text).ok()?;
         let (seal, body) = bytes.split_at_checked(KEY_LEN)?;
-        if !key.fits(SealPurpose::RequestId, body, seal) {
+        if !key.is_valid_seal(SealPurpose::RequestId, body, seal) {
             return None;
         }
         postcard::from_bytes(body).ok()
--- a/crates/workshold-node/src/serving.rs
+++ b/crates/workshold-node/src/serving.rs
@@ -16,7 +16,7 @@
 use workshold_core::state::State;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::DataCentre;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::ids::ModelName;
@@ -28,7 +28,7 @@
     /// Its name.
     pub group: GroupId,
     /// Its fencing number.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// The member that serves callers.
     pub head: InstanceId,
     /// Where that listens.
--- a/crates/workshold-node/src/tasks/catch_up.rs
+++ b/crates/workshold-node/src/tasks/catch_up.rs
@@ -7,8 +7,8 @@
 use workshold_protocol::ids::Offset;
 use workshold_protocol::log_api::ReadRecord;
 use workshold_protocol::log_api::ReadReply;
-use workshold_protocol::peer::AnswerBody;
-use workshold_protocol::peer::Ask;
+use workshold_protocol::peer::PeerQuery;
+use workshold_protocol::peer::PeerResponseBody;
 use workshold_protocol::record;
 use workshold_protocol::record::Checkpoint;
 use workshold_protocol::record::Envelope;
@@ -44,11 +44,13 @@
     let mut best: Option<ReadReply> = None;
     for (peer, address) in node.known_peers() {
         let link = node.link(&peer, &address);
-        let ask = Ask::Records { from };
+        let ask = PeerQuery::Records { from };
         let key = &node.checked.cluster_key;
         let asked = link.ask(node.name(), ask, key, &node.counters, within).await;
         // What a node without custody has may be older than what is in force.
-        let Ok(AnswerBody::Records { records, next, custody: true }) = asked else { continue };
+        let Ok(PeerResponseBody::Records { records, next, custody: true }) = asked else {
+            continue;
+        };
         let reply = as_reply(records, next);
         if best.as_ref().is_none_or(|best| best.end < reply.end) {
             best = Some(reply);
--- a/crates/workshold-node/src/tasks/peers.rs
+++ b/crates/workshold-node/src/tasks/peers.rs
@@ -12,13 +12,13 @@
 use workshold_protocol::peer::AgedGroup;
 use workshold_protocol::peer::AgedNode;
 use workshold_protocol::peer::AgedReport;
-use workshold_protocol::peer::Answer;
-use workshold_protocol::peer::AnswerBody;
-use workshold_protocol::peer::Ask;
-use workshold_protocol::peer::Digest;
-use workshold_protocol::peer::Question;
-use workshold_protocol::peer::pack;
-use workshold_protocol::peer::unpack;
+use workshold_protocol::peer::NodeSummary;
+use workshold_protocol::peer::PeerQuery;
+use workshold_protocol::peer::PeerRequest;
+use workshold_protocol::peer::PeerResponse;
+use workshold_protocol::peer::PeerResponseBody;
+use workshold_protocol::peer::decode_sealed;
+use workshold_protocol::peer::encode_sealed;
 use zeromq::RepSocket;
 use zeromq::Socket;
 use zeromq::SocketRecv;
@@ -75,7 +75,7 @@
         };
         let bytes = message.get(0).map(|frame| frame.to_vec()).unwrap_or_default();
         node.counters.control_received.add(bytes.len() as u64);
-        let reply = match unpack::<Question>(&bytes, &node.checked.cluster_key) {
+        let reply = match decode_sealed::<PeerRequest>(&bytes, &node.checked.cluster_key) {
             Ok(question) => answer(&node, question),
             Err(err) => {
                 node.counters.bad_messages.add(1);
@@ -90,30 +90,37 @@
     }
 }
 
-fn answer(node: &Node, question: Question) -> Vec<u8> {
+fn answer(node: &Node, question: PeerRequest) -> Vec<u8> {
     let body = match question.ask {
-        Ask::Digest { data_centre } => AnswerBody::Digest(Box::new(digest(node, &data_centre))),
-        Ask::Records { from } => {
+        PeerQuery::Digest { data_centre } => {
+            PeerResponseBody::Digest(Box::new(digest(node, &data_centre)))
+        }
+        PeerQuery::Records { from } => {
             let custody = node.is_authoritative();
             let lasting = node.lasting.read();
             let next = lasting.tail.next();
-            AnswerBody::Records { records: lasting.tail.part(from), next, custody }
+            PeerResponseBody::Records { records: lasting.tail.part(from), next, custody }
         }
-        Ask::KeyResult { key } => AnswerBody::KeyResult(node.keys.answer(&key)),
+        PeerQuery::KeyResult { key } => PeerResponseBody::KeyResult(node.keys.answer(&key)),
     };
-    let answer = Answer { nonce: question.nonce, from: node.name().clone(), body };
-    pack(&answer, &node.checked.cluster_key)
+    let answer = PeerResponse { nonce: question.nonce, from: node.name().clone(), body };
+    encode_sealed(&answer, &node.checked.cluster_key)
 }
 
-fn digest(node: &Node, asker: &DataCentre) -> Digest {
+fn digest(node: &Node, asker: &DataCentre) -> NodeSummary {
     let now = node.now();
     let is_near = asker == &node.settings.node.data_centre;
     let own = node.status();
     if is_near {
-        return Digest { own, near: Vec::new(), reports: reports(node, now), groups: Vec::new() };
+        return NodeSummary {
+            own,
+            near: Vec::new(),
+            reports: reports(node, now),
+            groups: Vec::new(),
+        };
     }
     let (near, groups) = (near_nodes(node, now), groups(node, now));
-    Digest { own, near, reports: Vec::new(), groups }
+    NodeSummary { own, near, reports: Vec::new(), groups }
 }
 
 /// The groups of this data centre that serve by this node's own judgement.
@@ -209,18 +216,18 @@
 async fn ask(node: Arc<Node>, peer: NodeId, address: String) {
     let asked = node.now();
     let within = node.settings.times.probe_every.to_duration();
-    let ask = Ask::Digest { data_centre: node.settings.node.data_centre.clone() };
+    let ask = PeerQuery::Digest { data_centre: node.settings.node.data_centre.clone() };
     let link = node.link(&peer, &address);
     let key = &node.checked.cluster_key;
     let answer = link.ask(node.name(), ask, key, &node.counters, within).await;
-    if let Ok(AnswerBody::Digest(digest)) = answer {
+    if let Ok(PeerResponseBody::Digest(digest)) = answer {
         take(&node, &peer, asked, *digest);
     }
 }
 
 /// Takes a digest. Ages count back from when the question was sent: whatever
 /// was `age` old when the answer was written is no older than that.
-fn take(node: &Node, peer: &NodeId, asked: Millis, digest: Digest) {
+fn take(node: &Node, peer: &NodeId, asked: Millis, digest: NodeSummary) {
     let seen = node.now();
     node.note_peer(digest.own.custody, digest.own.next);
     {
--- a/crates/workshold-node/tests/peers.rs
+++ b/crates/workshold-node/tests/peers.rs
@@ -9,7 +9,7 @@
 use workshold_node::peer_link::PeerLink;
 use workshold_protocol::ids::DataCentre;
 use workshold_protocol::ids::NodeId;
-use workshold_protocol::peer::Ask;
+use workshold_protocol::peer::PeerQuery;
 use workshold_protocol::signing::ClusterKey;
 use workshold_standins::Layout;
 use zeromq::ReqSocket;
@@ -43,7 +43,7 @@
     let data_centre = DataCentre::new("dc-0").unwrap();
     let within = Duration::from_secs(5);
     for _ in 0..10 {
-        let ask = Ask::Digest { data_centre: data_centre.clone() };
+        let ask = PeerQuery::Digest { data_centre: data_centre.clone() };
         if link.ask(&from, ask, &key, &Counters::default(), within).await.is_ok() {
             return true;
         }
--- a/crates/workshold-node/tests/support/caller.rs
+++ b/crates/workshold-node/tests/support/caller.rs
@@ -13,7 +13,7 @@
 use workshold_http::Body;
 use workshold_http::body;
 use workshold_http::client;
-use workshold_http::client::Driver;
+use workshold_http::client::ConnectionTask;
 use workshold_protocol::Millis;
 use workshold_standins::load::Load;
 use workshold_standins::load::Report;
@@ -67,7 +67,7 @@
 /// A stream that a test reads token by token.
 pub struct Stream {
     body: Incoming,
-    _driver: Driver,
+    _driver: ConnectionTask,
     buf: Vec<u8>,
     pub id: String,
     pub text: String,
--- a/crates/workshold-protocol/src/bundle.rs
+++ b/crates/workshold-protocol/src/bundle.rs
@@ -36,7 +36,7 @@
     pub name: String,
     /// What an hour of either kind of loss costs this deployment.
     #[serde(default)]
-    pub weights: Weights,
+    pub weights: CostWeights,
     /// The models, by name.
     #[serde(default)]
     pub models: BTreeMap<ModelName, Model>,
@@ -51,14 +51,14 @@
 /// The relative cost of the two losses that are measured.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Weights {
+pub struct CostWeights {
     /// Cost of one group missing for an hour.
     pub group_downtime: f64,
     /// Cost of one accelerator in no serving group for an hour.
     pub stranded_accelerator: f64,
 }
 
-impl Default for Weights {
+impl Default for CostWeights {
     fn default() -> Self {
         Self { group_downtime: 1.0, stranded_accelerator: 0.01 }
     }
@@ -198,7 +198,7 @@
     /// # Errors
     ///
     /// [`Error::BadBundle`] with the count and the first fault.
-    pub fn checked(self) -> Result<Self> {
+    pub fn into_validated(self) -> Result<Self> {
         match self.faults().as_slice() {
             [] => Ok(self),
             [first, ..] => {
@@ -243,7 +243,7 @@
     inside(a, b) || inside(b, a)
 }
 
-impl Weights {
+impl CostWeights {
     fn check(self, faults: &mut Faults) {
         let good = |weight: f64| weight.is_finite() && weight >= 0.0;
         let why = "it must be zero or more";
--- a/crates/workshold-protocol/src/engine.rs
+++ b/crates/workshold-protocol/src/engine.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 use crate::ids::AdapterName;
-use crate::ids::Fence;
+use crate::ids::FencingToken;
 use crate::ids::GroupId;
 use crate::ids::ModelName;
 
@@ -27,7 +27,7 @@
     /// The group the sender believes it talks to.
     pub group: GroupId,
     /// And its fencing number; an engine that fences refuses another.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// The model.
     pub model: ModelName,
     /// The adapter, if one is wanted.
--- a/crates/workshold-protocol/src/ids.rs
+++ b/crates/workshold-protocol/src/ids.rs
@@ -113,7 +113,7 @@
     /// A place in the platform's log; the first record has 0.
     Offset;
     /// A fencing number: the offset of the claim that an order was sent under.
-    Fence;
+    FencingToken;
     /// Which life of an instance or node this is; changes at every start.
     Incarnation;
 }
@@ -125,7 +125,7 @@
     }
 }
 
-impl From<Offset> for Fence {
+impl From<Offset> for FencingToken {
     fn from(offset: Offset) -> Self {
         Self(offset.0)
     }
--- a/crates/workshold-protocol/src/peer.rs
+++ b/crates/workshold-protocol/src/peer.rs
@@ -12,7 +12,7 @@
 use crate::error::Result;
 use crate::ids::BundleHash;
 use crate::ids::DataCentre;
-use crate::ids::Fence;
+use crate::ids::FencingToken;
 use crate::ids::GroupId;
 use crate::ids::Incarnation;
 use crate::ids::InstanceId;
@@ -27,18 +27,18 @@
 
 /// A question with the number that its answer must repeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct PeerRequest {
     /// Unguessable; an answer to another question is dropped.
     pub nonce: u64,
     /// Who asks.
     pub from: NodeId,
     /// What.
-    pub ask: Ask,
+    pub ask: PeerQuery,
 }
 
 /// What a node may ask.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerQuery {
     /// How are you, and which reports do you have?
     Digest {
         /// Where the asker is. A node of the same data centre is told the reports
@@ -57,23 +57,23 @@
     },
 }
 
-/// An answer to a [`Question`].
+/// An answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct PeerResponse {
     /// The question's number.
     pub nonce: u64,
     /// Who answers.
     pub from: NodeId,
     /// The answer itself.
-    pub body: AnswerBody,
+    pub body: PeerResponseBody,
 }
 
 /// What a node may answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum AnswerBody {
-    /// To [`Ask::Digest`].
-    Digest(Box<Digest>),
-    /// To [`Ask::Records`]: what it has from there on, or from its checkpoint.
+pub enum PeerResponseBody {
+    /// To [`PeerQuery::Digest`].
+    Digest(Box<NodeSummary>),
+    /// To [`PeerQuery::Records`]: what it has from there on, or from its checkpoint.
     Records {
         /// Offsets and sealed texts.
         records: Vec<(Offset, String)>,
@@ -82,13 +82,13 @@
         /// Whether that may be taken for what is in force.
         custody: bool,
     },
-    /// To [`Ask::KeyResult`].
-    KeyResult(Option<StoredAnswer>),
+    /// To [`PeerQuery::KeyResult`].
+    KeyResult(Option<StoredResponse>),
 }
 
 /// How a node is, and what it knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct NodeSummary {
     /// The node itself.
     pub own: NodeStatus,
     /// For an asker of another data centre: the other nodes of this one.
@@ -106,7 +106,7 @@
     /// The group.
     pub group: GroupId,
     /// Its fencing number.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Age of the oldest report that it stands on.
     pub age: Millis,
     /// Age of its head's report, which has the load.
@@ -175,7 +175,7 @@
 
 /// The whole answer of a request that ran once.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -188,7 +188,7 @@
 pub const MAX_MESSAGE_LEN: usize = 4 * 1024 * 1024;
 
 /// Packs `message` and puts its seal before it.
-pub fn pack<T: Serialize>(message: &T, key: &ClusterKey) -> Vec<u8> {
+pub fn encode_sealed<T: Serialize>(message: &T, key: &ClusterKey) -> Vec<u8> {
     let body = postcard::to_stdvec(message).expect("messages have only sized parts");
     let mut out = key.seal(SealPurpose::Peer, &body).to_vec();
     out.extend_from_slice(&body);
@@ -201,12 +201,12 @@
 ///
 /// [`Error::BadSeal`] for a seal of another key, [`Error::Unreadable`] for
 /// content that is no message.
-pub fn unpack<T: for<'de> Deserialize<'de>>(bytes: &[u8], key: &ClusterKey) -> Result<T> {
+pub fn decode_sealed<T: for<'de> Deserialize<'de>>(bytes: &[u8], key: &ClusterKey) -> Result<T> {
     if bytes.len() < KEY_LEN || bytes.len() > MAX_MESSAGE_LEN {
         return Err(Error::BadSeal);
     }
     let (seal, body) = bytes.split_at(KEY_LEN);
-    if !key.fits(SealPurpose::Peer, body, seal) {
+    if !key.is_valid_seal(SealPurpose::Peer, body, seal) {
         return Err(Error::BadSeal);
     }
     postcard::from_bytes(body).map_err(|err| Error::Unreadable {
--- a/crates/workshold-protocol/src/problem.rs
+++ b/crates/workshold-protocol/src/problem.rs
@@ -8,7 +8,7 @@
 /// Whether a failed request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// Proved: it did not run and will not.
     No,
     /// It may have run, in part or whole.
@@ -18,7 +18,7 @@
 /// Stable codes of everything that can go wrong for a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Code {
+pub enum ProblemCode {
     /// The request makes no sense; asking again does not help.
     BadRequest,
     /// The body is longer than the node takes.
@@ -59,7 +59,7 @@
     ResumeLost,
 }
 
-impl Code {
+impl ProblemCode {
     /// HTTP status that goes with the code.
     pub const fn status(self) -> u16 {
         match self {
@@ -115,7 +115,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
     /// Stable code.
-    pub code: Code,
+    pub code: ProblemCode,
     /// Short title.
     pub title: String,
     /// HTTP status.
@@ -123,7 +123,7 @@
     /// What happened to this request.
     pub detail: String,
     /// Whether it ran.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// When to come back; also sent as `Retry-After`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
@@ -134,13 +134,13 @@
 
 impl Problem {
     /// A problem of a request that did not run.
-    pub fn not_run(code: Code, detail: impl Into<String>) -> Self {
-        Self::new(code, Ran::No, detail.into())
+    pub fn not_run(code: ProblemCode, detail: impl Into<String>) -> Self {
+        Self::new(code, ExecutionStatus::No, detail.into())
     }
 
     /// A problem of a request that may have run.
-    pub fn unknown(code: Code, detail: impl Into<String>) -> Self {
-        Self::new(code, Ran::Unknown, detail.into())
+    pub fn may_have_run(code: ProblemCode, detail: impl Into<String>) -> Self {
+        Self::new(code, ExecutionStatus::Unknown, detail.into())
     }
 
     /// Says when to come back.
@@ -150,7 +150,7 @@
         self
     }
 
-    fn new(code: Code, ran: Ran, detail: String) -> Self {
+    fn new(code: ProblemCode, ran: ExecutionStatus, detail: String) -> Self {
         Self {
             code,
             title: code.title().to_owned(),
--- a/crates/workshold-protocol/src/record.rs
+++ b/crates/workshold-protocol/src/record.rs
@@ -14,7 +14,7 @@
 use crate::error::Result;
 use crate::ids::BundleHash;
 use crate::ids::FabricDomain;
-use crate::ids::Fence;
+use crate::ids::FencingToken;
 use crate::ids::GroupId;
 use crate::ids::Incarnation;
 use crate::ids::InstanceId;
@@ -64,17 +64,17 @@
     /// An instance is to be taken out of service with a plan.
     StopRequested(StopRequest),
     /// Free instances become one group. Its offset is the fencing number.
-    GroupFormed(Formation),
+    GroupFormed(GroupFormation),
     /// A group takes no new work.
     GroupDraining(GroupEnd),
     /// A group has ended; its members are still claimed.
     GroupDissolved(GroupEnd),
     /// A member of an ended group is free again.
-    MemberReleased(Release),
+    MemberReleased(MemberRelease),
     /// A request that may run at most once belongs to one node.
     Intent(Intent),
     /// Keys made before this are forgotten, and refused from now on.
-    KeysForgotten(KeyFloor),
+    KeysForgotten(KeyExpiry),
     /// All of the above up to an offset, restated before the log drops it.
     Checkpoint(Checkpoint),
 }
@@ -102,7 +102,7 @@
 /// See [`Fact::GroupFormed`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Formation {
+pub struct GroupFormation {
     /// The group's name, new for each formation.
     pub group: GroupId,
     /// The bundle in force that asks for it.
@@ -121,17 +121,17 @@
     pub relied_on: Offset,
     /// The active group that this one stands in for until that can drain.
     #[serde(default)]
-    pub replaces: Option<Replaced>,
+    pub replaces: Option<ReplacedGroup>,
 }
 
 /// A group that another takes over from.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Replaced {
+pub struct ReplacedGroup {
     /// The group.
     pub group: GroupId,
     /// Its fencing number.
-    pub fence: Fence,
+    pub fence: FencingToken,
 }
 
 /// An instance in one of its lives.
@@ -151,7 +151,7 @@
     /// The group.
     pub group: GroupId,
     /// Its fencing number.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Why.
     pub cause: EndCause,
 }
@@ -175,11 +175,11 @@
 /// See [`Fact::MemberReleased`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Release {
+pub struct MemberRelease {
     /// The ended group.
     pub group: GroupId,
     /// Its fencing number.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// The member that was seen outside of it.
     pub instance: InstanceId,
 }
@@ -203,7 +203,7 @@
 /// See [`Fact::KeysForgotten`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct KeyFloor {
+pub struct KeyExpiry {
     /// Keys made earlier are refused.
     pub before: Millis,
 }
@@ -338,7 +338,7 @@
     }
     if let Fact::BundlePublished(signed) = fact {
         operators.verify(signed.bundle.canonical().as_bytes(), &signed.signature)?;
-        signed.bundle.clone().checked()?;
+        signed.bundle.clone().into_validated()?;
     }
     Ok(())
 }
--- a/crates/workshold-protocol/src/report.rs
+++ b/crates/workshold-protocol/src/report.rs
@@ -9,7 +9,7 @@
 use crate::ids::AdapterName;
 use crate::ids::DataCentre;
 use crate::ids::FabricDomain;
-use crate::ids::Fence;
+use crate::ids::FencingToken;
 use crate::ids::GroupId;
 use crate::ids::Incarnation;
 use crate::ids::InstanceId;
@@ -24,9 +24,9 @@
     /// Which life of the instance speaks.
     pub incarnation: Incarnation,
     /// The group that it is in.
-    pub membership: Option<Membership>,
+    pub membership: Option<GroupMembership>,
     /// The weights that it has in memory, whole.
-    pub loaded: Option<Weights>,
+    pub loaded: Option<ModelWeights>,
     /// How old what it says may be, as it admits itself.
     pub lag: Millis,
     /// Requests that it is working on.
@@ -39,7 +39,7 @@
 
 /// Weights of a model in one version.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Weights {
+pub struct ModelWeights {
     /// The model.
     pub model: ModelName,
     /// The version.
@@ -48,11 +48,11 @@
 
 /// The group an instance says it is in, and how far it has come.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Membership {
+pub struct GroupMembership {
     /// The group.
     pub group: GroupId,
     /// The fencing number of the order that put it there.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Whether it can serve.
     pub readiness: Readiness,
 }
@@ -74,7 +74,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Order {
     /// The offset of the record that this order carries out.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// What to do.
     pub action: OrderAction,
 }
@@ -88,7 +88,7 @@
     /// Load weights while in no group, to be ready sooner for one.
     Load {
         /// Which.
-        weights: Weights,
+        weights: ModelWeights,
         /// Their size, in MiB.
         weights_mib: u32,
     },
--- a/crates/workshold-protocol/src/signing.rs
+++ b/crates/workshold-protocol/src/signing.rs
@@ -172,7 +172,7 @@
     }
 
     /// Whether `seal` fits; takes the same time whatever differs.
-    pub fn fits(&self, purpose: SealPurpose, content: &[u8], seal: &[u8]) -> bool {
+    pub fn is_valid_seal(&self, purpose: SealPurpose, content: &[u8], seal: &[u8]) -> bool {
         let want = blake3::Hash::from(self.seal(purpose, content));
         <[u8; KEY_LEN]>::try_from(seal).is_ok_and(|seal| want == blake3::Hash::from(seal))
     }
--- a/crates/workshold-protocol/tests/sealing.rs
+++ b/crates/workshold-protocol/tests/sealing.rs
@@ -6,20 +6,20 @@
 use workshold_protocol::Error;
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::Bundle;
+use workshold_protocol::bundle::CostWeights;
 use workshold_protocol::bundle::SignedBundle;
-use workshold_protocol::bundle::Weights;
 use workshold_protocol::ids::BundleHash;
 use workshold_protocol::ids::NodeId;
 use workshold_protocol::ids::OperatorName;
-use workshold_protocol::peer::Ask;
-use workshold_protocol::peer::Question;
-use workshold_protocol::peer::pack;
-use workshold_protocol::peer::unpack;
+use workshold_protocol::peer::PeerQuery;
+use workshold_protocol::peer::PeerRequest;
+use workshold_protocol::peer::decode_sealed;
+use workshold_protocol::peer::encode_sealed;
 use workshold_protocol::record;
 use workshold_protocol::record::Author;
 use workshold_protocol::record::Envelope;
 use workshold_protocol::record::Fact;
-use workshold_protocol::record::KeyFloor;
+use workshold_protocol::record::KeyExpiry;
 use workshold_protocol::record::SignOff;
 use workshold_protocol::signing::ClusterKey;
 use workshold_protocol::signing::OperatorKey;
@@ -39,7 +39,7 @@
 }
 
 fn forget() -> Envelope {
-    Envelope::new(Millis(1), vec![Fact::KeysForgotten(KeyFloor { before: Millis(9) })])
+    Envelope::new(Millis(1), vec![Fact::KeysForgotten(KeyExpiry { before: Millis(9) })])
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let (cluster, operator) = (cluster_key(), OperatorKey::generate());
     let bundle = Bundle {
         name: "good".to_owned(),
-        weights: Weights::default(),
+        weights: CostWeights::default(),
         models: BTreeMap::new(),
         services: BTreeMap::new(),
         teams: BTreeMap::new(),
@@ -107,11 +107,11 @@
     fn a_message_with_one_byte_changed_is_refused(at in 0_usize..200, flip in 1_u8..=255) {
         let key = cluster_key();
         let from = NodeId::new("node-1").unwrap();
-        let ask = Ask::Records { from: workshold_protocol::ids::Offset(7) };
-        let mut bytes = pack(&Question { nonce: 5, from, ask }, &key);
+        let ask = PeerQuery::Records { from: workshold_protocol::ids::Offset(7) };
+        let mut bytes = encode_sealed(&PeerRequest { nonce: 5, from, ask }, &key);
         let at = at % bytes.len();
         bytes[at] ^= flip;
-        prop_assert_eq!(unpack::<Question>(&bytes, &key), Err(Error::BadSeal));
+        prop_assert_eq!(decode_sealed::<PeerRequest>(&bytes, &key), Err(Error::BadSeal));
     }
 
     #[test]
--- a/crates/workshold-standins/src/commands/compare.rs
+++ b/crates/workshold-standins/src/commands/compare.rs
@@ -8,7 +8,7 @@
 use workshold_http::client;
 use workshold_protocol::Millis;
 use workshold_protocol::engine::GenerateRequest;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::ModelName;
 
@@ -88,7 +88,7 @@
     let generate = GenerateRequest {
         stream: String::new(),
         group: GroupId::new(&text(&group["group"])).map_err(name)?,
-        fence: Fence(group["fence"].as_u64().unwrap_or_default()),
+        fence: FencingToken(group["fence"].as_u64().unwrap_or_default()),
         model: ModelName::new(&text(&group["model"])).map_err(name)?,
         adapter: None,
         prompt: String::new(),
--- a/crates/workshold-standins/src/engine.rs
+++ b/crates/workshold-standins/src/engine.rs
@@ -23,17 +23,17 @@
 use workshold_protocol::engine::GenerateRequest;
 use workshold_protocol::engine::NOT_STARTED_HEADER;
 use workshold_protocol::engine::TokenEvent;
-use workshold_protocol::ids::Fence;
+use workshold_protocol::ids::FencingToken;
 use workshold_protocol::ids::GroupId;
 use workshold_protocol::ids::Incarnation;
 use workshold_protocol::ids::InstanceId;
+use workshold_protocol::report::GroupMembership;
 use workshold_protocol::report::JoinOrder;
-use workshold_protocol::report::Membership;
+use workshold_protocol::report::ModelWeights;
 use workshold_protocol::report::Order;
 use workshold_protocol::report::OrderAction;
 use workshold_protocol::report::Readiness;
 use workshold_protocol::report::Report;
-use workshold_protocol::report::Weights;
 
 use crate::engine::streams::StreamBuffer;
 use crate::faults::Observed;
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 struct Seat {
     order: JoinOrder,
-    fence: Fence,
+    fence: FencingToken,
     ready_at: Instant,
     is_draining: bool,
 }
@@ -106,8 +106,8 @@
     mode_since: Instant,
     seat: Option<Seat>,
     left_seat: Instant,
-    highest_fence: Fence,
-    loaded: Option<Weights>,
+    highest_fence: FencingToken,
+    loaded: Option<ModelWeights>,
     /// When what is named there is whole.
     loaded_at: Instant,
     slow_factor: u32,
@@ -141,7 +141,7 @@
             mode_since: now,
             seat: None,
             left_seat: now,
-            highest_fence: Fence(0),
+            highest_fence: FencingToken(0),
             loaded: None,
             loaded_at: now,
             slow_factor: 1,
@@ -223,7 +223,7 @@
 
     fn report(&self) -> Report {
         let inner = self.inner.lock();
-        let membership = inner.seat.as_ref().map(|seat| Membership {
+        let membership = inner.seat.as_ref().map(|seat| GroupMembership {
             group: seat.order.group.clone(),
             fence: seat.fence,
             readiness: seat.readiness(),
@@ -280,7 +280,7 @@
     }
 
     /// Begins to load weights, unless it has them or loads them already.
-    fn load(&self, inner: &mut Inner, wanted: Weights, weights_mib: u32) {
+    fn load(&self, inner: &mut Inner, wanted: ModelWeights, weights_mib: u32) {
         if inner.loaded.as_ref() == Some(&wanted) {
             return;
         }
@@ -290,7 +290,7 @@
         inner.loaded = Some(wanted);
     }
 
-    fn join(&self, inner: &mut Inner, join: JoinOrder, fence: Fence) {
+    fn join(&self, inner: &mut Inner, join: JoinOrder, fence: FencingToken) {
         let is_same = inner
             .seat
             .as_ref()
@@ -298,7 +298,7 @@
         if is_same {
             return;
         }
-        let wanted = Weights { model: join.model.clone(), version: join.version.clone() };
+        let wanted = ModelWeights { model: join.model.clone(), version: join.version.clone() };
         self.load(inner, wanted, join.weights_mib);
         let ready_at = inner.loaded_at;
         inner.leave_seat();
@@ -350,7 +350,7 @@
     }
 
     /// For how long a member of the group has been missing, if one is.
-    fn missing_member(&self, order: &JoinOrder, fence: Fence) -> Option<Millis> {
+    fn missing_member(&self, order: &JoinOrder, fence: FencingToken) -> Option<Millis> {
         let fabric = self.fabric.upgrade()?;
         let missing = order.members.iter().filter_map(|member| {
             let engine = fabric.engine(member)?;
--- a/crates/workshold-standins/src/load/caller.rs
+++ b/crates/workshold-standins/src/load/caller.rs
@@ -16,8 +16,8 @@
 use workshold_http::client;
 use workshold_protocol::engine::GenerateRequest;
 use workshold_protocol::engine::TokenEvent;
-use workshold_protocol::problem::Code;
 use workshold_protocol::problem::Problem;
+use workshold_protocol::problem::ProblemCode;
 
 use crate::answer;
 use crate::load::Load;
@@ -170,7 +170,7 @@
         let bytes = body.collect().await.map(http_body_util::Collected::to_bytes);
         let problem = bytes.ok().and_then(|bytes| serde_json::from_slice(&bytes).ok());
         let Some(problem): Option<Problem> = problem else { return Left::Broken };
-        if matches!(problem.code, Code::Leaving | Code::NotReady) {
+        if matches!(problem.code, ProblemCode::Leaving | ProblemCode::NotReady) {
             return Left::Broken;
         }
         self.end.problem = Some(problem);
--- a/crates/workshold-standins/src/load/report.rs
+++ b/crates/workshold-standins/src/load/report.rs
@@ -80,8 +80,8 @@
             None => self.wrong += 1,
             Some(problem) => {
                 match problem.ran {
-                    workshold_protocol::problem::Ran::No => self.not_run += 1,
-                    workshold_protocol::problem::Ran::Unknown => self.unknown += 1,
+                    workshold_protocol::problem::ExecutionStatus::No => self.not_run += 1,
+                    workshold_protocol::problem::ExecutionStatus::Unknown => self.unknown += 1,
                 }
                 *self.codes.entry(format!("{:?}", problem.code)).or_default() += 1;
             }
--- a/crates/workshold-standins/src/platform.rs
+++ b/crates/workshold-standins/src/platform.rs
@@ -18,8 +18,8 @@
 use workshold_http::Body;
 use workshold_http::body;
 use workshold_http::server;
-use workshold_http::server::Bounds;
-use workshold_http::server::Stage;
+use workshold_http::server::ServerLimits;
+use workshold_http::server::ServerState;
 use workshold_protocol::Millis;
 use workshold_protocol::ids::FabricDomain;
 use workshold_protocol::ids::InstanceId;
@@ -42,7 +42,7 @@
     engine: Arc<Engine>,
     address: String,
     domain: FabricDomain,
-    stage: watch::Sender<Stage>,
+    stage: watch::Sender<ServerState>,
     server: Option<JoinHandle<usize>>,
 }
 
@@ -57,7 +57,7 @@
     service: Arc<GateService>,
     fabric: Arc<Fabric>,
     engines: tokio::sync::Mutex<Vec<EnginePort>>,
-    stage: watch::Sender<Stage>,
+    stage: watch::Sender<ServerState>,
 }
 
 /// Leaves a request without an answer by cutting its connection.
@@ -104,7 +104,7 @@
     ///
     /// What the machine says if a port cannot be had.
     pub async fn start(layout: Layout) -> io::Result<Arc<Self>> {
-        let (stage, _) = watch::channel(Stage::Running);
+        let (stage, _) = watch::channel(ServerState::Running);
         let platform = Arc::new(Self {
             log: LogService::new(layout.appends_per_s),
             list: InstanceList::new(layout.instances(), Millis(200)),
@@ -202,7 +202,7 @@
         S::Future: Send,
     {
         let stage = self.stage.subscribe();
-        tokio::spawn(server::serve(listener, Bounds::default(), service, stage));
+        tokio::spawn(server::serve(listener, ServerLimits::default(), service, stage));
     }
 
     async fn start_engines(&self) -> io::Result<()> {
@@ -215,7 +215,7 @@
                 load_mib_per_s: self.layout.load_mib_per_s,
             };
             let engine = self.fabric.add(self.layout.engine_id(i), rules);
-            let (stage, _) = watch::channel(Stage::Running);
+            let (stage, _) = watch::channel(ServerState::Running);
             let mut port = EnginePort {
                 engine,
                 address: self.layout.engine(i),
@@ -251,9 +251,9 @@
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        self.stage.send_replace(Stage::Cutting);
+        self.stage.send_replace(ServerState::Aborting);
         for port in self.engines.get_mut() {
-            port.stage.send_replace(Stage::Cutting);
+            port.stage.send_replace(ServerState::Aborting);
         }
     }
 }
@@ -261,12 +261,12 @@
 impl EnginePort {
     async fn listen(&mut self) -> io::Result<()> {
         let listener = bind(&self.address).await?;
-        self.stage.send_replace(Stage::Running);
+        self.stage.send_replace(ServerState::Running);
         let engine = Arc::clone(&self.engine);
         let service =
             service_fn(move |req: Request<Incoming>| answer(Arc::clone(&engine).handle(req)));
         let stage = self.stage.subscribe();
-        let served = server::serve(listener, Bounds::default(), service, stage);
+        let served = server::serve(listener, ServerLimits::default(), service, stage);
         self.server = Some(tokio::spawn(served));
         Ok(())
     }
@@ -289,7 +289,7 @@
 
     async fn kill(&mut self) {
         self.engine.set_mode(Mode::Dead);
-        self.stage.send_replace(Stage::Cutting);
+        self.stage.send_replace(ServerState::Aborting);
         if let Some(server) = self.server.take() {
             let _ = server.await;
         }
--- a/crates/workshold-telemetry/src/writer.rs
+++ b/crates/workshold-telemetry/src/writer.rs
@@ -62,7 +62,7 @@
         self.waiting.lock().left_out
     }
 
-    /// Writes lines until [`Self::end`] is called and none is left.
+    /// Writes lines until [`Self::shut_down`] is called and none is left.
     pub fn write_all(&self, out: &mut dyn Write) {
         loop {
             let (text, is_ending) = self.next_batch();
@@ -96,7 +96,7 @@
     }
 
     /// Lets the writer finish, for a while.
-    pub fn end(&self, within: Duration) {
+    pub fn shut_down(&self, within: Duration) {
         let mut waiting = self.waiting.lock();
         waiting.is_ending = true;
         self.changed.notify_all();
--- a/crates/workshold-telemetry/tests/writer.rs
+++ b/crates/workshold-telemetry/tests/writer.rs
@@ -49,7 +49,7 @@
     assert!(queue.left_out() > 0);
 
     go_on.send(()).unwrap();
-    queue.end(Duration::from_secs(5));
+    queue.shut_down(Duration::from_secs(5));
     writer.join().unwrap();
     let text = String::from_utf8(written.lock().clone()).unwrap();
     assert!(text.contains("a request failed"));
