--- a/crates/workshold-node/src/callers/at_most_once.rs
+++ b/crates/workshold-node/src/callers/at_most_once.rs
@@ -30,8 +30,8 @@
 use workshold_protocol::signing::SealPurpose;
 
 use crate::callers::problems;
-use crate::keytable::Begin;
-use crate::keytable::stored;
+use crate::key_table::KeyClaim;
+use crate::key_table::problem_response;
 use crate::node::Node;
 use crate::tasks::intents::IntentOutcome;
 use crate::tasks::intents::IntentRequest;
@@ -131,18 +131,18 @@
     W: FnOnce() -> F,
     F: Future<Output = Result<StoredResponse, StoredResponse>>,
 {
-    let running = match node.keys.begin(&keyed.key, keyed.time) {
-        Begin::Mine(running) => running,
-        Begin::Others(answer) => return wait_for_other(node, &keyed, answer).await,
+    let running = match node.keys.claim(&keyed.key, keyed.time) {
+        KeyClaim::Claimed(running) => running,
+        KeyClaim::AlreadyClaimed(answer) => return wait_for_other(node, &keyed, answer).await,
     };
     let mut step = decide(node, &keyed, KeyProgress::Untouched);
     if step == Decided::Record {
         step = match record(node, &keyed).await {
-            IntentOutcome::Granted | IntentOutcome::Lost => {
+            IntentOutcome::Granted | IntentOutcome::KeyUnavailable => {
                 decide(node, &keyed, KeyProgress::Recording)
             }
-            IntentOutcome::NotRecorded => Decided::GiveUp,
-            IntentOutcome::NotTried => Decided::LogAway,
+            IntentOutcome::Unconfirmed => Decided::GiveUp,
+            IntentOutcome::NotAppended => Decided::LogAway,
         };
     }
     if step == Decided::Run {
@@ -158,7 +158,7 @@
     }
     running.finish(&match &answer {
         Ok(answer) => answer.clone(),
-        Err(problem) => stored(problem),
+        Err(problem) => problem_response(problem),
     });
     answer
 }
@@ -236,7 +236,7 @@
     let link = node.link(&owner.node, address);
     let ask = PeerQuery::KeyResult { key: keyed.key };
     let key = &node.checked.cluster_key;
-    match link.ask(node.name(), ask, key, &node.counters, within).await {
+    match link.query(node.name(), ask, key, &node.counters, within).await {
         Ok(PeerResponseBody::KeyResult(Some(answer))) => Ok(answer),
         Ok(_) if has_same_life(node, owner) => Err(in_progress()),
         Ok(_) => Err(gone()),
@@ -271,8 +271,8 @@
 }
 
 async fn record(node: &Node, keyed: &Keyed) -> IntentOutcome {
-    if !node.lasting.read().log_answers {
-        return IntentOutcome::NotTried;
+    if !node.log_state.read().log_answers {
+        return IntentOutcome::NotAppended;
     }
     let (done, outcome) = oneshot::channel();
     let until = keyed.call.deadline.min(node.now() + node.settings.times.intent_wait);
@@ -285,12 +285,12 @@
     };
     let request = IntentRequest { intent, until, done };
     if node.intents.try_send(request).is_err() {
-        return IntentOutcome::NotTried;
+        return IntentOutcome::NotAppended;
     }
     let left = until.since(node.now()).to_duration();
     match tokio::time::timeout(left, outcome).await {
         Ok(Ok(outcome)) => outcome,
         // Whatever comes of it later, this node never runs it.
-        Ok(Err(_)) | Err(_) => IntentOutcome::NotRecorded,
+        Ok(Err(_)) | Err(_) => IntentOutcome::Unconfirmed,
     }
 }
--- a/crates/workshold-node/src/callers/completions.rs
+++ b/crates/workshold-node/src/callers/completions.rs
@@ -36,7 +36,7 @@
 use crate::callers::problems;
 use crate::callers::read_body;
 use crate::callers::sse;
-use crate::keytable::stored;
+use crate::key_table::problem_response;
 use crate::node::Node;
 
 /// Which of the two shapes a caller reads.
@@ -190,7 +190,7 @@
 /// Takes the request out of its team's allowance.
 fn check_limits(node: &Node, bundle: &Bundle, job: &Job) -> Result<(), Problem> {
     let now = node.now();
-    let taken = node.with_team(&job.team, bundle, |desk| {
+    let taken = node.with_team_limits(&job.team, bundle, |desk| {
         // Tokens are paid for afterwards; a team in debt waits.
         desk.tokens.take(0.0, now)?;
         desk.requests.take(1.0, now)
@@ -276,7 +276,7 @@
         match piece {
             Piece::Placed(placed) => id = placed,
             Piece::Token { text: token, .. } => text.push_str(&token),
-            Piece::Problem(problem) => return (stored(&problem), id),
+            Piece::Problem(problem) => return (problem_response(&problem), id),
             Piece::Done { tokens } => {
                 let body = sse::whole(style, model.as_str(), &id, &text, tokens);
                 let content_type = "application/json".to_owned();
@@ -285,7 +285,7 @@
         }
     }
     let problem = Problem::may_have_run(ProblemCode::UpstreamFailed, "the stream broke off");
-    (stored(&problem), id)
+    (problem_response(&problem), id)
 }
 
 /// A completion under an idempotency key runs at most once, and is answered whole.
@@ -310,7 +310,7 @@
     let runner = Arc::clone(node);
     let answer = at_most_once::run(node, call, move || async move {
         if let Some(bundle) = runner.bundle() {
-            check_limits(&runner, &bundle, &job).map_err(|problem| stored(&problem))?;
+            check_limits(&runner, &bundle, &job).map_err(|problem| problem_response(&problem))?;
         }
         Ok(collect(&runner, job).await.0)
     });
--- a/crates/workshold-node/src/callers/generation.rs
+++ b/crates/workshold-node/src/callers/generation.rs
@@ -31,16 +31,16 @@
 use crate::callers::completions::Style;
 use crate::callers::talk::Heard;
 use crate::callers::talk::Talk;
-use crate::desk::DeskView;
-use crate::desk::ModelDesk;
-use crate::desk::Placed;
-use crate::desk::Turn;
+use crate::dispatcher::DispatchContext;
+use crate::dispatcher::ModelDispatcher;
+use crate::dispatcher::Placement;
+use crate::dispatcher::QueueOutcome;
 use crate::events;
 use crate::events::emit;
 use crate::node::Node;
 use crate::requests::InFlight;
 use crate::requests::InFlightGuard;
-use crate::requests::StreamPlace;
+use crate::requests::StreamLocation;
 use crate::serving::ServingGroup;
 
 /// What is to be generated, and for whom.
@@ -106,7 +106,7 @@
 
 /// Runs a job to its end, which is counted and told to the caller.
 pub async fn run(node: Arc<Node>, job: Job, tx: mpsc::Sender<Piece>) {
-    let guard = node.in_flight.enter(InFlight {
+    let guard = node.in_flight.track(InFlight {
         team: job.team.clone(),
         target: job.model.to_string(),
         group: None,
@@ -140,7 +140,7 @@
     /// The stream that the caller was last told of.
     placed: Option<Uuid>,
     /// Its turn at a second engine, while the first one is silent.
-    turn: Option<oneshot::Receiver<Turn>>,
+    turn: Option<oneshot::Receiver<QueueOutcome>>,
     hint: Option<Millis>,
 }
 
@@ -179,7 +179,7 @@
 
     fn on_request(&self) {
         if let Some(bundle) = self.node.bundle() {
-            self.node.with_team(&self.job.team, &bundle, |desk| desk.retries.on_request());
+            self.node.with_team_limits(&self.job.team, &bundle, |desk| desk.retries.on_request());
         }
     }
 
@@ -192,21 +192,21 @@
         let draw = rand::random::<f64>();
         let placed = self.ask_for_place(now, draw);
         match placed {
-            Some(Placed::Go(group)) => Ok(group),
-            Some(Placed::Waits(turn)) => self.wait(turn).await,
-            Some(Placed::Refused(refused)) => {
+            Some(Placement::Dispatched(group)) => Ok(group),
+            Some(Placement::Queued(turn)) => self.wait(turn).await,
+            Some(Placement::Refused(refused)) => {
                 self.hint = Some(refused.retry_after);
                 Err(Event::NotPlaced(ProblemCode::Overloaded))
             }
-            Some(Placed::NoGroup) | None => {
+            Some(Placement::NoGroup) | None => {
                 self.hint = Some(Millis((NO_GROUP_RETRY_MS * (1.0 + draw)) as u64));
                 Err(Event::NotPlaced(ProblemCode::NoGroup))
             }
         }
     }
 
-    fn ask_for_place(&self, now: Millis, draw: f64) -> Option<Placed> {
-        self.with_desk(|desk, view| {
+    fn ask_for_place(&self, now: Millis, draw: f64) -> Option<Placement> {
+        self.with_dispatcher(|desk, view| {
             let reserve = desk.service_time().0.min(self.lifecycle.deadline().since(now).0 / 2);
             let arrival = Arrival {
                 team: &self.job.team,
@@ -219,11 +219,14 @@
         })
     }
 
-    async fn wait(&self, turn: oneshot::Receiver<Turn>) -> Result<Box<ServingGroup>, Event> {
+    async fn wait(
+        &self,
+        turn: oneshot::Receiver<QueueOutcome>,
+    ) -> Result<Box<ServingGroup>, Event> {
         tokio::select! {
             turn = turn => match turn {
-                Ok(Turn::Go(group)) => Ok(group),
-                Ok(Turn::Expired) => Err(Event::DeadlinePassed),
+                Ok(QueueOutcome::Dispatched(group)) => Ok(group),
+                Ok(QueueOutcome::Expired) => Err(Event::DeadlinePassed),
                 Err(_) => Err(Event::NotPlaced(ProblemCode::NoGroup)),
             },
             // Nobody is left to answer: the place in the queue is given up.
@@ -231,8 +234,11 @@
         }
     }
 
-    fn with_desk<R>(&self, work: impl FnOnce(&mut ModelDesk, &DeskView<'_>) -> R) -> Option<R> {
-        with_desk(self.node, &self.job.model, work)
+    fn with_dispatcher<R>(
+        &self,
+        work: impl FnOnce(&mut ModelDispatcher, &DispatchContext<'_>) -> R,
+    ) -> Option<R> {
+        with_dispatcher(self.node, &self.job.model, work)
     }
 
     /// Makes one attempt at `group`, and gives its place there back.
@@ -298,7 +304,7 @@
         started: Millis,
     ) {
         let now = self.node.now();
-        self.with_desk(|desk, view| {
+        self.with_dispatcher(|desk, view| {
             match ended {
                 Ended::By(Event::Done) | Ended::CallerGone => {
                     desk.on_done(&group.group, first_token, now.since(started), now);
@@ -412,11 +418,11 @@
             return;
         }
         let silent = &talks[0].group.group;
-        self.with_desk(|desk, _| desk.on_silent(silent, now));
+        self.with_dispatcher(|desk, _| desk.on_stalled(silent, now));
         match self.ask_for_place(now, rand::random()) {
-            Some(Placed::Go(group)) => self.begin_beside(talks, group).await,
-            Some(Placed::Waits(turn)) => self.turn = Some(turn),
-            Some(Placed::Refused(_) | Placed::NoGroup) | None => {}
+            Some(Placement::Dispatched(group)) => self.begin_beside(talks, group).await,
+            Some(Placement::Queued(turn)) => self.turn = Some(turn),
+            Some(Placement::Refused(_) | Placement::NoGroup) | None => {}
         }
     }
 
@@ -449,12 +455,12 @@
     fn give_turn_back(&mut self) {
         let Some(mut turn) = self.turn.take() else { return };
         turn.close();
-        if let Ok(Turn::Go(group)) = turn.try_recv() {
+        if let Ok(QueueOutcome::Dispatched(group)) = turn.try_recv() {
             self.give_back(&group, &Ended::CallerGone, None, self.node.now());
         }
     }
 
-    async fn hand_on(&mut self, place: StreamPlace, index: u32, text: String) -> Result<(), ()> {
+    async fn hand_on(&mut self, place: StreamLocation, index: u32, text: String) -> Result<(), ()> {
         self.tell_place(place).await?;
         self.generated.push(text.clone());
         self.tell(Piece::Token { index, text }).await?;
@@ -462,8 +468,8 @@
         Ok(())
     }
 
-    fn place_of(&self, talk: &Talk) -> StreamPlace {
-        StreamPlace {
+    fn place_of(&self, talk: &Talk) -> StreamLocation {
+        StreamLocation {
             stream: talk.stream,
             team: self.job.team.clone(),
             model: self.job.model.clone(),
@@ -473,7 +479,7 @@
     }
 
     /// Tells the caller by what id the answer can be taken up, once for each engine.
-    async fn tell_place(&mut self, place: StreamPlace) -> Result<(), ()> {
+    async fn tell_place(&mut self, place: StreamLocation) -> Result<(), ()> {
         if self.placed.replace(place.stream) == Some(place.stream) {
             return Ok(());
         }
@@ -532,29 +538,31 @@
     fn charge(&self) {
         let (now, tokens) = (self.node.now(), f64::from(self.lifecycle.tokens()));
         if let Some(bundle) = self.node.bundle() {
-            self.node.with_team(&self.job.team, &bundle, |desk| desk.tokens.charge(tokens, now));
+            self.node
+                .with_team_limits(&self.job.team, &bundle, |desk| desk.tokens.charge(tokens, now));
         }
     }
 }
 
 fn may_retry(node: &Node, job: &Job) -> bool {
     let bundle = node.bundle();
-    let taken = bundle.and_then(|b| node.with_team(&job.team, &b, |desk| desk.retries.take()));
+    let taken =
+        bundle.and_then(|b| node.with_team_limits(&job.team, &b, |desk| desk.retries.take()));
     // Without teams there is no budget; the number of attempts is still bounded.
     taken.unwrap_or(true)
 }
 
 /// Runs `work` at a model's desk; none without a bundle that has the model.
-pub fn with_desk<R>(
+pub fn with_dispatcher<R>(
     node: &Node,
     model: &ModelName,
-    work: impl FnOnce(&mut ModelDesk, &DeskView<'_>) -> R,
+    work: impl FnOnce(&mut ModelDispatcher, &DispatchContext<'_>) -> R,
 ) -> Option<R> {
     let bundle = node.bundle()?;
     let version = &bundle.models.get(model)?.version;
     let table = Arc::clone(&node.serving.read());
-    let view = DeskView { model, version, table: &table, now: node.now() };
-    Some(node.desks.with(model, ModelDesk::default, |desk| work(desk, &view)))
+    let view = DispatchContext { model, version, table: &table, now: node.now() };
+    Some(node.dispatchers.with_entry(model, ModelDispatcher::default, |desk| work(desk, &view)))
 }
 
 /// Tells an engine that nobody wants a stream any more.
@@ -580,10 +588,10 @@
 }
 
 /// Where it goes, once it is its turn; never if it waits for none.
-async fn its_turn(turn: &mut Option<oneshot::Receiver<Turn>>) -> Option<Box<ServingGroup>> {
+async fn its_turn(turn: &mut Option<oneshot::Receiver<QueueOutcome>>) -> Option<Box<ServingGroup>> {
     let Some(turn) = turn else { return std::future::pending().await };
     match turn.await {
-        Ok(Turn::Go(group)) => Some(group),
-        Ok(Turn::Expired) | Err(_) => None,
+        Ok(QueueOutcome::Dispatched(group)) => Some(group),
+        Ok(QueueOutcome::Expired) | Err(_) => None,
     }
 }
--- a/crates/workshold-node/src/callers/info.rs
+++ b/crates/workshold-node/src/callers/info.rs
@@ -84,7 +84,7 @@
         object: "model",
         version: model.version.to_string(),
         adapters: model.adapters.iter().map(ToString::to_string).collect(),
-        serving: table.of_model(name, now).next().is_some(),
+        serving: table.groups_for(name, now).next().is_some(),
     });
     Ok(body::json(StatusCode::OK, &Models { object: "list", data: rows.collect() }))
 }
--- a/crates/workshold-node/src/callers/plain.rs
+++ b/crates/workshold-node/src/callers/plain.rs
@@ -46,24 +46,24 @@
 use crate::callers::identity;
 use crate::callers::problems;
 use crate::callers::read_body;
-use crate::keytable::stored;
+use crate::key_table::problem_response;
 use crate::node::Node;
 use crate::requests::InFlight;
 
 /// What this node knows of a service's instances.
 #[derive(Debug)]
-pub struct ServiceDesk {
+pub struct ServiceBalancer {
     in_flight: BTreeMap<InstanceId, u32>,
     outliers: OutlierDetector<InstanceId>,
 }
 
-impl Default for ServiceDesk {
+impl Default for ServiceBalancer {
     fn default() -> Self {
         Self { in_flight: BTreeMap::new(), outliers: OutlierDetector::new(OutlierRules::default()) }
     }
 }
 
-impl ServiceDesk {
+impl ServiceBalancer {
     /// The instance with the least under way here, near ones first.
     fn choose<'a>(
         &mut self,
@@ -178,7 +178,7 @@
 
 fn check_limit(node: &Node, bundle: &Bundle, call: &Call) -> Result<(), Problem> {
     let now = node.now();
-    let taken = node.with_team(&call.team, bundle, |desk| {
+    let taken = node.with_team_limits(&call.team, bundle, |desk| {
         desk.retries.on_request();
         desk.requests.take(1.0, now)
     });
@@ -202,16 +202,16 @@
     let runner = Arc::clone(node);
     at_most_once::run(node, keyed, move || async move {
         if let Some(bundle) = runner.bundle() {
-            check_limit(&runner, &bundle, &call).map_err(|problem| stored(&problem))?;
+            check_limit(&runner, &bundle, &call).map_err(|problem| problem_response(&problem))?;
         }
-        serve(&runner, call).await.map_err(|problem| stored(&problem))
+        serve(&runner, call).await.map_err(|problem| problem_response(&problem))
     })
     .await
 }
 
 /// Makes attempts until the call is over.
 async fn serve(node: &Arc<Node>, call: Call) -> Result<StoredResponse, Problem> {
-    let _guard = node.in_flight.enter(InFlight {
+    let _guard = node.in_flight.track(InFlight {
         team: call.team.clone(),
         target: call.service.to_string(),
         group: None,
@@ -256,7 +256,8 @@
 
 fn may_retry(node: &Node, call: &Call) -> bool {
     let bundle = node.bundle();
-    let taken = bundle.and_then(|b| node.with_team(&call.team, &b, |desk| desk.retries.take()));
+    let taken =
+        bundle.and_then(|b| node.with_team_limits(&call.team, &b, |desk| desk.retries.take()));
     taken.unwrap_or(true)
 }
 
@@ -275,7 +276,7 @@
     let talked = timeout(left, talk(node, call, lifecycle, &chosen.address)).await;
     let (event, answer) = talked.unwrap_or((Event::DeadlinePassed, None));
     let now = node.now();
-    node.services.with(&call.service, ServiceDesk::default, |desk| {
+    node.services.with_entry(&call.service, ServiceBalancer::default, |desk| {
         desk.on_end(&chosen.instance, event, now.since(started), now);
     });
     (event, answer)
@@ -297,8 +298,9 @@
         .collect();
     let is_near = |listed: &ListedInstance| listed.data_centre == node.settings.node.data_centre;
     let now = node.now();
-    node.services
-        .with(service, ServiceDesk::default, |desk| desk.choose(&usable, is_near, now).cloned())
+    node.services.with_entry(service, ServiceBalancer::default, |desk| {
+        desk.choose(&usable, is_near, now).cloned()
+    })
 }
 
 async fn talk(
--- a/crates/workshold-node/src/callers/resume.rs
+++ b/crates/workshold-node/src/callers/resume.rs
@@ -30,7 +30,7 @@
 use crate::callers::talk::Lines;
 use crate::node::Node;
 use crate::requests::InFlight;
-use crate::requests::StreamPlace;
+use crate::requests::StreamLocation;
 
 const CONNECT_TIME: Duration = Duration::from_millis(500);
 
@@ -70,7 +70,7 @@
 const PIECES_WAITING: usize = 64;
 
 fn response(
-    place: &StreamPlace,
+    place: &StreamLocation,
     id: &str,
     rx: tokio::sync::mpsc::Receiver<Piece>,
 ) -> Response<Body> {
@@ -90,13 +90,13 @@
 /// Hands on what the engine still generates; whole, or with a problem at its end.
 async fn relay(
     node: Arc<Node>,
-    place: StreamPlace,
+    place: StreamLocation,
     mut lines: Lines,
     from: u32,
     tx: tokio::sync::mpsc::Sender<Piece>,
     _driver: client::ConnectionTask,
 ) {
-    let _guard = node.in_flight.enter(InFlight {
+    let _guard = node.in_flight.track(InFlight {
         team: place.team,
         target: place.model.to_string(),
         group: None,
@@ -150,11 +150,11 @@
 }
 
 /// An id of another team is not told apart from one that is none.
-fn find(node: &Node, req: &Request<Incoming>, id: &str) -> Result<StreamPlace, Problem> {
+fn find(node: &Node, req: &Request<Incoming>, id: &str) -> Result<StreamLocation, Problem> {
     let bundle =
         node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
     let team = identity::team(req.headers(), &bundle)?;
-    let place = StreamPlace::open(id, &node.checked.cluster_key);
+    let place = StreamLocation::open(id, &node.checked.cluster_key);
     place
         .filter(|place| place.team == team)
         .ok_or_else(|| Problem::not_run(ProblemCode::NotFound, "there is no such request"))
@@ -167,6 +167,6 @@
     value.map_or(Ok(0), |text| text.parse().map_err(bad))
 }
 
-fn address(node: &Node, place: &StreamPlace) -> Option<String> {
+fn address(node: &Node, place: &StreamLocation) -> Option<String> {
     node.list.read().find(&place.instance).map(|listed| listed.address.clone())
 }
--- a/crates/workshold-node/src/daemon.rs
+++ b/crates/workshold-node/src/daemon.rs
@@ -30,7 +30,7 @@
 use crate::metrics::MetricsSender;
 use crate::node::Node;
 use crate::operators;
-use crate::settings::Checked;
+use crate::settings::CheckedSettings;
 use crate::tasks;
 use crate::tasks::intents::IntentRequest;
 use crate::tasks::intents::QUEUE_LEN;
@@ -77,7 +77,7 @@
 /// # Errors
 ///
 /// [`DaemonError`] if it cannot start, or a part of it ends.
-pub async fn run(checked: Checked) -> Result<Ended, DaemonError> {
+pub async fn run(checked: CheckedSettings) -> Result<Ended, DaemonError> {
     let mut signals = Signals::new().map_err(DaemonError::Signals)?;
     let (intents, intents_rx) = mpsc::channel(QUEUE_LEN);
     let node = Node::new(checked, Arc::new(SystemClock::default()), intents);
--- a/crates/workshold-node/src/desk.rs
+++ b/crates/workshold-node/src/dispatcher.rs
@@ -25,9 +25,9 @@
 
 /// What a waiting request is told.
 #[derive(Debug)]
-pub enum Turn {
+pub enum QueueOutcome {
     /// It goes to this group, and is counted there.
-    Go(Box<ServingGroup>),
+    Dispatched(Box<ServingGroup>),
     /// It has waited past its time.
     Expired,
 }
@@ -36,16 +36,16 @@
 #[derive(Debug)]
 pub struct Waiter {
     chain: Arc<PrefixChain>,
-    turn: oneshot::Sender<Turn>,
+    turn: oneshot::Sender<QueueOutcome>,
 }
 
 /// Where a request goes.
 #[derive(Debug)]
-pub enum Placed {
+pub enum Placement {
     /// To this group, at once.
-    Go(Box<ServingGroup>),
+    Dispatched(Box<ServingGroup>),
     /// It waits here for its turn.
-    Waits(oneshot::Receiver<Turn>),
+    Queued(oneshot::Receiver<QueueOutcome>),
     /// No group serves the model.
     NoGroup,
     /// It could not start in time.
@@ -54,7 +54,7 @@
 
 /// Routing and queue of one model at this node.
 #[derive(Debug)]
-pub struct ModelDesk {
+pub struct ModelDispatcher {
     router: Router,
     queue: FairQueue<Waiter>,
     outliers: OutlierDetector<GroupId>,
@@ -67,7 +67,7 @@
 /// Weight of the newest request in the average time of service.
 const SERVICE_TIME_PART: u64 = 10;
 
-impl Default for ModelDesk {
+impl Default for ModelDispatcher {
     fn default() -> Self {
         Self {
             router: Router::new(RoutingRules::default()),
@@ -81,7 +81,7 @@
 
 /// What a desk looks at when it places a request.
 #[derive(Debug, Clone, Copy)]
-pub struct DeskView<'a> {
+pub struct DispatchContext<'a> {
     /// The model.
     pub model: &'a ModelName,
     /// The version that the bundle in force asks for.
@@ -92,41 +92,41 @@
     pub now: Millis,
 }
 
-impl ModelDesk {
+impl ModelDispatcher {
     /// Finds a group with room for a new request, or lets it wait.
     pub fn place(
         &mut self,
-        view: &DeskView<'_>,
+        view: &DispatchContext<'_>,
         chain: &Arc<PrefixChain>,
         arrival: &Arrival<'_>,
-    ) -> Placed {
-        if view.table.of_model(view.model, view.now).next().is_none() {
-            return Placed::NoGroup;
+    ) -> Placement {
+        if view.table.groups_for(view.model, view.now).next().is_none() {
+            return Placement::NoGroup;
         }
         if self.queue.is_empty()
             && let Some(group) = self.start(view, chain)
         {
-            return Placed::Go(group);
+            return Placement::Dispatched(group);
         }
         let (turn, rx) = oneshot::channel();
         let waiter = Waiter { chain: Arc::clone(chain), turn };
         match self.queue.push(arrival, waiter, view.now) {
-            Ok(()) => Placed::Waits(rx),
-            Err(refused) => Placed::Refused(refused),
+            Ok(()) => Placement::Queued(rx),
+            Err(refused) => Placement::Refused(refused),
         }
     }
 
     /// Gives turns to those who wait, as far as there is room.
-    pub fn dispatch(&mut self, view: &DeskView<'_>) {
+    pub fn dispatch(&mut self, view: &DispatchContext<'_>) {
         self.queue.remove_gone(|waiter| waiter.turn.is_closed());
         while let Some(waiter) = self.queue.pop_expired(view.now) {
-            let _ = waiter.turn.send(Turn::Expired);
+            let _ = waiter.turn.send(QueueOutcome::Expired);
         }
         while !self.queue.is_empty() && self.has_room(view) {
             match self.queue.pop(view.now) {
                 Some(Dequeued::Start(waiter)) => self.give_turn(view, waiter),
                 Some(Dequeued::Expired(waiter)) => {
-                    let _ = waiter.turn.send(Turn::Expired);
+                    let _ = waiter.turn.send(QueueOutcome::Expired);
                 }
                 None => return,
             }
@@ -166,7 +166,7 @@
 
     /// A request at `group` hears nothing: until all members have been heard since, the
     /// group gets no other.
-    pub fn on_silent(&mut self, group: &GroupId, now: Millis) {
+    pub fn on_stalled(&mut self, group: &GroupId, now: Millis) {
         self.failed_at.insert(group.clone(), now);
     }
 
@@ -187,15 +187,21 @@
         self.outliers.retain(is_there);
     }
 
-    fn give_turn(&mut self, view: &DeskView<'_>, waiter: Waiter) {
+    fn give_turn(&mut self, view: &DispatchContext<'_>, waiter: Waiter) {
         let Some(group) = self.start(view, &waiter.chain) else { return };
-        if let Err(Turn::Go(group)) = waiter.turn.send(Turn::Go(group)) {
+        if let Err(QueueOutcome::Dispatched(group)) =
+            waiter.turn.send(QueueOutcome::Dispatched(group))
+        {
             // The caller went away between the two.
             self.router.on_done(&group.group, view.now);
         }
     }
 
-    fn start(&mut self, view: &DeskView<'_>, chain: &PrefixChain) -> Option<Box<ServingGroup>> {
+    fn start(
+        &mut self,
+        view: &DispatchContext<'_>,
+        chain: &PrefixChain,
+    ) -> Option<Box<ServingGroup>> {
         let rows = self.with_room(view);
         let candidates: Vec<_> = rows.iter().map(|row| self.candidate(row, view.now)).collect();
         let chosen = self.router.choose(chain, &candidates)?.clone();
@@ -204,13 +210,13 @@
         Some(Box::new(row))
     }
 
-    fn has_room(&self, view: &DeskView<'_>) -> bool {
+    fn has_room(&self, view: &DispatchContext<'_>) -> bool {
         !self.with_room(view).is_empty()
     }
 
     /// Groups with a free slot; those of the wanted version if there are any.
-    fn with_room<'a>(&self, view: &DeskView<'a>) -> Vec<&'a ServingGroup> {
-        let rows = view.table.of_model(view.model, view.now);
+    fn with_room<'a>(&self, view: &DispatchContext<'a>) -> Vec<&'a ServingGroup> {
+        let rows = view.table.groups_for(view.model, view.now);
         let rows: Vec<_> = rows
             .filter(|row| !self.is_suspect(row))
             .filter(|row| self.router.load(&self.candidate(row, view.now)) < f64::from(row.slots))
--- a/crates/workshold-node/src/dump.rs
+++ b/crates/workshold-node/src/dump.rs
@@ -148,7 +148,7 @@
     let readiness = node.readiness();
     // Read here and not below: a lock taken within the value that is returned
     // would be held while its other parts are read.
-    let log_answers = node.lasting.read().log_answers;
+    let log_answers = node.log_state.read().log_answers;
     let (bundle, published, groups, next) = node
         .with_state(|state| {
             let published = state.bundles.published();
@@ -265,13 +265,13 @@
 /// All of the node's state.
 pub fn dump(node: &Node) -> Dump {
     let mut waiting = BTreeMap::new();
-    node.desks.for_each(|model, desk| {
+    node.dispatchers.for_each(|model, desk| {
         waiting.insert(model.to_string(), desk.waiting());
     });
     let keys = node.with_state(|state| state.keys.len()).unwrap_or(0);
     let tail = {
-        let lasting = node.lasting.read();
-        [lasting.tail.first().0, lasting.tail.next().0]
+        let log_state = node.log_state.read();
+        [log_state.tail.first().0, log_state.tail.next().0]
     };
     Dump {
         status: status(node),
--- a/crates/workshold-node/src/keytable.rs
+++ b/crates/workshold-node/src/key_table.rs
@@ -27,11 +27,11 @@
 
 /// What a request finds under its key at this node.
 #[derive(Debug)]
-pub enum Begin {
+pub enum KeyClaim {
     /// Nothing: it is this request's to run. The answer goes in here.
-    Mine(Running),
+    Claimed(Running),
     /// Another request with the key is running or done; its answer comes here.
-    Others(watch::Receiver<Option<StoredResponse>>),
+    AlreadyClaimed(watch::Receiver<Option<StoredResponse>>),
 }
 
 /// A request that runs under its key. Dropped without an answer, it leaves
@@ -43,14 +43,14 @@
 
 impl KeyTable {
     /// Takes up a key, or finds who did.
-    pub fn begin(&self, key: &KeyDigest, key_time: Millis) -> Begin {
+    pub fn claim(&self, key: &KeyDigest, key_time: Millis) -> KeyClaim {
         self.entries.with_shard(key, |shard| {
             if let Some(entry) = shard.get(key) {
-                return Begin::Others(entry.answer.clone());
+                return KeyClaim::AlreadyClaimed(entry.answer.clone());
             }
             let (tx, rx) = watch::channel(None);
             shard.insert(*key, Entry { key_time, answer: rx });
-            Begin::Mine(Running { answer: tx })
+            KeyClaim::Claimed(Running { answer: tx })
         })
     }
 
@@ -86,7 +86,7 @@
         let kept = if answer.body.len() <= MAX_KEPT_LEN {
             answer.clone()
         } else {
-            stored(&Problem::may_have_run(
+            problem_response(&Problem::may_have_run(
                 ProblemCode::KeyInProgress,
                 "it ran, but its answer was too long to keep",
             ))
@@ -102,13 +102,13 @@
                 ProblemCode::UpstreamFailed,
                 "its caller went away while it ran",
             );
-            self.answer.send_replace(Some(stored(&problem)));
+            self.answer.send_replace(Some(problem_response(&problem)));
         }
     }
 }
 
 /// A problem as an answer.
-pub fn stored(problem: &Problem) -> StoredResponse {
+pub fn problem_response(problem: &Problem) -> StoredResponse {
     StoredResponse {
         status: problem.status,
         content_type: PROBLEM_JSON.to_owned(),
--- a/crates/workshold-node/src/lib.rs
+++ b/crates/workshold-node/src/lib.rs
@@ -10,10 +10,10 @@
 pub mod callers;
 pub mod counters;
 pub mod daemon;
-pub mod desk;
+pub mod dispatcher;
 pub mod dump;
 pub mod events;
-pub mod keytable;
+pub mod key_table;
 pub mod log_client;
 pub mod logging;
 pub mod metrics;
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -39,18 +39,18 @@
 use workshold_protocol::peer::TeamDemand;
 use workshold_protocol::report::InstanceKind;
 
-use crate::callers::plain::ServiceDesk;
+use crate::callers::plain::ServiceBalancer;
 use crate::counters::Counters;
-use crate::desk::ModelDesk;
+use crate::dispatcher::ModelDispatcher;
 use crate::events::Event;
 use crate::events::emit;
-use crate::keytable::KeyTable;
+use crate::key_table::KeyTable;
 use crate::log_client::LogClient;
 use crate::peer_link::PeerLink;
 use crate::requests::InFlightTable;
 use crate::serving::ServingTable;
 use crate::serving::Sources;
-use crate::settings::Checked;
+use crate::settings::CheckedSettings;
 use crate::settings::Settings;
 use crate::shards::Shards;
 use crate::tail::Tail;
@@ -58,7 +58,7 @@
 
 /// What lasts, as this node has read it.
 #[derive(Debug, Default)]
-pub struct Lasting {
+pub struct LogState {
     /// The fold; none until the node could start from somewhere.
     pub replay: Option<Replay>,
     /// The records as they stand, for peers.
@@ -89,7 +89,7 @@
     /// it is cut off from the log and from all other nodes
     Isolated,
     /// it was cut off, and nobody has told it yet what is in force
-    NoCustody,
+    NoAuthority,
     /// instances name records that it has not read for some time
     Behind,
     /// it is about to stop
@@ -98,7 +98,7 @@
 
 /// A team's allowance at this node.
 #[derive(Debug)]
-pub struct TeamDesk {
+pub struct TeamLimits {
     /// Requests a second.
     pub requests: TeamRateLimiter,
     /// Tokens a second.
@@ -121,7 +121,7 @@
     /// The settings.
     pub settings: Settings,
     /// Keys that the settings name.
-    pub checked: Checked,
+    pub checked: CheckedSettings,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Which life of the node this is.
@@ -131,7 +131,7 @@
     /// The log.
     pub log: LogClient,
     /// What lasts.
-    pub lasting: RwLock<Lasting>,
+    pub log_state: RwLock<LogState>,
     /// Says how far the log was replayed.
     pub replayed: watch::Sender<Offset>,
     /// What instances said.
@@ -147,11 +147,11 @@
     /// Which groups serve.
     pub serving: RwLock<Arc<ServingTable>>,
     /// Routing and queue of each model.
-    pub desks: Shards<ModelName, ModelDesk>,
+    pub dispatchers: Shards<ModelName, ModelDispatcher>,
     /// Instances of each plain service.
-    pub services: Shards<ServiceName, ServiceDesk>,
+    pub services: Shards<ServiceName, ServiceBalancer>,
     /// Allowances of each team.
-    pub teams: Shards<TeamName, TeamDesk>,
+    pub teams: Shards<TeamName, TeamLimits>,
     /// Requests that run at most once.
     pub keys: KeyTable,
     /// Requests under way.
@@ -179,7 +179,7 @@
 impl Node {
     /// A node that has not started anything yet.
     pub fn new(
-        checked: Checked,
+        checked: CheckedSettings,
         clock: Arc<dyn Clock>,
         intents: mpsc::Sender<IntentRequest>,
     ) -> Arc<Self> {
@@ -193,14 +193,14 @@
             clock,
             incarnation: Incarnation(rand::random()),
             counters: Counters::default(),
-            lasting: RwLock::default(),
+            log_state: RwLock::default(),
             replayed: watch::channel(Offset(0)).0,
             observations: RwLock::default(),
             probed: RwLock::default(),
             links: Mutex::default(),
             list: RwLock::default(),
             serving: RwLock::default(),
-            desks: Shards::default(),
+            dispatchers: Shards::default(),
             services: Shards::default(),
             teams: Shards::default(),
             keys: KeyTable::default(),
@@ -230,7 +230,7 @@
 
     /// Reads the state, if there is one.
     pub fn with_state<R>(&self, read: impl FnOnce(&State) -> R) -> Option<R> {
-        self.lasting.read().replay.as_ref().map(|replay| read(replay.state()))
+        self.log_state.read().replay.as_ref().map(|replay| read(replay.state()))
     }
 
     /// The bundle in force.
@@ -261,31 +261,31 @@
         }
         let now = self.now();
         let rules = self.settings.membership_rules();
-        let lasting = self.lasting.read();
-        let replay = lasting.replay.as_ref().ok_or(Unready::NotStarted)?;
-        if lasting.is_diverged {
+        let log_state = self.log_state.read();
+        let replay = log_state.replay.as_ref().ok_or(Unready::NotStarted)?;
+        if log_state.is_diverged {
             return Err(Unready::Diverged);
         }
-        if lasting.behind_since.is_some_and(|since| now.since(since) > MAX_BEHIND) {
+        if log_state.behind_since.is_some_and(|since| now.since(since) > MAX_BEHIND) {
             return Err(Unready::Behind);
         }
         if replay.state().bundles.in_force().is_none() {
             return Err(Unready::NoBundle);
         }
-        let (log_heard, authority) = (lasting.log_heard.unwrap_or_default(), lasting.authority);
-        drop(lasting);
+        let (log_heard, authority) = (log_state.log_heard.unwrap_or_default(), log_state.authority);
+        drop(log_state);
         if self.membership.read().is_isolated(log_heard, now, &rules) {
             return Err(Unready::Isolated);
         }
-        if authority.is_held() { Ok(()) } else { Err(Unready::NoCustody) }
+        if authority.is_held() { Ok(()) } else { Err(Unready::NoAuthority) }
     }
 
     /// Whether other nodes may take what this one has read for what is in force.
     pub fn is_authoritative(&self) -> bool {
         let rules = self.settings.membership_rules();
         let (log_heard, authority, is_diverged) = {
-            let lasting = self.lasting.read();
-            (lasting.log_heard.unwrap_or_default(), lasting.authority, lasting.is_diverged)
+            let log_state = self.log_state.read();
+            (log_state.log_heard.unwrap_or_default(), log_state.authority, log_state.is_diverged)
         };
         let is_isolated = self.membership.read().is_isolated(log_heard, self.now(), &rules);
         authority.is_held() && !is_isolated && !is_diverged
@@ -294,17 +294,17 @@
     /// Gives custody up once this node has been cut off for too long.
     pub fn note_isolation(&self) {
         let rules = self.settings.membership_rules();
-        let log_heard = self.lasting.read().log_heard.unwrap_or_default();
+        let log_heard = self.log_state.read().log_heard.unwrap_or_default();
         if self.membership.read().is_isolated(log_heard, self.now(), &rules) {
-            self.lasting.write().authority.on_isolated();
+            self.log_state.write().authority.on_isolated();
         }
     }
 
     /// Hears what another node says of its custody.
-    pub fn note_peer(&self, is_held: bool, peer_next: Offset) {
-        let mut lasting = self.lasting.write();
-        let own_next = lasting.replay.as_ref().map_or(Offset(0), |replay| replay.state().next());
-        lasting.authority.on_peer(is_held, peer_next, own_next);
+    pub fn on_peer_authority(&self, is_held: bool, peer_next: Offset) {
+        let mut log_state = self.log_state.write();
+        let own_next = log_state.replay.as_ref().map_or(Offset(0), |replay| replay.state().next());
+        log_state.authority.on_peer(is_held, peer_next, own_next);
     }
 
     /// What this node tells others of itself.
@@ -405,7 +405,7 @@
     }
 
     /// Notes what instances' reports say of records that this node has not read.
-    pub fn note_lag(&self) {
+    pub fn update_replay_lag(&self) {
         let now = self.now();
         let ttl = self.settings.times.report_ttl;
         let highest = self
@@ -417,11 +417,11 @@
                 observation.report.membership.as_ref().map(|own| own.fence)
             })
             .max();
-        let mut lasting = self.lasting.write();
-        let next = lasting.replay.as_ref().map_or(Offset(0), |replay| replay.state().next());
+        let mut log_state = self.log_state.write();
+        let next = log_state.replay.as_ref().map_or(Offset(0), |replay| replay.state().next());
         let is_behind = highest.is_some_and(|fence| fence.0 >= next.0);
-        lasting.behind_since =
-            if is_behind { Some(lasting.behind_since.unwrap_or(now)) } else { None };
+        log_state.behind_since =
+            if is_behind { Some(log_state.behind_since.unwrap_or(now)) } else { None };
     }
 
     /// Forgets reports and nodes that are long gone.
@@ -457,15 +457,15 @@
     }
 
     /// Runs `work` on a team's allowance, made from the bundle in force.
-    pub fn with_team<R>(
+    pub fn with_team_limits<R>(
         &self,
         name: &TeamName,
         bundle: &Bundle,
-        work: impl FnOnce(&mut TeamDesk) -> R,
+        work: impl FnOnce(&mut TeamLimits) -> R,
     ) -> Option<R> {
         let team = bundle.teams.get(name)?;
         let (now, nodes) = (self.now(), self.node_count());
-        let make = || TeamDesk {
+        let make = || TeamLimits {
             requests: TeamRateLimiter::new(
                 TeamRateRules::default(),
                 team.requests_per_s,
@@ -475,7 +475,7 @@
             tokens: TeamRateLimiter::new(TeamRateRules::default(), team.tokens_per_s, nodes, now),
             retries: RetryBudget::new(RetryRules::default()),
         };
-        Some(self.teams.with(name, make, |desk| {
+        Some(self.teams.with_entry(name, make, |desk| {
             desk.requests.adjust(team.requests_per_s, nodes);
             desk.tokens.adjust(team.tokens_per_s, nodes);
             work(desk)
--- a/crates/workshold-node/src/peer_link.rs
+++ b/crates/workshold-node/src/peer_link.rs
@@ -61,7 +61,7 @@
     ///
     /// [`AskError`]; the link is then made anew by the next question, so that a
     /// late answer meets nobody.
-    pub async fn ask(
+    pub async fn query(
         &self,
         from: &NodeId,
         ask: PeerQuery,
--- a/crates/workshold-node/src/requests.rs
+++ b/crates/workshold-node/src/requests.rs
@@ -19,7 +19,7 @@
 /// Where a stream runs. Sealed, it is the id that its caller gets, so that any
 /// node can find the stream and only its own team can ask for it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StreamPlace {
+pub struct StreamLocation {
     /// The stream's name at the engine; unguessable.
     pub stream: Uuid,
     /// Whose it is.
@@ -32,7 +32,7 @@
     pub is_chat: bool,
 }
 
-impl StreamPlace {
+impl StreamLocation {
     /// The id for the caller.
     pub fn seal(&self, key: &ClusterKey) -> String {
         let body = postcard::to_stdvec(self).expect("a place has only sized parts");
@@ -80,9 +80,9 @@
 
 impl InFlightTable {
     /// Enters a request.
-    pub fn enter(&self, request: InFlight) -> InFlightGuard<'_> {
+    pub fn track(&self, request: InFlight) -> InFlightGuard<'_> {
         let id = Uuid::new_v4();
-        self.entries.with(&id, || request, |_| ());
+        self.entries.with_entry(&id, || request, |_| ());
         InFlightGuard { table: self, id }
     }
 
--- a/crates/workshold-node/src/serving.rs
+++ b/crates/workshold-node/src/serving.rs
@@ -99,7 +99,11 @@
     }
 
     /// The groups that serve `model` at `now`.
-    pub fn of_model(&self, model: &ModelName, now: Millis) -> impl Iterator<Item = &ServingGroup> {
+    pub fn groups_for(
+        &self,
+        model: &ModelName,
+        now: Millis,
+    ) -> impl Iterator<Item = &ServingGroup> {
         let rows = self.serving.get(model).map(Vec::as_slice).unwrap_or_default();
         rows.iter().filter(move |row| now < row.valid_until)
     }
--- a/crates/workshold-node/src/settings.rs
+++ b/crates/workshold-node/src/settings.rs
@@ -248,7 +248,7 @@
 
 /// Settings that were checked, with the keys they name.
 #[derive(Debug, Clone)]
-pub struct Checked {
+pub struct CheckedSettings {
     /// The settings.
     pub settings: Settings,
     /// The key that all nodes share.
@@ -262,7 +262,7 @@
 /// # Errors
 ///
 /// Every fault that was found.
-pub fn load(file: &Path) -> Result<Checked, Vec<SettingsFault>> {
+pub fn load(file: &Path) -> Result<CheckedSettings, Vec<SettingsFault>> {
     let fault = |key: &str, why: String| SettingsFault {
         file: file.to_path_buf(),
         key: key.to_owned(),
@@ -283,7 +283,7 @@
     }
     match (cluster_key, operators) {
         (Ok(cluster_key), Ok(operators)) if faults.is_empty() => {
-            Ok(Checked { settings, cluster_key, operators })
+            Ok(CheckedSettings { settings, cluster_key, operators })
         }
         _ => Err(faults),
     }
--- a/crates/workshold-node/src/shards.rs
+++ b/crates/workshold-node/src/shards.rs
@@ -24,7 +24,12 @@
 
 impl<K: Hash + Eq + Clone, V> Shards<K, V> {
     /// Runs `work` on the entry of `key`, made by `make` if there is none.
-    pub fn with<R>(&self, key: &K, make: impl FnOnce() -> V, work: impl FnOnce(&mut V) -> R) -> R {
+    pub fn with_entry<R>(
+        &self,
+        key: &K,
+        make: impl FnOnce() -> V,
+        work: impl FnOnce(&mut V) -> R,
+    ) -> R {
         let mut shard = self.shard(key).lock();
         work(shard.entry(key.clone()).or_insert_with(make))
     }
--- a/crates/workshold-node/src/tasks/catch_up.rs
+++ b/crates/workshold-node/src/tasks/catch_up.rs
@@ -46,7 +46,7 @@
         let link = node.link(&peer, &address);
         let ask = PeerQuery::Records { from };
         let key = &node.checked.cluster_key;
-        let asked = link.ask(node.name(), ask, key, &node.counters, within).await;
+        let asked = link.query(node.name(), ask, key, &node.counters, within).await;
         // What a node without custody has may be older than what is in force.
         let Ok(PeerResponseBody::Records { records, next, custody: true }) = asked else {
             continue;
--- a/crates/workshold-node/src/tasks/dispatching.rs
+++ b/crates/workshold-node/src/tasks/dispatching.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::callers::generation::with_desk;
+use crate::callers::generation::with_dispatcher;
 use crate::node::Node;
 
 const EVERY: Duration = Duration::from_millis(50);
@@ -16,7 +16,7 @@
     let groups: Option<BTreeSet<_>> =
         node.with_state(|state| state.fleet.groups().map(|group| group.id.clone()).collect());
     let Some(groups) = groups else { return };
-    node.desks.for_each(|_, desk| desk.retain(|group| groups.contains(group)));
+    node.dispatchers.for_each(|_, desk| desk.retain(|group| groups.contains(group)));
 }
 
 /// Looks at every queue for as long as the node runs.
@@ -30,13 +30,13 @@
             forget_gone(&node);
         }
         let mut waiting = Vec::new();
-        node.desks.for_each(|model, desk| {
+        node.dispatchers.for_each(|model, desk| {
             if desk.waiting() > 0 {
                 waiting.push(model.clone());
             }
         });
         for model in waiting {
-            with_desk(&node, &model, |desk, view| desk.dispatch(view));
+            with_dispatcher(&node, &model, |desk, view| desk.dispatch(view));
         }
     }
 }
--- a/crates/workshold-node/src/tasks/intents.rs
+++ b/crates/workshold-node/src/tasks/intents.rs
@@ -36,11 +36,11 @@
     /// The key is this request's: it may run.
     Granted,
     /// The key is another's, or forgotten.
-    Lost,
+    KeyUnavailable,
     /// The log did not answer in time. The intent may stand there; it must not run.
-    NotRecorded,
+    Unconfirmed,
     /// Nothing was appended: the log is known to be away, or too much waits.
-    NotTried,
+    NotAppended,
 }
 
 /// Intents in one append at the most.
@@ -80,7 +80,7 @@
     let now = node.now();
     let late = batch.extract_if(.., |request| now >= request.until || request.done.is_closed());
     for request in late {
-        let _ = request.done.send(IntentOutcome::NotRecorded);
+        let _ = request.done.send(IntentOutcome::Unconfirmed);
     }
 }
 
@@ -119,7 +119,7 @@
                 Some(IntentOutcome::Granted)
             }
             KeyStatus::Owned(_) | KeyStatus::Reused | KeyStatus::Forgotten => {
-                Some(IntentOutcome::Lost)
+                Some(IntentOutcome::KeyUnavailable)
             }
         }
     })
--- a/crates/workshold-node/src/tasks/peers.rs
+++ b/crates/workshold-node/src/tasks/peers.rs
@@ -97,9 +97,9 @@
         }
         PeerQuery::Records { from } => {
             let custody = node.is_authoritative();
-            let lasting = node.lasting.read();
-            let next = lasting.tail.next();
-            PeerResponseBody::Records { records: lasting.tail.part(from), next, custody }
+            let log_state = node.log_state.read();
+            let next = log_state.tail.next();
+            PeerResponseBody::Records { records: log_state.tail.part(from), next, custody }
         }
         PeerQuery::KeyResult { key } => PeerResponseBody::KeyResult(node.keys.answer(&key)),
     };
@@ -219,7 +219,7 @@
     let ask = PeerQuery::Digest { data_centre: node.settings.node.data_centre.clone() };
     let link = node.link(&peer, &address);
     let key = &node.checked.cluster_key;
-    let answer = link.ask(node.name(), ask, key, &node.counters, within).await;
+    let answer = link.query(node.name(), ask, key, &node.counters, within).await;
     if let Ok(PeerResponseBody::Digest(digest)) = answer {
         take(&node, &peer, asked, *digest);
     }
@@ -229,7 +229,7 @@
 /// was `age` old when the answer was written is no older than that.
 fn take(node: &Node, peer: &NodeId, asked: Millis, digest: NodeSummary) {
     let seen = node.now();
-    node.note_peer(digest.own.custody, digest.own.next);
+    node.on_peer_authority(digest.own.custody, digest.own.next);
     {
         let mut membership = node.membership.write();
         take_demand(node, peer, &digest.own.demand, asked);
--- a/crates/workshold-node/src/tasks/probing.rs
+++ b/crates/workshold-node/src/tasks/probing.rs
@@ -24,7 +24,7 @@
     loop {
         tick.tick().await;
         probe_all(&node).await;
-        node.note_lag();
+        node.update_replay_lag();
     }
 }
 
--- a/crates/workshold-node/src/tasks/replaying.rs
+++ b/crates/workshold-node/src/tasks/replaying.rs
@@ -15,7 +15,7 @@
 
 use crate::events::Event;
 use crate::events::emit;
-use crate::node::Lasting;
+use crate::node::LogState;
 use crate::node::Node;
 use crate::tasks::catch_up;
 use crate::tasks::catch_up::Gathered;
@@ -50,7 +50,7 @@
             Gathered::More(_) => continue,
             Gathered::Started(started) => {
                 // A peer's records are only taken from one that has custody.
-                node.lasting.write().authority.on_log_read();
+                node.log_state.write().authority.on_log_read();
                 install(node, *started);
                 return;
             }
@@ -68,10 +68,10 @@
 fn install(node: &Node, started: catch_up::Started) {
     let next = started.replay.state().next();
     {
-        let mut lasting = node.lasting.write();
-        lasting.tail = started.tail;
-        lasting.replay = Some(started.replay);
-        lasting.checkpoint_seen = node.now();
+        let mut log_state = node.log_state.write();
+        log_state.tail = started.tail;
+        log_state.replay = Some(started.replay);
+        log_state.checkpoint_seen = node.now();
     }
     emit(Event::CaughtUp, &[("next", &next.to_string())]);
     note_bundle(node);
@@ -101,7 +101,7 @@
             return;
         }
         if source == Source::Log && node.with_state(|state| state.next()) == Some(reply.end) {
-            node.lasting.write().authority.on_log_read();
+            node.log_state.write().authority.on_log_read();
         }
     }
 }
@@ -123,8 +123,8 @@
 fn take(node: &Node, record: &ReadRecord) -> bool {
     let envelope = catch_up::open(node, &record.data);
     let step = {
-        let mut lasting = node.lasting.write();
-        take_locked(&mut lasting, record, envelope.as_ref(), node.now())
+        let mut log_state = node.log_state.write();
+        take_locked(&mut log_state, record, envelope.as_ref(), node.now())
     };
     let Some(step) = step else { return false };
     match step {
@@ -142,20 +142,20 @@
 }
 
 fn take_locked(
-    lasting: &mut Lasting,
+    log_state: &mut LogState,
     record: &ReadRecord,
     envelope: Option<&Envelope>,
     now: Millis,
 ) -> Option<ReplayOutcome> {
-    let step = lasting.replay.as_mut()?.take(record.offset, envelope).ok()?;
+    let step = log_state.replay.as_mut()?.take(record.offset, envelope).ok()?;
     match step {
-        ReplayOutcome::Diverged { .. } => lasting.is_diverged = true,
-        ReplayOutcome::Applied(_) => lasting.tail.push(record.offset, &record.data),
+        ReplayOutcome::Diverged { .. } => log_state.is_diverged = true,
+        ReplayOutcome::Applied(_) => log_state.tail.push(record.offset, &record.data),
         ReplayOutcome::Old => {}
     }
     if let Some(checkpoint) = envelope.and_then(|envelope| checkpoints_of(envelope).last()) {
-        lasting.checkpoint_seen = now;
-        lasting.tail.drop_before(checkpoint.next);
+        log_state.checkpoint_seen = now;
+        log_state.tail.drop_before(checkpoint.next);
     }
     Some(step)
 }
@@ -170,14 +170,14 @@
 fn note_source(node: &Node, source: Option<Source>) {
     let now = node.now();
     let answers = source == Some(Source::Log);
-    let mut lasting = node.lasting.write();
-    let did = lasting.log_answers;
-    let first_time = lasting.log_heard.is_none();
-    lasting.log_answers = answers;
+    let mut log_state = node.log_state.write();
+    let did = log_state.log_answers;
+    let first_time = log_state.log_heard.is_none();
+    log_state.log_answers = answers;
     if answers {
-        lasting.log_heard = Some(now);
+        log_state.log_heard = Some(now);
     }
-    drop(lasting);
+    drop(log_state);
     match (did, answers) {
         (true, false) => emit(Event::LogUnreachable, &[]),
         (false, true) if !first_time => emit(Event::LogBack, &[]),
--- a/crates/workshold-node/src/tasks/stewarding.rs
+++ b/crates/workshold-node/src/tasks/stewarding.rs
@@ -66,9 +66,9 @@
 fn plan(node: &Node, domain: &FabricDomain, timers: &mut StewardTimers) -> Option<Plan> {
     let list = Arc::clone(&node.list.read());
     let rules = node.settings.steward_rules();
-    let lasting = node.lasting.read();
-    let replay = lasting.replay.as_ref()?;
-    if lasting.is_diverged {
+    let log_state = node.log_state.read();
+    let replay = log_state.replay.as_ref()?;
+    if log_state.is_diverged {
         return None;
     }
     let observations = node.observations.read();
--- a/crates/workshold-node/src/tasks/upkeep.rs
+++ b/crates/workshold-node/src/tasks/upkeep.rs
@@ -43,15 +43,15 @@
 }
 
 fn due(node: &Node) -> Vec<workshold_protocol::record::Fact> {
-    let lasting = node.lasting.read();
-    let Some(replay) = &lasting.replay else { return Vec::new() };
-    if lasting.is_diverged || !lasting.log_answers {
+    let log_state = node.log_state.read();
+    let Some(replay) = &log_state.replay else { return Vec::new() };
+    if log_state.is_diverged || !log_state.log_answers {
         return Vec::new();
     }
     let view = LogMaintenanceView {
         state: replay.state(),
         last_checkpoint: replay.last_checkpoint(),
-        checkpoint_seen: lasting.checkpoint_seen,
+        checkpoint_seen: log_state.checkpoint_seen,
         now: node.now(),
         wall: node.clock.wall(),
     };
--- a/crates/workshold-node/tests/concurrency.rs
+++ b/crates/workshold-node/tests/concurrency.rs
@@ -33,8 +33,8 @@
         let (node, is_over) = (Arc::clone(&node), Arc::clone(&is_over));
         std::thread::spawn(move || {
             while !is_over.load(Ordering::Relaxed) {
-                node.note_peer(false, Offset(0));
-                node.note_lag();
+                node.on_peer_authority(false, Offset(0));
+                node.update_replay_lag();
             }
         });
     }
--- a/crates/workshold-node/tests/peers.rs
+++ b/crates/workshold-node/tests/peers.rs
@@ -44,7 +44,7 @@
     let within = Duration::from_secs(5);
     for _ in 0..10 {
         let ask = PeerQuery::Digest { data_centre: data_centre.clone() };
-        if link.ask(&from, ask, &key, &Counters::default(), within).await.is_ok() {
+        if link.query(&from, ask, &key, &Counters::default(), within).await.is_ok() {
             return true;
         }
     }
