--- a/crates/workshold-node/src/callers.rs
+++ b/crates/workshold-node/src/callers.rs
@@ -1,16 +1,16 @@
 //! Answering callers over HTTP.
 
 pub mod at_most_once;
+pub mod authentication;
 pub mod completions;
+pub mod engine_stream;
 pub mod generation;
 pub mod headers;
-pub mod identity;
 pub mod info;
-pub mod plain;
 pub mod problems;
 pub mod resume;
+pub mod services;
 pub mod sse;
-pub mod talk;
 
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
 use workshold_protocol::problem::Problem;
 use workshold_protocol::problem::ProblemCode;
 
-use crate::callers::completions::Style;
+use crate::callers::completions::CompletionFormat;
 use crate::node::Node;
 use crate::node::Unready;
 
@@ -44,9 +44,11 @@
         (&Method::GET, "/health") => Ok(info::health(node)),
         (&Method::GET, "/v1/entries") => info::entries(node),
         (&Method::GET, "/v1/models") => info::models(node),
-        (&Method::POST, "/v1/completions") => completions::handle(node, req, Style::Text).await,
+        (&Method::POST, "/v1/completions") => {
+            completions::handle(node, req, CompletionFormat::Text).await
+        }
         (&Method::POST, "/v1/chat/completions") => {
-            completions::handle(node, req, Style::Chat).await
+            completions::handle(node, req, CompletionFormat::Chat).await
         }
         (method, path) => match path.strip_prefix("/v1/requests/") {
             Some(id) if method == Method::GET => resume::resume(node, &req, id).await,
@@ -65,7 +67,7 @@
     match path {
         "/health" | "/v1/entries" | "/v1/models" => Err(wrong_method("GET")),
         "/v1/completions" | "/v1/chat/completions" => Err(wrong_method("POST")),
-        _ => plain::handle(node, req).await,
+        _ => services::handle(node, req).await,
     }
 }
 
--- a/crates/workshold-node/src/callers/completions.rs
+++ b/crates/workshold-node/src/callers/completions.rs
@@ -26,13 +26,13 @@
 use workshold_protocol::problem::ProblemCode;
 
 use crate::callers::at_most_once;
+use crate::callers::authentication;
 use crate::callers::check_ready;
 use crate::callers::generation;
 use crate::callers::generation::Job;
 use crate::callers::generation::Piece;
 use crate::callers::headers::REQUEST_ID;
 use crate::callers::headers::Wishes;
-use crate::callers::identity;
 use crate::callers::problems;
 use crate::callers::read_body;
 use crate::callers::sse;
@@ -41,14 +41,14 @@
 
 /// Which of the two shapes a caller reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Style {
+pub enum CompletionFormat {
     /// Plain text.
     Text,
     /// Messages.
     Chat,
 }
 
-impl Style {
+impl CompletionFormat {
     /// What a chunk calls itself.
     pub const fn chunk_object(self) -> &'static str {
         match self {
@@ -96,12 +96,12 @@
 pub async fn handle(
     node: &Arc<Node>,
     req: Request<Incoming>,
-    style: Style,
+    style: CompletionFormat,
 ) -> Result<Response<Body>, Problem> {
     check_ready(node)?;
     let bundle =
         node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
-    let team = identity::team(req.headers(), &bundle)?;
+    let team = authentication::team(req.headers(), &bundle)?;
     let wishes = Wishes::read(req.headers(), &node.settings.times)?;
     let bytes = read_body(node, req.into_body()).await?;
     let parsed = parse(&bytes)?;
@@ -125,7 +125,7 @@
     team: TeamName,
     wishes: &Wishes,
     parsed: CompletionBody,
-    style: Style,
+    style: CompletionFormat,
 ) -> Result<Job, Problem> {
     let (model, adapter) = find_model(bundle, &parsed.model)?;
     let prompt = prompt(style, parsed.prompt, parsed.messages)?;
@@ -171,14 +171,14 @@
 }
 
 fn prompt(
-    style: Style,
+    style: CompletionFormat,
     prompt: Option<String>,
     messages: Option<Vec<MessageBody>>,
 ) -> Result<String, Problem> {
     let bad = |why: &str| Problem::not_run(ProblemCode::BadRequest, why);
     let text = match style {
-        Style::Text => prompt.ok_or_else(|| bad("prompt is missing"))?,
-        Style::Chat => {
+        CompletionFormat::Text => prompt.ok_or_else(|| bad("prompt is missing"))?,
+        CompletionFormat::Chat => {
             let messages = messages.ok_or_else(|| bad("messages are missing"))?;
             let lines = messages.iter().map(|m| format!("{}: {}\n", m.role, m.content));
             lines.collect()
@@ -232,7 +232,7 @@
     Ok(res)
 }
 
-pub(super) fn event(style: Style, model: &str, piece: Piece) -> Bytes {
+pub(super) fn event(style: CompletionFormat, model: &str, piece: Piece) -> Bytes {
     match piece {
         Piece::Placed(id) => sse::request_id(&id),
         Piece::Token { index, text } => sse::token(style, model, index, &text),
--- a/crates/workshold-node/src/callers/generation.rs
+++ b/crates/workshold-node/src/callers/generation.rs
@@ -28,9 +28,9 @@
 use workshold_protocol::problem::Problem;
 use workshold_protocol::problem::ProblemCode;
 
-use crate::callers::completions::Style;
-use crate::callers::talk::Heard;
-use crate::callers::talk::Talk;
+use crate::callers::completions::CompletionFormat;
+use crate::callers::engine_stream::Heard;
+use crate::callers::engine_stream::Talk;
 use crate::dispatcher::DispatchContext;
 use crate::dispatcher::ModelDispatcher;
 use crate::dispatcher::Placement;
@@ -67,7 +67,7 @@
     /// Whether it may run more than once.
     pub repeatability: Repeatability,
     /// The shape that the caller reads.
-    pub style: Style,
+    pub style: CompletionFormat,
 }
 
 /// What the caller's side of a generation is told.
@@ -474,7 +474,7 @@
             team: self.job.team.clone(),
             model: self.job.model.clone(),
             instance: talk.group.head.clone(),
-            is_chat: self.job.style == Style::Chat,
+            is_chat: self.job.style == CompletionFormat::Chat,
         }
     }
 
--- a/crates/workshold-node/src/callers/resume.rs
+++ b/crates/workshold-node/src/callers/resume.rs
@@ -19,15 +19,15 @@
 use workshold_protocol::problem::Problem;
 use workshold_protocol::problem::ProblemCode;
 
-use crate::callers::completions::Style;
+use crate::callers::authentication;
+use crate::callers::completions::CompletionFormat;
 use crate::callers::completions::event;
 use crate::callers::completions::set_request_id;
+use crate::callers::engine_stream::Heard;
+use crate::callers::engine_stream::Lines;
 use crate::callers::generation::Piece;
 use crate::callers::generation::cancel as cancel_upstream;
-use crate::callers::identity;
 use crate::callers::sse;
-use crate::callers::talk::Heard;
-use crate::callers::talk::Lines;
 use crate::node::Node;
 use crate::requests::InFlight;
 use crate::requests::StreamLocation;
@@ -74,7 +74,7 @@
     id: &str,
     rx: tokio::sync::mpsc::Receiver<Piece>,
 ) -> Response<Body> {
-    let style = if place.is_chat { Style::Chat } else { Style::Text };
+    let style = if place.is_chat { CompletionFormat::Chat } else { CompletionFormat::Text };
     let model = place.model.to_string();
     let events = stream::unfold(rx, move |mut rx| {
         let model = model.clone();
@@ -153,7 +153,7 @@
 fn find(node: &Node, req: &Request<Incoming>, id: &str) -> Result<StreamLocation, Problem> {
     let bundle =
         node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
-    let team = identity::team(req.headers(), &bundle)?;
+    let team = authentication::team(req.headers(), &bundle)?;
     let place = StreamLocation::open(id, &node.checked.cluster_key);
     place
         .filter(|place| place.team == team)
--- a/crates/workshold-node/src/callers/plain.rs
+++ b/crates/workshold-node/src/callers/services.rs
@@ -41,9 +41,9 @@
 use workshold_protocol::report::ListedInstance;
 
 use crate::callers::at_most_once;
+use crate::callers::authentication;
 use crate::callers::check_ready;
 use crate::callers::headers::Wishes;
-use crate::callers::identity;
 use crate::callers::problems;
 use crate::callers::read_body;
 use crate::key_table::problem_response;
@@ -130,7 +130,7 @@
     let path = req.uri().path().to_owned();
     let (name, service) = find(&bundle, &path)
         .ok_or_else(|| Problem::not_run(ProblemCode::NotFound, "there is no such path"))?;
-    let team = identity::team(req.headers(), &bundle)?;
+    let team = authentication::team(req.headers(), &bundle)?;
     let wishes = Wishes::read(req.headers(), &node.settings.times)?;
     let is_repeatable = service.is_repeatable(req.method().as_str());
     if !is_repeatable && wishes.idempotency_key.is_none() {
--- a/crates/workshold-node/src/callers/sse.rs
+++ b/crates/workshold-node/src/callers/sse.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use workshold_protocol::problem::Problem;
 
-use crate::callers::completions::Style;
+use crate::callers::completions::CompletionFormat;
 
 /// The media type of a stream of events.
 pub const EVENT_STREAM: &str = "text/event-stream";
@@ -55,19 +55,19 @@
 const ASSISTANT: &str = "assistant";
 
 /// The event of one token; its id is the token's place, to resume after.
-pub fn token(style: Style, model: &str, index: u32, text: &str) -> Bytes {
+pub fn token(style: CompletionFormat, model: &str, index: u32, text: &str) -> Bytes {
     let content = match style {
-        Style::Text => Content::Text(text),
-        Style::Chat => Content::Delta(Message { role: ASSISTANT, content: text }),
+        CompletionFormat::Text => Content::Text(text),
+        CompletionFormat::Chat => Content::Delta(Message { role: ASSISTANT, content: text }),
     };
     event(index, style, model, content, None)
 }
 
 /// The events at the end of a whole answer of `tokens` tokens.
-pub fn done(style: Style, model: &str, tokens: u32) -> Bytes {
+pub fn done(style: CompletionFormat, model: &str, tokens: u32) -> Bytes {
     let content = match style {
-        Style::Text => Content::Text(""),
-        Style::Chat => Content::Delta(Message { role: ASSISTANT, content: "" }),
+        CompletionFormat::Text => Content::Text(""),
+        CompletionFormat::Chat => Content::Delta(Message { role: ASSISTANT, content: "" }),
     };
     let mut bytes = event(tokens, style, model, content, Some("stop")).to_vec();
     bytes.extend_from_slice(b"data: [DONE]\n\n");
@@ -76,7 +76,7 @@
 
 fn event(
     id: u32,
-    style: Style,
+    style: CompletionFormat,
     model: &str,
     content: Content<'_>,
     finish_reason: Option<&'static str>,
@@ -101,10 +101,10 @@
 }
 
 /// A whole answer in one piece.
-pub fn whole(style: Style, model: &str, id: &str, text: &str, tokens: u32) -> Vec<u8> {
+pub fn whole(style: CompletionFormat, model: &str, id: &str, text: &str, tokens: u32) -> Vec<u8> {
     let content = match style {
-        Style::Text => Content::Text(text),
-        Style::Chat => Content::Message(Message { role: ASSISTANT, content: text }),
+        CompletionFormat::Text => Content::Text(text),
+        CompletionFormat::Chat => Content::Message(Message { role: ASSISTANT, content: text }),
     };
     let choices = [Choice { index: 0, content, finish_reason: Some("stop") }];
     let usage = Usage { completion_tokens: tokens };
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -39,7 +39,7 @@
 use workshold_protocol::peer::TeamDemand;
 use workshold_protocol::report::InstanceKind;
 
-use crate::callers::plain::ServiceBalancer;
+use crate::callers::services::ServiceBalancer;
 use crate::counters::Counters;
 use crate::dispatcher::ModelDispatcher;
 use crate::events::Event;
