--- a/crates/workshold-protocol/src/bundle.rs
+++ b/crates/workshold-protocol/src/bundle.rs
@@ -1,7 +1,7 @@
-//! The bundle: the one versioned description of what is to be served.
+//! The bundle: the versioned configuration of models, services and teams that a deployment serves.
 //!
-//! Operators write it in TOML, sign it, publish it and sign it off. Checking
-//! finds every fault at once and names its place.
+//! Operators write it in TOML, sign it, publish it to the log, and sign it off, which puts it in
+//! force. Validation reports all faults at once, each with its path in the file.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,18 +23,18 @@
 use crate::signing::OperatorKey;
 use crate::signing::OperatorSignature;
 
-/// The largest group that a role may ask for, in instances.
+/// Maximum size of a group, in instances.
 pub const MAX_GROUP_SIZE: u16 = 64;
-/// The largest bundle, in bytes of its text.
+/// Maximum length of a bundle's TOML text, in bytes.
 pub const MAX_BUNDLE_LEN: usize = 256 * 1024;
 
-/// What is to be served, for whom, and what matters most.
+/// What a deployment serves, for which teams, and what its losses cost.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// The operators' own name of this edition; shown everywhere.
+    /// Name that the operators give this version of the bundle, for output.
     pub name: String,
-    /// What an hour of either kind of loss costs this deployment.
+    /// Costs by which stewards choose how to repair groups.
     #[serde(default)]
     pub weights: CostWeights,
     /// The models, by name.
@@ -48,13 +48,13 @@
     pub teams: BTreeMap<TeamName, Team>,
 }
 
-/// The relative cost of the two losses that are measured.
+/// Relative costs of an hour of each of the two losses: missing groups and idle accelerators.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CostWeights {
-    /// Cost of one group missing for an hour.
+    /// Cost of one missing group for an hour.
     pub group_downtime: f64,
-    /// Cost of one accelerator in no serving group for an hour.
+    /// Cost of one accelerator that is in no serving group for an hour.
     pub stranded_accelerator: f64,
 }
 
@@ -64,20 +64,20 @@
     }
 }
 
-/// One model.
+/// A model and the groups that serve it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The version to run.
+    /// The version of the weights to run.
     pub version: Version,
-    /// How many groups are wanted over all data centres.
+    /// Number of groups wanted, over all data centres.
     pub replicas: u16,
-    /// The sizes that a group can have, best first.
+    /// The sizes that a group can have, most preferred first.
     pub roles: Vec<Role>,
     /// The adapters that every group loads.
     #[serde(default)]
     pub adapters: BTreeSet<AdapterName>,
-    /// Weights of one instance's part, in MiB; sets how long a load takes.
+    /// Size of the weights that one instance loads, in MiB; determines the expected load time.
     #[serde(default = "default_weights_mib")]
     pub weights_mib: u32,
 }
@@ -86,15 +86,15 @@
     1024
 }
 
-/// One size of a group.
+/// A size that a group of a model can have.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Role {
-    /// What the engines call it.
+    /// Name of the role in the engines' interface.
     pub name: RoleName,
-    /// How many instances of one fabric domain it takes.
+    /// Number of instances, all of one fabric domain.
     pub instances: u16,
-    /// Its worth as a share of the best role's.
+    /// Value of a group of this size relative to one of the best role: above 0 and at most 1.
     #[serde(default = "full_worth")]
     pub worth: f64,
 }
@@ -103,16 +103,17 @@
     1.0
 }
 
-/// One plain service that requests are routed to as they stand.
+/// A plain service: callers' requests are forwarded to one of its instances unchanged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Where callers find it, such as `/gate`.
+    /// Path prefix of its requests, such as `/gate`.
     pub path: String,
-    /// Calls of these methods may be run more than once.
+    /// HTTP methods whose requests may run more than once, so that they can be retried. GET, HEAD
+    /// and OPTIONS always may.
     #[serde(default)]
     pub repeatable_methods: BTreeSet<String>,
-    /// The longest that a call may take.
+    /// Maximum duration of a request, in milliseconds.
     #[serde(default = "default_service_deadline")]
     pub deadline: Millis,
 }
@@ -121,18 +122,19 @@
     Millis(10_000)
 }
 
-/// One team and its allowance over all nodes.
+/// A team and its rate limits, which apply to all nodes together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Requests a second.
+    /// Rate limit in requests per second.
     pub requests_per_s: f64,
-    /// Generated tokens a second.
+    /// Rate limit in generated tokens per second.
     pub tokens_per_s: f64,
-    /// Share of a full queue, against the other teams.
+    /// Weight of the team in the fair queue, relative to the other teams.
     #[serde(default = "default_share")]
     pub share: f64,
-    /// BLAKE3 hashes of the team's keys, in hexadecimal; empty believes the header.
+    /// BLAKE3 hashes of the team's API keys, in lower-case hexadecimal. If empty, requests need no
+    /// key: the team that their header names is trusted.
     #[serde(default)]
     pub key_hashes: BTreeSet<String>,
 }
@@ -141,12 +143,12 @@
     1.0
 }
 
-/// Something wrong with a bundle, and where.
+/// A fault that validation found in a bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// The key, as a path of the TOML text.
+    /// Path of the faulty key in the TOML text, such as `models.small.roles`.
     pub place: String,
-    /// What is wrong with it.
+    /// What is wrong with its value.
     pub why: String,
 }
 
@@ -167,11 +169,11 @@
 }
 
 impl Bundle {
-    /// Reads a bundle from TOML.
+    /// Parses a bundle from TOML. Does not look for faults, see [`Bundle::faults`].
     ///
     /// # Errors
     ///
-    /// [`Error::Unreadable`] with line and column of what the text breaks at.
+    /// [`Error::Unreadable`] if the text is too long or malformed, with line and column.
     pub fn from_toml(text: &str) -> Result<Self> {
         let unreadable = |why: String| Error::Unreadable { what: "the bundle".to_owned(), why };
         if text.len() > MAX_BUNDLE_LEN {
@@ -180,7 +182,8 @@
         toml::from_str(text).map_err(|err| unreadable(err.to_string()))
     }
 
-    /// Every fault, in the order of the text's keys; empty for a good bundle.
+    /// Validates the bundle and returns all faults, in the order of the text's tables; none if the
+    /// bundle is valid.
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults = Faults(Vec::new());
         faults.unless(!self.name.trim().is_empty(), "name".to_owned(), "it is empty");
@@ -193,11 +196,11 @@
         faults.0
     }
 
-    /// This bundle if it has no fault.
+    /// Returns the bundle if it is valid.
     ///
     /// # Errors
     ///
-    /// [`Error::BadBundle`] with the count and the first fault.
+    /// [`Error::BadBundle`] with the number of faults and the first of them.
     pub fn into_validated(self) -> Result<Self> {
         match self.faults().as_slice() {
             [] => Ok(self),
@@ -207,16 +210,18 @@
         }
     }
 
-    /// The content's name: a digest of its canonical text.
+    /// Returns the digest of the canonical text, which identifies the bundle.
     pub fn hash(&self) -> BundleHash {
         BundleHash::of(self.canonical().as_bytes())
     }
 
-    /// The one text that is signed and hashed; maps are ordered, so it is stable.
+    /// Returns the JSON text that is signed and hashed. Its maps are ordered, so equal bundles
+    /// have equal texts.
     pub fn canonical(&self) -> String {
         serde_json::to_string(self).expect("a bundle has only text keys")
     }
 
+    /// Reports each service whose path overlaps with that of another service before it.
     fn check_paths(&self, faults: &mut Faults) {
         let services: Vec<_> = self.services.iter().collect();
         for (i, (name, service)) in services.iter().enumerate() {
@@ -225,6 +230,7 @@
         }
     }
 
+    /// Reports each team that has an API key of another team before it.
     fn check_keys(&self, faults: &mut Faults) {
         let mut seen = BTreeSet::new();
         for (name, team) in &self.teams {
@@ -238,6 +244,7 @@
     }
 }
 
+/// Whether two path prefixes are equal or one contains the other.
 fn overlap(a: &str, b: &str) -> bool {
     let inside = |a: &str, b: &str| a == b || a.starts_with(&format!("{b}/"));
     inside(a, b) || inside(b, a)
@@ -269,13 +276,13 @@
         faults.unless(self.weights_mib > 0, place("weights_mib"), "it must be above 0");
     }
 
-    /// The role of `name`, if this model has it.
+    /// Returns the role called `name`; `None` if this model has no such role.
     pub fn role(&self, name: &RoleName) -> Option<&Role> {
         self.roles.iter().find(|role| &role.name == name)
     }
 }
 
-/// Paths that the nodes keep for themselves.
+/// Path prefixes of the nodes' own endpoints, which no service may use.
 const RESERVED_PATHS: [&str; 3] = ["/v1", "/debug", "/health"];
 
 impl Service {
@@ -288,13 +295,13 @@
         faults.unless(self.deadline > Millis::ZERO, place("deadline"), "it must be above 0");
     }
 
-    /// Whether a call by `method` may run more than once.
+    /// Whether a request with this HTTP method may run more than once.
     pub fn is_repeatable(&self, method: &str) -> bool {
         matches!(method, "GET" | "HEAD" | "OPTIONS") || self.repeatable_methods.contains(method)
     }
 }
 
-/// Hexadecimal digits of a key's hash.
+/// Length of an API key's hash, in hexadecimal digits.
 const KEY_HASH_LEN: usize = 64;
 
 impl Team {
@@ -313,13 +320,13 @@
     }
 }
 
-/// A bundle with an operator's signature over its canonical text.
+/// A bundle and an operator's signature of its canonical text.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedBundle {
-    /// The bundle.
+    /// The bundle that was signed.
     pub bundle: Bundle,
-    /// The signature.
+    /// Signature of [`Bundle::canonical`].
     pub signature: OperatorSignature,
 }
 
--- a/crates/workshold-protocol/src/clock.rs
+++ b/crates/workshold-protocol/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock type of the project, in milliseconds.
+//! Times and durations in milliseconds, and the clocks that they are read from.
 
 use std::fmt;
 use std::ops::Add;
@@ -12,9 +12,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A point in time or a span, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 ///
-/// Points read from [`Clock::now`] only compare with points of the same clock.
+/// Times from [`Clock::now`] can only be compared with times of the same clock.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -22,25 +22,25 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The start of time, and the empty span.
+    /// The earliest time, and the empty duration.
     pub const ZERO: Self = Self(0);
 
-    /// A span of whole seconds.
+    /// Converts whole seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * 1000)
     }
 
-    /// The span from `earlier` to here; zero if `earlier` is later.
+    /// Returns the duration from `earlier` to `self`; zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// The same span for the standard library.
+    /// Converts to the standard library's type.
     pub const fn to_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 
-    /// Seconds as a floating-point number, for rates.
+    /// Returns seconds as a floating-point number, for rates.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1000.0
     }
@@ -68,23 +68,24 @@
     }
 }
 
-/// Where a process reads the time.
+/// Source of the current time; tests and the model checker use their own.
 pub trait Clock: Send + Sync {
-    /// Time since some fixed point of this process; never goes back.
+    /// Returns the monotonic time since a point that is fixed for this clock.
     fn now(&self) -> Millis;
 
-    /// Time since the Unix epoch as the machine believes it; may jump.
+    /// Returns the wall-clock time since the Unix epoch; it may jump when the machine's clock is
+    /// set.
     fn wall(&self) -> Millis;
 }
 
-/// The machine's own clocks. Time while the machine sleeps counts: a lease or a key that
-/// is good for seconds is not good for longer because nobody was awake.
+/// The operating system's clocks. Its monotonic time includes the time that the machine was
+/// suspended, so that a lease or a key expires on time even then.
 #[derive(Debug)]
 pub struct SystemClock {
     start: Duration,
 }
 
-/// Added to the process clock, so that `now - ttl` never meets zero.
+/// Added to the process clock, so that `now - ttl` is not cut off at zero just after the start.
 const CLOCK_BASE: Millis = Millis::from_secs(1_000);
 
 impl Default for SystemClock {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Time since the machine began, its sleep included; it never goes back.
+/// Returns the monotonic time since the machine booted, including time suspended.
 pub fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let nanos = u32::try_from(time.tv_nsec).unwrap_or_default();
--- a/crates/workshold-protocol/src/engine.rs
+++ b/crates/workshold-protocol/src/engine.rs
@@ -1,12 +1,12 @@
-//! The model engines' and the plain services' interface, as published.
+//! The HTTP interface of model engines and plain services.
 //!
-//! - `GET /engine/report` gives a [`crate::report::Report`].
-//! - `POST /engine/orders` takes a [`crate::report::Order`]; an engine that
-//!   fences answers 409 to an old number.
-//! - `POST /engine/generate` takes a [`GenerateRequest`] and streams a
-//!   [`TokenEvent`] a line. 503 with [`NOT_STARTED_HEADER`] means that nothing ran.
-//! - `GET /engine/streams/{id}?from=N` gives the stream's events from token `N`
-//!   on, while the engine keeps it; `DELETE` of the same path cancels it.
+//! - `GET /engine/report` returns a [`crate::report::Report`].
+//! - `POST /engine/orders` takes a [`crate::report::Order`]; an engine that checks fencing tokens
+//!   answers 409 to a token lower than one it has seen.
+//! - `POST /engine/generate` takes a [`GenerateRequest`] and streams one [`TokenEvent`] per line.
+//!   Status 503 with [`NOT_STARTED_HEADER`] means that nothing ran.
+//! - `GET /engine/streams/{id}?from=N` returns the stream's events from token `N` on, for as long
+//!   as the engine keeps the stream; `DELETE` on the same path cancels it.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,52 +16,53 @@
 use crate::ids::GroupId;
 use crate::ids::ModelName;
 
-/// Set to `yes` on a refusal that was made before anything ran.
+/// Response header, set to `yes` if the engine rejected a request before it ran any of it. Such a
+/// request can safely be retried elsewhere.
 pub const NOT_STARTED_HEADER: &str = "x-not-started";
 
-/// What an engine is asked to generate.
+/// Body of `POST /engine/generate`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// Names the stream, for resuming and cancelling.
+    /// Id of the stream, for resuming and cancelling it.
     pub stream: String,
-    /// The group the sender believes it talks to.
+    /// The group that the sender takes the engine for a member of.
     pub group: GroupId,
-    /// And its fencing number; an engine that fences refuses another.
+    /// The fencing token of that group; an engine that checks tokens rejects any other.
     pub fence: FencingToken,
-    /// The model.
+    /// The model to run.
     pub model: ModelName,
-    /// The adapter, if one is wanted.
+    /// The adapter to apply, if any.
     pub adapter: Option<AdapterName>,
-    /// The prompt.
+    /// Text to continue.
     pub prompt: String,
-    /// Tokens that were generated already, when another engine takes over.
+    /// Tokens that another engine generated before this one took over the request.
     #[serde(default)]
     pub generated: Vec<String>,
-    /// The most tokens to have in the end, those in `generated` included.
+    /// Maximum number of tokens in the answer, including those in `generated`.
     pub max_tokens: u32,
-    /// Higher goes first.
+    /// Scheduling priority in the engine; higher runs first.
     pub priority: u8,
 }
 
-/// One line of an engine's stream.
+/// One line of an engine's output stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TokenEvent {
-    /// One token.
+    /// A generated token.
     Token {
-        /// Its place in the answer, from 0.
+        /// Position in the answer, from 0.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The answer is whole.
+    /// End of a complete answer.
     Done {
-        /// How many tokens it has.
+        /// Number of tokens in the answer.
         tokens: u32,
     },
-    /// The engine gave up.
+    /// The engine failed; the stream ends without a complete answer.
     Failed {
-        /// Why.
+        /// Error message of the engine.
         why: String,
     },
 }
--- a/crates/workshold-protocol/src/error.rs
+++ b/crates/workshold-protocol/src/error.rs
@@ -1,54 +1,54 @@
-//! The one error type of the shared crates: what went wrong, where, and what helps.
+//! The error type that the crates of this project share for invalid input.
 
 use displaydoc::Display;
 
 /// A result whose error is [`Error`].
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What can be wrong with something that came from outside.
+/// Why input from outside the process was rejected: settings, files, records, messages, headers.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Error {
     /// "{text}" is not a name of a {kind}
     BadName {
-        /// What the name was for.
+        /// What the text should name, such as `node`.
         kind: &'static str,
-        /// The text, cut to the longest name.
+        /// The rejected text, cut to [`crate::ids::MAX_NAME_LEN`] characters.
         text: String,
     },
     /// "{text}" is not a digest
     BadDigest {
-        /// The text, cut short.
+        /// The rejected text, cut to [`crate::ids::MAX_NAME_LEN`] characters.
         text: String,
     },
     /// {what} cannot be read: {why}
     Unreadable {
-        /// What was being read.
+        /// What was being read, such as `the bundle`.
         what: String,
-        /// What the reader said.
+        /// The parser's error message.
         why: String,
     },
     /// the bundle has {} fault(s)
     #[displaydoc("the bundle has {count} fault(s); the first: {first}")]
     BadBundle {
-        /// How many.
+        /// Number of faults.
         count: usize,
-        /// The first of them.
+        /// The first fault, with its path.
         first: String,
     },
-    /// the seal of a record or message does not fit its content
+    /// the seal of a record or message does not match its content
     BadSeal,
     /// the key "{key}" is not among the trusted operators
     UntrustedKey {
-        /// The public key.
+        /// The public key, in base64.
         key: String,
     },
-    /// the signature does not fit the content
+    /// the signature does not match the content
     BadSignature,
     /// {what} may not be written by {author}
     NotAllowed {
-        /// The kind of record.
+        /// The kind of fact, as [`crate::record::Fact::kind`] names it.
         what: &'static str,
-        /// Who sealed it.
+        /// Who sealed the record: a node, or an operator by name.
         author: String,
     },
     /// the idempotency key is not a UUID of version 7
@@ -56,7 +56,7 @@
 }
 
 impl Error {
-    /// One line on what to do about it.
+    /// Returns one line of advice for the operator or caller who sees the error.
     pub fn help(&self) -> &'static str {
         match self {
             Self::BadName { .. } => "use 1 to 64 letters, digits, dots, dashes or underscores",
--- a/crates/workshold-protocol/src/ids.rs
+++ b/crates/workshold-protocol/src/ids.rs
@@ -1,4 +1,5 @@
-//! Names of things. Every name is checked when it is made or read.
+//! Identifiers: names, numbers and digests. Names are validated when they are constructed or
+//! deserialised.
 
 use std::fmt;
 
@@ -9,7 +10,7 @@
 use crate::error::Error;
 use crate::error::Result;
 
-/// The longest name of anything, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
 fn check_name(kind: &'static str, text: &str) -> Result<SmolStr> {
@@ -28,17 +29,17 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// Checks `text` and makes a name of it.
+            /// Validates `text` as a name.
             ///
             /// # Errors
             ///
-            /// [`Error::BadName`] unless it has 1 to [`MAX_NAME_LEN`] letters,
+            /// [`Error::BadName`] unless it consists of 1 to [`MAX_NAME_LEN`] ASCII letters,
             /// digits, dots, dashes or underscores.
             pub fn new(text: &str) -> Result<Self> {
                 check_name($kind, text).map(Self)
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 self.0.as_str()
             }
@@ -67,15 +68,15 @@
 }
 
 names! {
-    /// A machine that runs a model engine, or one machine of a plain service.
+    /// A machine that runs a model engine or a plain (non-model) service.
     InstanceId = "instance";
-    /// An entry instance: a process of this project that callers connect to.
+    /// An entry node: a process of this project that callers connect to.
     NodeId = "node";
     /// A data centre.
     DataCentre = "data centre";
-    /// A fabric domain: instances with a fast network among them.
+    /// A fabric domain: instances that share a fast network. A group never spans two of them.
     FabricDomain = "fabric domain";
-    /// A replica group: the instances that serve one copy of a model together.
+    /// A replica group: the instances that together serve one copy of a model.
     GroupId = "group";
     /// A model.
     ModelName = "model";
@@ -83,13 +84,13 @@
     Version = "version";
     /// An adapter of a model.
     AdapterName = "adapter";
-    /// A role that a group of a certain size can take.
+    /// A role: one of the sizes that a group of a model can have.
     RoleName = "role";
     /// A customer's team.
     TeamName = "team";
-    /// A plain service beside the model engines.
+    /// A plain service: upstream instances without a model, such as a web API.
     ServiceName = "service";
-    /// A person who may sign bundles.
+    /// An operator: a person who may sign bundles.
     OperatorName = "operator";
 }
 
@@ -110,16 +111,18 @@
 }
 
 numbers! {
-    /// A place in the platform's log; the first record has 0.
+    /// Offset of a record in the platform's log; the first record has 0.
     Offset;
-    /// A fencing number: the offset of the claim that an order was sent under.
+    /// A fencing token: the log offset of the record that formed a group or that an order carries
+    /// out. An instance that checks tokens rejects an order whose token is lower than one it has
+    /// seen.
     FencingToken;
-    /// Which life of an instance or node this is; changes at every start.
+    /// Incarnation of an instance or node: an id that changes each time its process starts.
     Incarnation;
 }
 
 impl Offset {
-    /// The place after this one.
+    /// Returns the offset after this one.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -140,14 +143,14 @@
         pub struct $name(pub [u8; DIGEST_LEN]);
 
         impl $name {
-            /// The digest of `bytes`.
+            /// Computes the digest of `bytes`: BLAKE3, cut to [`DIGEST_LEN`] bytes.
             pub fn of(bytes: &[u8]) -> Self {
                 let mut out = [0; DIGEST_LEN];
                 out.copy_from_slice(&blake3::hash(bytes).as_bytes()[..DIGEST_LEN]);
                 Self(out)
             }
 
-            /// The first characters, enough to tell two apart on a screen.
+            /// Returns the first hexadecimal digits, enough to tell two digests apart in output.
             pub fn short(&self) -> String {
                 self.to_string()[..SHORT_DIGEST].to_owned()
             }
@@ -175,8 +178,9 @@
     )*};
 }
 
-/// Bytes of a digest; 128 bits make a collision by chance out of the question.
+/// Length of a digest, in bytes. At 128 bits, accidental collisions are negligible.
 pub const DIGEST_LEN: usize = 16;
+/// Number of hexadecimal digits in a digest's short form.
 const SHORT_DIGEST: usize = 12;
 
 fn parse_digest(text: &str) -> Result<[u8; DIGEST_LEN]> {
@@ -192,20 +196,21 @@
 }
 
 digests! {
-    /// Names a bundle by its content.
+    /// Digest of a bundle's canonical text; identifies the bundle.
     BundleHash;
-    /// Names an idempotency key without telling it, bound to its team.
+    /// Digest of an idempotency key and its team; identifies the key without revealing it.
     KeyDigest;
-    /// Names what a request asked for, to notice a key used for two things.
+    /// Digest of a request's content; detects an idempotency key reused for another request.
     RequestDigest;
-    /// Names all that a node has replayed so far.
+    /// Digest of all records that a node has replayed so far.
     StateDigest;
-    /// Names a record, so that one appended twice counts once.
+    /// Random id of a record. A record that was appended twice, because a reply was lost, has one
+    /// id and counts once.
     RecordId;
 }
 
 impl RecordId {
-    /// A new one that nobody else has.
+    /// Generates a random id.
     pub fn random() -> Self {
         Self(rand::random())
     }
--- a/crates/workshold-protocol/src/lib.rs
+++ b/crates/workshold-protocol/src/lib.rs
@@ -1,10 +1,14 @@
-//! Types, records and messages that the processes of workshold share.
+//! Types, log records and messages that the processes of workshold share.
 //!
-//! This crate depends on little and decides nothing: it names things
-//! ([`ids`]), says what time is ([`clock`]), what stands in the platform's log
-//! ([`record`]), what operators sign ([`bundle`], [`signing`]), what upstreams
-//! report and are told ([`report`]), what nodes tell each other ([`peer`]) and
-//! what callers read when a request fails ([`problem`]).
+//! The crate holds data types and their checks, and no serving logic:
+//!
+//! - [`ids`]: names, offsets, fencing tokens and digests;
+//! - [`clock`]: the clock and the type for times and durations;
+//! - [`record`]: records of the platform's log service, and [`log_api`] that service's interface;
+//! - [`bundle`] and [`signing`]: the configuration that operators sign, and keys and signatures;
+//! - [`engine`] and [`report`]: the interface of model engines, their reports and orders;
+//! - [`peer`]: messages between nodes;
+//! - [`problem`]: the error document that a caller gets when a request fails.
 
 pub mod bundle;
 pub mod clock;
--- a/crates/workshold-protocol/src/log_api.rs
+++ b/crates/workshold-protocol/src/log_api.rs
@@ -1,47 +1,47 @@
-//! The platform's log service, as its published interface has it.
+//! The HTTP interface of the platform's log service.
 //!
-//! `POST /streams/{stream}/records` with an [`AppendRequest`] appends, and
-//! `GET /streams/{stream}/records?from=N&wait_ms=M` reads on from an offset,
-//! waiting up to `M` ms for something new.
+//! `POST /streams/{stream}/records` appends an [`AppendRequest`] and returns an [`AppendReply`].
+//! `GET /streams/{stream}/records?from=N&wait_ms=M` returns a [`ReadReply`] with the records from
+//! offset `N` on; if there are none yet, it waits up to `M` ms for the next one (long poll).
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::ids::Offset;
 
-/// The stream that this system keeps.
+/// Name of the log stream that workshold writes.
 pub const STREAM: &str = "workshold";
 
-/// What is to be appended.
+/// Body of an append.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AppendRequest {
-    /// One record.
+    /// The sealed text of one record, see [`crate::record`].
     pub data: String,
 }
 
-/// Where it stands now.
+/// Response to an append.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct AppendReply {
-    /// Its offset.
+    /// Offset of the appended record.
     pub offset: Offset,
 }
 
-/// Part of a stream.
+/// Response to a read: a range of a stream's records.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReadReply {
-    /// The first offset that is still kept.
+    /// Offset of the oldest record that the service still stores.
     pub first: Offset,
-    /// The first offset that is not yet taken.
+    /// Offset that the next appended record will have.
     pub end: Offset,
-    /// Records from the offset asked for on, without gaps.
+    /// Records from the requested offset on, without gaps.
     pub records: Vec<ReadRecord>,
 }
 
-/// One record of a stream.
+/// One record of a stream, as read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReadRecord {
-    /// Where it stands.
+    /// Offset of the record.
     pub offset: Offset,
-    /// What was appended.
+    /// The text that was appended.
     pub data: String,
 }
--- a/crates/workshold-protocol/src/peer.rs
+++ b/crates/workshold-protocol/src/peer.rs
@@ -1,8 +1,9 @@
-//! What nodes ask and tell each other.
+//! Messages between nodes.
 //!
-//! A node asks and another answers; nothing is pushed. The asker knows when it
-//! asked, so whatever an answer calls `age` old is at most that much older than
-//! the question by the asker's own clock, however long either was under way.
+//! Nodes poll each other; nothing is pushed. An answer states the age of its data instead of
+//! a time, since clocks of two nodes can't be compared. The requester subtracts that age from the
+//! time at which it sent the request, by its own clock: the data is no older than that, whatever
+//! the network delays were.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -25,169 +26,175 @@
 use crate::signing::KEY_LEN;
 use crate::signing::SealPurpose;
 
-/// A question with the number that its answer must repeat.
+/// A request to another node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerRequest {
-    /// Unguessable; an answer to another question is dropped.
+    /// Random number that the answer must repeat. An answer with another nonce, such as a late or
+    /// replayed one, is dropped.
     pub nonce: u64,
-    /// Who asks.
+    /// The requesting node.
     pub from: NodeId,
-    /// What.
+    /// What is requested.
     pub ask: PeerQuery,
 }
 
-/// What a node may ask.
+/// What a node can request from another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerQuery {
-    /// How are you, and which reports do you have?
+    /// The node's status and what it knows of instances and groups.
     Digest {
-        /// Where the asker is. A node of the same data centre is told the reports
-        /// that this one probed itself; a node of another, which groups serve here.
+        /// Data centre of the requester. A node of the same data centre gets the reports that the
+        /// answering node obtained by its own probes. A node of another one gets the groups that
+        /// serve here and the status of the other nodes here.
         data_centre: DataCentre,
     },
-    /// The records as they stand, for a node that cannot reach the log.
+    /// Records of the log, for a node that cannot reach the log service.
     Records {
-        /// The first one wanted.
+        /// Offset of the first record wanted.
         from: Offset,
     },
-    /// What came of the request with this key?
+    /// The stored result of the request with an idempotency key.
     KeyResult {
-        /// The key.
+        /// Digest of the idempotency key.
         key: KeyDigest,
     },
 }
 
-/// An answer to a [`PeerRequest`].
+/// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerResponse {
-    /// The question's number.
+    /// The nonce of the request.
     pub nonce: u64,
-    /// Who answers.
+    /// The answering node.
     pub from: NodeId,
-    /// The answer itself.
+    /// Content of the answer.
     pub body: PeerResponseBody,
 }
 
-/// What a node may answer.
+/// Content of an [`PeerResponse`], by the kind of request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponseBody {
-    /// To [`PeerQuery::Digest`].
+    /// Answers [`PeerQuery::Digest`].
     Digest(Box<NodeSummary>),
-    /// To [`PeerQuery::Records`]: what it has from there on, or from its checkpoint.
+    /// Answers [`PeerQuery::Records`] with the records from the requested offset on, or from the
+    /// answering node's checkpoint if that is all it still has.
     Records {
-        /// Offsets and sealed texts.
+        /// Offsets and sealed texts of the records.
         records: Vec<(Offset, String)>,
-        /// The first offset that the answering node does not know.
+        /// The first offset that the answering node has not read.
         next: Offset,
-        /// Whether that may be taken for what is in force.
+        /// Whether the answering node is authoritative: whether the bundle that it has read may be
+        /// treated as the one in force.
         custody: bool,
     },
-    /// To [`PeerQuery::KeyResult`].
+    /// Answers [`PeerQuery::KeyResult`]; `None` if the node has no result for the key.
     KeyResult(Option<StoredResponse>),
 }
 
-/// How a node is, and what it knows.
+/// A node's status and what it knows of instances, groups and other nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeSummary {
-    /// The node itself.
+    /// Status of the answering node.
     pub own: NodeStatus,
-    /// For an asker of another data centre: the other nodes of this one.
+    /// The other live nodes of its data centre; empty for a requester of the same data centre.
     pub near: Vec<AgedNode>,
-    /// For an asker of the same data centre: reports it probed, each with its age.
+    /// Reports from its own probes; empty for a requester of another data centre.
     pub reports: Vec<AgedReport>,
-    /// For an asker of another data centre: the groups of this one that serve.
+    /// The groups of its data centre that serve; empty for a requester of the same data centre.
     pub groups: Vec<AgedGroup>,
 }
 
-/// A group that a node judged by the reports of every member, and how old the
-/// oldest of them was when the answer was written.
+/// A group that a node found ready by checking the reports of all members.
+///
+/// Ages are as of the time at which the answer was written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgedGroup {
-    /// The group.
+    /// Name of the group.
     pub group: GroupId,
-    /// Its fencing number.
+    /// Its fencing token.
     pub fence: FencingToken,
-    /// Age of the oldest report that it stands on.
+    /// Age of the oldest member's report.
     pub age: Millis,
-    /// Age of its head's report, which has the load.
+    /// Age of the report of the head (the member that serves callers), which states the load.
     pub load_age: Millis,
-    /// Requests in it by that report.
+    /// Requests in the group, running and queued, by the head's report.
     pub reported: u32,
-    /// Requests that it works on at once.
+    /// Requests that the group can run at once.
     pub slots: u32,
 }
 
-/// How a node is.
+/// Status that a node reports of itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Which life of the node speaks.
+    /// Incarnation of the node's process.
     pub incarnation: Incarnation,
     /// Whether it serves callers.
     pub ready: bool,
-    /// Whether what it has read may be taken for what is in force.
+    /// Whether it is authoritative: whether the bundle that it has read may be treated as the one
+    /// in force.
     pub custody: bool,
-    /// Whether it is about to stop.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Where it is.
+    /// Its data centre.
     pub data_centre: DataCentre,
-    /// Where callers reach it.
+    /// Address at which callers reach it.
     pub callers: String,
-    /// The bundle it runs.
+    /// The bundle that it serves by; `None` if it has read none.
     pub bundle: Option<BundleHash>,
-    /// The first offset it has not replayed.
+    /// The first offset of the log that it has not replayed.
     pub next: Offset,
-    /// Requests it is working on.
+    /// Requests in progress.
     pub in_flight: u32,
-    /// What each team wanted there of late.
+    /// Recent request rates of the teams at this node.
     pub demand: Vec<TeamDemand>,
 }
 
-/// A team's demand at one node.
+/// Recent request rate of a team at one node. Nodes split a team's rate limit by it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamDemand {
-    /// The team.
+    /// Name of the team.
     pub team: TeamName,
-    /// Requests a second, smoothed.
+    /// Requests per second, smoothed.
     pub requests_per_s: f32,
 }
 
-/// A node's status and how long ago it was asked for, when the answer was written.
+/// Status of a third node, with its age when the answer was written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgedNode {
-    /// The node.
+    /// Name of that node.
     pub node: NodeId,
-    /// Time since it was asked, by the clock of whoever answers.
+    /// Time since the answering node requested the status, by its own clock.
     pub age: Millis,
-    /// What it said.
+    /// The status.
     pub status: NodeStatus,
 }
 
-/// A report and how long ago its probe was sent, when the answer was written.
+/// An instance's report, with its age when the answer was written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgedReport {
-    /// Whose it is.
+    /// The instance that reported.
     pub instance: InstanceId,
-    /// Time since the probe was sent, by the clock of whoever answers.
+    /// Time since the answering node sent the probe, by its own clock.
     pub age: Millis,
-    /// The report.
+    /// The report, whose `lag` is not part of `age`.
     pub report: Report,
 }
 
-/// The whole answer of a request that ran once.
+/// The HTTP response of a request with an idempotency key, stored for repeats of the request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type.
+    /// Value of `Content-Type`.
     pub content_type: String,
-    /// Body.
+    /// The whole body.
     pub body: Vec<u8>,
 }
 
-/// The longest message between nodes, in bytes.
+/// Maximum length of a message between nodes, seal included, in bytes.
 pub const MAX_MESSAGE_LEN: usize = 4 * 1024 * 1024;
 
-/// Packs `message` and puts its seal before it.
+/// Serialises `message` in postcard format and puts its seal before it.
 pub fn encode_sealed<T: Serialize>(message: &T, key: &ClusterKey) -> Vec<u8> {
     let body = postcard::to_stdvec(message).expect("messages have only sized parts");
     let mut out = key.seal(SealPurpose::Peer, &body).to_vec();
@@ -195,12 +202,12 @@
     out
 }
 
-/// Checks the seal and unpacks a message.
+/// Checks the seal of a message and deserialises it.
 ///
 /// # Errors
 ///
-/// [`Error::BadSeal`] for a seal of another key, [`Error::Unreadable`] for
-/// content that is no message.
+/// [`Error::BadSeal`] if the length is out of range or the seal was made with another key,
+/// [`Error::Unreadable`] if the content is not a `T`.
 pub fn decode_sealed<T: for<'de> Deserialize<'de>>(bytes: &[u8], key: &ClusterKey) -> Result<T> {
     if bytes.len() < KEY_LEN || bytes.len() > MAX_MESSAGE_LEN {
         return Err(Error::BadSeal);
--- a/crates/workshold-protocol/src/problem.rs
+++ b/crates/workshold-protocol/src/problem.rs
@@ -1,66 +1,67 @@
-//! What a caller reads when a request fails: `application/problem+json`.
+//! The error document that a caller gets when a request fails: `application/problem+json`.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::clock::Millis;
 
-/// Whether a failed request ran.
+/// Whether a failed request was executed. Callers use it to decide whether a retry is safe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionStatus {
-    /// Proved: it did not run and will not.
+    /// The request certainly did not run and will not.
     No,
-    /// It may have run, in part or whole.
+    /// The request may have run, in part or completely.
     Unknown,
 }
 
-/// Stable codes of everything that can go wrong for a caller.
+/// Stable codes of the errors that a caller can get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProblemCode {
-    /// The request makes no sense; asking again does not help.
+    /// The request is malformed; a retry does not help.
     BadRequest,
-    /// The body is longer than the node takes.
+    /// The body is longer than the node accepts.
     TooLarge,
-    /// The team's key is missing or wrong.
+    /// The team's API key is missing or wrong.
     Unauthorized,
     /// There is no such path, model, service or request.
     NotFound,
-    /// The method does not fit the path.
+    /// The path does not support the method.
     MethodNotAllowed,
-    /// A call that may run at most once has no idempotency key.
+    /// A request that must run at most once has no idempotency key.
     KeyRequired,
     /// The idempotency key was used for another request.
     KeyReused,
-    /// The idempotency key is older than what is remembered.
+    /// The idempotency key is older than the keys that nodes still remember.
     KeyExpired,
     /// The request with this key is still running on some node.
     KeyInProgress,
-    /// The team is over its allowance.
+    /// The team exceeds its rate limit.
     TeamLimit,
-    /// The queue is too long for the deadline.
+    /// The queue is too long for the request to meet its deadline.
     Overloaded,
     /// No group serves this model at the moment.
     NoGroup,
     /// No instance of this service can be reached.
     NoUpstream,
-    /// What must last cannot be written at the moment.
+    /// The request must be recorded in the log before it runs, and the log cannot be written at
+    /// the moment.
     LogUnavailable,
     /// This node does not know the bundle in force.
     NotReady,
-    /// This node is about to stop.
+    /// This node is shutting down.
     Leaving,
-    /// The deadline passed.
+    /// The deadline passed before the request completed.
     DeadlineExceeded,
-    /// The upstream failed after it had been sent the request.
+    /// The upstream failed after the request had been sent to it.
     UpstreamFailed,
-    /// The stream to be resumed is gone.
+    /// The stream to resume no longer exists.
     ResumeLost,
 }
 
 impl ProblemCode {
-    /// HTTP status that goes with the code.
+    /// Returns the HTTP status of responses with this code.
     pub const fn status(self) -> u16 {
         match self {
             Self::BadRequest | Self::KeyRequired => 400,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// A short title for people.
+    /// Returns a short title for people.
     pub const fn title(self) -> &'static str {
         match self {
             Self::BadRequest => "The request cannot be understood",
@@ -111,39 +112,39 @@
 /// The media type of a [`Problem`].
 pub const PROBLEM_JSON: &str = "application/problem+json";
 
-/// The final answer of a request that was not served.
+/// Body of the response to a request that failed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Stable code.
+    /// Stable code, for programs.
     pub code: ProblemCode,
-    /// Short title.
+    /// Short title of the code, for people.
     pub title: String,
-    /// HTTP status.
+    /// HTTP status, as in the response's status line.
     pub status: u16,
     /// What happened to this request.
     pub detail: String,
-    /// Whether it ran.
+    /// Whether the request was executed.
     pub ran: ExecutionStatus,
-    /// When to come back; also sent as `Retry-After`.
+    /// Time to wait before a retry; also sent as `Retry-After`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
-    /// Where to come back; empty means here.
+    /// Addresses of entry nodes at which to retry; empty means at this node.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub entries: Vec<String>,
 }
 
 impl Problem {
-    /// A problem of a request that did not run.
+    /// Creates a problem for a request that certainly did not run.
     pub fn not_run(code: ProblemCode, detail: impl Into<String>) -> Self {
         Self::new(code, ExecutionStatus::No, detail.into())
     }
 
-    /// A problem of a request that may have run.
+    /// Creates a problem for a request that may have run.
     pub fn may_have_run(code: ProblemCode, detail: impl Into<String>) -> Self {
         Self::new(code, ExecutionStatus::Unknown, detail.into())
     }
 
-    /// Says when to come back.
+    /// Sets the time to wait before a retry.
     #[must_use]
     pub fn retry_after(mut self, after: Millis) -> Self {
         self.retry_after_ms = Some(after);
@@ -163,7 +164,8 @@
     }
 }
 
-/// `Retry-After` in whole seconds, rounded up, as the header wants it.
+/// Converts to whole seconds for the `Retry-After` header, rounded up so that no caller retries
+/// too early.
 pub const fn retry_after_secs(after: Millis) -> u64 {
     after.0.div_ceil(1000)
 }
--- a/crates/workshold-protocol/src/record.rs
+++ b/crates/workshold-protocol/src/record.rs
@@ -1,9 +1,11 @@
-//! What stands in the platform's log.
+//! Records of the platform's log.
 //!
-//! A record is a sealed [`Envelope`] of one or more [`Fact`]s. The envelope is
-//! JSON text, so that what lasts can be read by people and by later versions.
-//! Every fact states what it relied on; the fold in `workshold-core` rejects it
-//! if that has moved, so a fact appended twice, or late, does no harm.
+//! A record is a sealed [`Envelope`] of one or more [`Fact`]s. The envelope is JSON text, so that
+//! stored records remain readable by people and by later versions.
+//!
+//! Every fact states the preconditions that its writer relied on. When nodes replay the log
+//! (`workshold-core`), they reject a fact whose preconditions no longer hold, so a fact that was
+//! appended twice or too late does no harm.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -34,48 +36,50 @@
 use crate::signing::SealPurpose;
 use crate::signing::TrustedOperators;
 
-/// One append: several facts that stand at the same offset.
+/// Content of one append: facts that share an offset.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
-    /// Names this append, also when it is made again after a lost reply.
+    /// Id of the append. A retry after a lost reply keeps the id, so that the two records are
+    /// recognised as one.
     pub id: RecordId,
-    /// Wall time of the writer; for people only, no rule reads it.
+    /// Wall-clock time of the writer; for people only, no decision depends on it.
     pub at: Millis,
-    /// What it says.
+    /// The facts to apply, in this order.
     pub facts: Vec<Fact>,
 }
 
 impl Envelope {
-    /// An envelope with a new id.
+    /// Creates an envelope with a new id.
     pub fn new(at: Millis, facts: Vec<Fact>) -> Self {
         Self { id: RecordId::random(), at, facts }
     }
 }
 
-/// One lasting decision.
+/// A decision that the log records: an entry in the deployment's replicated state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fact {
-    /// A bundle can now be signed off.
+    /// A bundle is available and can be signed off.
     BundlePublished(Box<SignedBundle>),
     /// A bundle replaces `parent` as the one in force.
     BundleSignedOff(SignOff),
-    /// An instance is to be taken out of service with a plan.
+    /// An operator requests, or withdraws the request, to take an instance out of service in an
+    /// orderly way.
     StopRequested(StopRequest),
-    /// Free instances become one group. Its offset is the fencing number.
+    /// Free instances form a group. The offset of this record is the group's fencing token.
     GroupFormed(GroupFormation),
-    /// A group takes no new work.
+    /// A group drains: it takes no new requests.
     GroupDraining(GroupEnd),
-    /// A group has ended; its members are still claimed.
+    /// A group has ended; its members stay claimed until they are released.
     GroupDissolved(GroupEnd),
-    /// A member of an ended group is free again.
+    /// A member of a dissolved group is free for other groups.
     MemberReleased(MemberRelease),
-    /// A request that may run at most once belongs to one node.
+    /// One node claims a request that must run at most once, before it runs it.
     Intent(Intent),
-    /// Keys made before this are forgotten, and refused from now on.
+    /// Idempotency keys made before a time are forgotten, and rejected from now on.
     KeysForgotten(KeyExpiry),
-    /// All of the above up to an offset, restated before the log drops it.
+    /// Snapshot of the state up to an offset, written before the log drops the older records.
     Checkpoint(Checkpoint),
 }
 
@@ -85,7 +89,7 @@
 pub struct SignOff {
     /// The bundle that comes into force.
     pub bundle: BundleHash,
-    /// The one it replaces; none for the first.
+    /// The bundle that it replaces; `None` for the first.
     pub parent: Option<BundleHash>,
 }
 
@@ -95,7 +99,7 @@
 pub struct StopRequest {
     /// The instance to stop.
     pub instance: InstanceId,
-    /// False takes an earlier request back.
+    /// `false` withdraws an earlier request.
     pub stop: bool,
 }
 
@@ -103,44 +107,46 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupFormation {
-    /// The group's name, new for each formation.
+    /// Name of the group, unique to this formation.
     pub group: GroupId,
-    /// The bundle in force that asks for it.
+    /// The bundle in force, which asks for the group.
     pub bundle: BundleHash,
-    /// What it serves.
+    /// The model that the group serves.
     pub model: ModelName,
-    /// Which version of it.
+    /// Version of the model's weights.
     pub version: Version,
-    /// Which of the model's sizes it has.
+    /// The group's role, which sets its size.
     pub role: RoleName,
-    /// Where all of its members are.
+    /// The fabric domain of all members.
     pub domain: FabricDomain,
-    /// Its members; callers are served by the first.
+    /// The members. The first is the head, which serves callers.
     pub members: Vec<Member>,
-    /// How far the writer had read when it took the members for free.
+    /// The offset up to which the writer had read the log when it found the members free. Replay
+    /// rejects the formation if a member was released after that offset, so that a late duplicate
+    /// of an old formation never claims it again.
     pub relied_on: Offset,
-    /// The active group that this one stands in for until that can drain.
+    /// The active group that this one replaces. That group drains once this one can serve.
     #[serde(default)]
     pub replaces: Option<ReplacedGroup>,
 }
 
-/// A group that another takes over from.
+/// A group that a new group replaces.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplacedGroup {
-    /// The group.
+    /// Name of the group.
     pub group: GroupId,
-    /// Its fencing number.
+    /// Its fencing token.
     pub fence: FencingToken,
 }
 
-/// An instance in one of its lives.
+/// An instance in one of its incarnations.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
     /// The instance.
     pub instance: InstanceId,
-    /// Its life: one that died and came back is another.
+    /// Its incarnation: an instance that restarted is no longer the same member.
     pub incarnation: Incarnation,
 }
 
@@ -148,11 +154,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupEnd {
-    /// The group.
+    /// The group that drains or is dissolved.
     pub group: GroupId,
-    /// Its fencing number.
+    /// Its fencing token.
     pub fence: FencingToken,
-    /// Why.
+    /// Why it ends.
     pub cause: EndCause,
 }
 
@@ -160,15 +166,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndCause {
-    /// A member is gone or came back as another life.
+    /// A member is gone or has restarted.
     MemberLost,
-    /// An operator stops one of its members.
+    /// An operator requested to stop one of its members.
     PlannedStop,
-    /// The bundle in force does not ask for it any more.
+    /// The bundle in force no longer asks for it.
     NotWanted,
-    /// It runs an older version than the bundle in force asks for.
+    /// It runs another version than the bundle in force asks for.
     OldVersion,
-    /// Its members and what is free make a larger group.
+    /// Its members and free instances together can form a larger group.
     Outgrown,
 }
 
@@ -176,11 +182,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberRelease {
-    /// The ended group.
+    /// The dissolved group.
     pub group: GroupId,
-    /// Its fencing number.
+    /// Its fencing token.
     pub fence: FencingToken,
-    /// The member that was seen outside of it.
+    /// The member to release, which was observed outside the group.
     pub instance: InstanceId,
 }
 
@@ -188,15 +194,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Intent {
-    /// The caller's key, as a digest bound to the team.
+    /// Digest of the caller's idempotency key and its team.
     pub key: KeyDigest,
-    /// When the key was made, as the key itself says.
+    /// Time at which the key was generated, which is part of the key.
     pub key_time: Millis,
-    /// What was asked under the key.
+    /// Digest of the request.
     pub request: RequestDigest,
-    /// The only node that may run it.
+    /// The only node that may run the request.
     pub node: NodeId,
-    /// In the only life in which it may.
+    /// The only incarnation of that node that may run it.
     pub incarnation: Incarnation,
 }
 
@@ -204,7 +210,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyExpiry {
-    /// Keys made earlier are refused.
+    /// Keys generated before this time are rejected.
     pub before: Millis,
 }
 
@@ -212,16 +218,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
-    /// The first offset that the state does not cover.
+    /// The first offset that the snapshot does not cover.
     pub next: Offset,
-    /// The digest of all that was replayed up to there.
+    /// Digest of all records replayed before `next`.
     pub digest: StateDigest,
-    /// The state, as the fold wrote it.
+    /// The serialised state.
     pub state: String,
 }
 
 impl Fact {
-    /// The kind's name, for logs and errors.
+    /// Returns the name of the variant, for logs and errors.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::BundlePublished(_) => "bundle_published",
@@ -237,7 +243,7 @@
         }
     }
 
-    /// Whether only operators may write it; all else only nodes may.
+    /// Whether only operators may write this kind of fact. All others only nodes may write.
     pub const fn is_operators(&self) -> bool {
         matches!(self, Self::BundlePublished(_) | Self::BundleSignedOff(_) | Self::StopRequested(_))
     }
@@ -246,22 +252,25 @@
 /// Who wrote a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Author {
-    /// Some node of this deployment.
+    /// A node of this deployment; the seal does not tell which.
     Node,
-    /// An operator whose key the settings trust.
+    /// An operator whose key the settings trust, by name.
     Operator(OperatorName),
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Seal {
+    /// Seal under the cluster key, in hexadecimal.
     Node(String),
     Operator(OperatorSignature),
 }
 
+/// The text of a record in the log, as JSON.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Sealed {
+    /// JSON text of the [`Envelope`]. It is kept as text, because the seal is over its exact bytes.
     body: String,
     seal: Seal,
 }
@@ -274,20 +283,21 @@
     serde_json::to_string(&Sealed { body, seal }).expect("a sealed record is text")
 }
 
-/// Seals `envelope` as a node and gives the text to append.
+/// Seals `envelope` with the cluster key and returns the text to append.
 pub fn seal_as_node(envelope: &Envelope, key: &ClusterKey) -> String {
     let body = body_text(envelope);
     let seal = RecordSeal(key.seal(SealPurpose::Record, body.as_bytes()));
     sealed_text(body, Seal::Node(seal.to_string()))
 }
 
-/// Seals `envelope` as an operator and gives the text to append.
+/// Signs `envelope` with an operator's key and returns the text to append.
 pub fn seal_as_operator(envelope: &Envelope, key: &OperatorKey) -> String {
     let body = body_text(envelope);
     let signature = key.sign(body.as_bytes());
     sealed_text(body, Seal::Operator(signature))
 }
 
+/// A node's seal, displayed in hexadecimal.
 struct RecordSeal([u8; crate::signing::KEY_LEN]);
 
 impl std::fmt::Display for RecordSeal {
@@ -296,11 +306,11 @@
     }
 }
 
-/// Reads a record and checks its seal, and that its author may write each fact.
+/// Parses a record, checks its seal, and checks that its author may write each of its facts.
 ///
 /// # Errors
 ///
-/// [`Error`] says which of these failed; such a record is counted and passed over.
+/// An [`Error`] that says which of these failed. Nodes count such a record and skip it.
 pub fn open(
     text: &str,
     key: &ClusterKey,
@@ -324,7 +334,8 @@
 
 fn check_node_seal(body: &str, seal: &str, key: &ClusterKey) -> Result<Author> {
     let want = RecordSeal(key.seal(SealPurpose::Record, body.as_bytes())).to_string();
-    // Both are hashed first, so that the comparison's time tells nothing.
+    // Comparing `blake3::Hash` values takes constant time, so the duration reveals nothing about
+    // the expected seal.
     if blake3::hash(want.as_bytes()) == blake3::hash(seal.as_bytes()) {
         Ok(Author::Node)
     } else {
--- a/crates/workshold-protocol/src/report.rs
+++ b/crates/workshold-protocol/src/report.rs
@@ -1,4 +1,4 @@
-//! What upstreams report and what they are told.
+//! Reports of instances, orders to them, and the platform's instance list.
 
 use std::collections::BTreeSet;
 
@@ -18,54 +18,54 @@
 use crate::ids::ServiceName;
 use crate::ids::Version;
 
-/// What an instance says of itself.
+/// Status that an instance reports of itself when it is probed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// Which life of the instance speaks.
+    /// Incarnation of the instance's process.
     pub incarnation: Incarnation,
-    /// The group that it is in.
+    /// The group that it is in; `None` if it is in no group.
     pub membership: Option<GroupMembership>,
-    /// The weights that it has in memory, whole.
+    /// The weights that are completely loaded in its memory, if any.
     pub loaded: Option<ModelWeights>,
-    /// How old what it says may be, as it admits itself.
+    /// Maximum age of the reported data, as stated by the instance.
     pub lag: Millis,
-    /// Requests that it is working on.
+    /// Requests that it is running.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Requests that wait in its queue.
     pub queued: u32,
-    /// Requests that it can work on at once.
+    /// Requests that it can run at once.
     pub slots: u32,
 }
 
-/// Weights of a model in one version.
+/// Weights of one version of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ModelWeights {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// The version.
+    /// Version of the weights.
     pub version: Version,
 }
 
-/// The group an instance says it is in, and how far it has come.
+/// The group that an instance reports to be in, and whether it can serve there.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupMembership {
-    /// The group.
+    /// Name of the group.
     pub group: GroupId,
-    /// The fencing number of the order that put it there.
+    /// The fencing token of the order by which it joined.
     pub fence: FencingToken,
-    /// Whether it can serve.
+    /// Whether the instance can serve.
     pub readiness: Readiness,
 }
 
-/// Whether a member can serve.
+/// Whether a member of a group can serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Readiness {
-    /// It still loads weights.
+    /// The member is still loading weights.
     Loading,
-    /// It serves.
+    /// The member serves.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The member finishes the requests that it has and takes no new ones.
     Draining,
 }
 
@@ -73,33 +73,33 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// The offset of the record that this order carries out.
+    /// The fencing token: the log offset of the record that this order carries out.
     pub fence: FencingToken,
-    /// What to do.
+    /// What the instance has to do.
     pub action: OrderAction,
 }
 
-/// What an order asks for.
+/// What an order tells an instance to do.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum OrderAction {
     /// Load the model and serve it together with the other members.
     Join(JoinOrder),
-    /// Load weights while in no group, to be ready sooner for one.
+    /// Preload weights while in no group, so that a later join takes less time.
     Load {
-        /// Which.
+        /// The weights to load.
         weights: ModelWeights,
-        /// Their size, in MiB.
+        /// Size of the weights, in MiB.
         weights_mib: u32,
     },
-    /// Take nothing new for this group.
+    /// Take no new requests for a group.
     Drain {
-        /// The group.
+        /// The group to drain.
         group: GroupId,
     },
-    /// Leave this group; cut what is left.
+    /// Leave a group and abort the requests that are left.
     Leave {
-        /// The group.
+        /// The group to leave.
         group: GroupId,
     },
 }
@@ -108,58 +108,58 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JoinOrder {
-    /// The group.
+    /// The group to join.
     pub group: GroupId,
-    /// All its members, the one that serves callers first.
+    /// All members of the group, the head (which serves callers) first.
     pub members: Vec<InstanceId>,
-    /// What to load.
+    /// The model to load.
     pub model: ModelName,
-    /// Which version of it.
+    /// Version of the model's weights.
     pub version: Version,
-    /// Which adapters beside it.
+    /// Adapters to load in addition.
     pub adapters: BTreeSet<AdapterName>,
-    /// Which size of group it is part of.
+    /// The group's role, which sets its size.
     pub role: RoleName,
-    /// Size of the weights, in MiB.
+    /// Size of the weights that this instance loads, in MiB.
     pub weights_mib: u32,
 }
 
-/// One row of the platform's instance list.
+/// An entry of the platform's instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ListedInstance {
     /// The instance.
     pub instance: InstanceId,
-    /// Where its engine or service listens, as `ip:port`.
+    /// Address of its engine or service, as `ip:port`.
     pub address: String,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// What it is for.
+    /// What runs on it.
     pub kind: InstanceKind,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
 
-/// What an instance is for.
+/// What runs on an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceKind {
-    /// It runs a model engine.
+    /// A model engine.
     Engine {
         /// Its fabric domain.
         domain: FabricDomain,
-        /// Its accelerators.
+        /// Number of its accelerators.
         accelerators: u16,
-        /// Whether it refuses an order with an old fencing number.
+        /// Whether it checks fencing tokens and rejects an order with an old one.
         fenced: bool,
     },
-    /// It runs a plain service.
+    /// A plain service.
     Service {
-        /// The service.
+        /// Name of the service.
         service: ServiceName,
     },
-    /// It runs an entry node; `address` is where other nodes reach it.
+    /// An entry node; its `address` is for other nodes.
     Entry {
-        /// Where callers reach it.
+        /// Address for callers.
         callers: String,
     },
 }
--- a/crates/workshold-protocol/src/signing.rs
+++ b/crates/workshold-protocol/src/signing.rs
@@ -1,4 +1,7 @@
-//! Operators' signatures (ed25519) and the nodes' seal (keyed BLAKE3).
+//! Operators' signatures (Ed25519) and the nodes' seals.
+//!
+//! A seal is a message authentication code (MAC): keyed BLAKE3 with a key derived from the secret
+//! that all nodes of a deployment share. It authenticates content and doesn't encrypt it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,19 +19,19 @@
 use crate::error::Result;
 use crate::ids::OperatorName;
 
-/// Bytes of a key of either kind.
+/// Length of a signing key, of the cluster key and of a seal, in bytes.
 pub const KEY_LEN: usize = 32;
 
-/// An operator's secret key. Never printed.
+/// An operator's secret signing key. Its `Debug` output omits the key.
 pub struct OperatorKey(SigningKey);
 
 impl OperatorKey {
-    /// A new key.
+    /// Generates a random key.
     pub fn generate() -> Self {
         Self(SigningKey::from_bytes(&rand::random()))
     }
 
-    /// Reads a key from the text that [`OperatorKey::to_text`] wrote.
+    /// Parses the text that [`OperatorKey::to_text`] returns.
     ///
     /// # Errors
     ///
@@ -37,12 +40,12 @@
         decode_key(text).map(|bytes| Self(SigningKey::from_bytes(&bytes)))
     }
 
-    /// The secret as base64, for a key file.
+    /// Encodes the secret key as base64, for a key file.
     pub fn to_text(&self) -> String {
         BASE64.encode(self.0.to_bytes())
     }
 
-    /// The public half as base64, for the settings of the nodes.
+    /// Returns the public key, for the nodes' settings.
     pub fn public(&self) -> PublicKey {
         PublicKey(BASE64.encode(self.0.verifying_key().to_bytes()))
     }
@@ -67,13 +70,13 @@
 #[serde(transparent)]
 pub struct PublicKey(pub String);
 
-/// A signature and the key that made it, both in base64.
+/// A signature and the public key that verifies it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSignature {
     /// The signer's public key.
     pub key: PublicKey,
-    /// The signature.
+    /// The signature, in base64.
     pub signature: String,
 }
 
@@ -83,18 +86,18 @@
     bytes.try_into().map_err(|_| unreadable("it is not 32 bytes long".to_owned()))
 }
 
-/// The operators whose signatures count.
+/// The operators whose signatures the nodes accept, by public key.
 #[derive(Debug, Clone, Default)]
 pub struct TrustedOperators {
     keys: BTreeMap<PublicKey, OperatorName>,
 }
 
 impl TrustedOperators {
-    /// Trusts `keys`, each under its operator's name.
+    /// Trusts `keys`, each as the key of the operator beside it.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreadable`] for a key that is none.
+    /// [`Error::Unreadable`] if a key is not base64 of 32 bytes.
     pub fn new(keys: impl IntoIterator<Item = (OperatorName, PublicKey)>) -> Result<Self> {
         let mut trusted = Self::default();
         for (name, key) in keys {
@@ -104,12 +107,12 @@
         Ok(trusted)
     }
 
-    /// Who signed `content`.
+    /// Verifies that `sig` is a trusted operator's signature of `content` and returns the operator.
     ///
     /// # Errors
     ///
-    /// [`Error::UntrustedKey`] for a key that nobody here has,
-    /// [`Error::BadSignature`] for a signature of something else.
+    /// [`Error::UntrustedKey`] if the key is not a trusted one, [`Error::BadSignature`] if the
+    /// signature is malformed or of other content.
     pub fn verify(&self, content: &[u8], sig: &OperatorSignature) -> Result<&OperatorName> {
         let untrusted = || Error::UntrustedKey { key: sig.key.0.clone() };
         let name = self.keys.get(&sig.key).ok_or_else(untrusted)?;
@@ -122,24 +125,26 @@
     }
 }
 
-/// The secret that all nodes of one deployment share. Never printed.
+/// The secret that all nodes of one deployment share. Its `Debug` output omits the key.
 #[derive(Clone)]
 pub struct ClusterKey([u8; KEY_LEN]);
 
-/// What a seal is made for, so that one kind never passes for another.
+/// What a seal is made for. Each purpose has its own derived key, so that a seal made for one is
+/// invalid for another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SealPurpose {
     /// A record in the log.
     Record,
     /// A message between nodes.
     Peer,
-    /// A request id given to a caller.
+    /// The request id that a caller gets.
     RequestId,
-    /// An idempotency key's digest.
+    /// The digest of an idempotency key.
     IdempotencyKey,
 }
 
 impl SealPurpose {
+    /// Context string of the key derivation, unique to the purpose.
     const fn context(self) -> &'static str {
         match self {
             Self::Record => "workshold 2026 record",
@@ -151,27 +156,28 @@
 }
 
 impl ClusterKey {
-    /// Reads the key from base64 of 32 bytes.
+    /// Parses the key from base64.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreadable`] if it is not that.
+    /// [`Error::Unreadable`] if it is not base64 of 32 bytes.
     pub fn from_text(text: &str) -> Result<Self> {
         decode_key(text).map(Self)
     }
 
-    /// A new key as text, for the settings.
+    /// Generates a random key and returns it as base64, for the settings.
     pub fn generate_text() -> String {
         BASE64.encode(rand::random::<[u8; KEY_LEN]>())
     }
 
-    /// The seal of `content` for `purpose`.
+    /// Computes the seal of `content` for `purpose`.
     pub fn seal(&self, purpose: SealPurpose, content: &[u8]) -> [u8; KEY_LEN] {
         let key = blake3::derive_key(purpose.context(), &self.0);
         *blake3::keyed_hash(&key, content).as_bytes()
     }
 
-    /// Whether `seal` fits; takes the same time whatever differs.
+    /// Whether `seal` is the seal of `content` for `purpose`. Compares in constant time, so that
+    /// the duration doesn't reveal how much of a forged seal is right.
     pub fn is_valid_seal(&self, purpose: SealPurpose, content: &[u8], seal: &[u8]) -> bool {
         let want = blake3::Hash::from(self.seal(purpose, content));
         <[u8; KEY_LEN]>::try_from(seal).is_ok_and(|seal| want == blake3::Hash::from(seal))
--- a/crates/workshold-protocol/tests/bundles.rs
+++ b/crates/workshold-protocol/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Every fault of a bundle is found at once, with its place.
+//! Validation of a bundle reports all faults at once, each with its path.
 
 use workshold_protocol::bundle::Bundle;
 
--- a/crates/workshold-protocol/tests/clock.rs
+++ b/crates/workshold-protocol/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that leases, keys and time limits go by.
+//! The monotonic clock that leases, key expiry and timeouts use.
 
 use std::fs;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use workshold_protocol::clock;
 use workshold_protocol::clock::SystemClock;
 
-/// The machine's own word, in hundredths of a second; its sleep is counted in it.
+/// Time since boot as the kernel reports it, time suspended included, with a resolution of 10 ms.
 fn uptime() -> Duration {
     let text = fs::read_to_string("/proc/uptime").unwrap();
     Duration::from_secs_f64(text.split(' ').next().unwrap().parse().unwrap())
@@ -19,7 +19,7 @@
     let before = uptime();
     let now = clock::since_boot();
     let after = uptime();
-    // The word is cut to hundredths.
+    // `/proc/uptime` is rounded down to 10 ms.
     assert!(
         before <= now && now <= after + Duration::from_millis(10),
         "{before:?} {now:?} {after:?}"
--- a/crates/workshold-protocol/tests/sealing.rs
+++ b/crates/workshold-protocol/tests/sealing.rs
@@ -1,4 +1,4 @@
-//! What was not written by who may write it is refused.
+//! Records and messages from anyone but an authorised writer are rejected.
 
 use std::collections::BTreeMap;
 
