--- a/crates/workshold-http/src/body.rs
+++ b/crates/workshold-http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and responses.
+//! Request and response bodies.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -20,30 +20,30 @@
 use hyper::header::CONTENT_TYPE;
 use serde::Serialize;
 
-/// The body of every message that is sent.
+/// Body of every request and response that this crate sends.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// A body that is there as a whole.
+/// Creates a body from bytes that are complete.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed()
 }
 
-/// A body that comes piece by piece.
+/// Creates a body that is sent piece by piece as `pieces` yields them.
 pub fn stream(pieces: impl Stream<Item = Bytes> + Send + Sync + 'static) -> Body {
     BodyExt::boxed(StreamBody::new(pieces.map(|piece| Ok(Frame::data(piece)))))
 }
 
-/// A response of `value` as JSON.
+/// Creates a response with `value` as JSON.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let text = serde_json::to_vec(value).expect("responses have only text keys");
     with_content_type(status, "application/json", text)
 }
 
-/// A response of `bytes` with their content type.
+/// Creates a response with `bytes` and their content type.
 ///
 /// # Panics
 ///
-/// If `content_type` is not a header's value.
+/// If `content_type` is not a valid header value.
 pub fn with_content_type(
     status: StatusCode,
     content_type: &str,
@@ -53,10 +53,10 @@
         .status(status)
         .header(CONTENT_TYPE, content_type)
         .body(full(bytes))
-        .expect("the content type is a header's value")
+        .expect("the content type is a valid header value")
 }
 
-/// Why a body was not read.
+/// Why reading a body failed.
 #[derive(Debug, Display)]
 pub enum BodyError {
     /// the body is longer than {0} bytes
@@ -69,11 +69,11 @@
 
 impl std::error::Error for BodyError {}
 
-/// Reads a whole body, up to `limit` bytes and no longer than `within`.
+/// Reads a whole body of at most `limit` bytes that arrives completely within the time `within`.
 ///
 /// # Errors
 ///
-/// [`BodyError`] says which bound it broke, or that it broke off.
+/// A [`BodyError`] that says which limit was exceeded, or that the connection failed.
 pub async fn read(body: Incoming, limit: usize, within: Duration) -> Result<Bytes, BodyError> {
     let collect = Limited::new(body, limit).collect();
     match tokio::time::timeout(within, collect).await {
--- a/crates/workshold-http/src/client.rs
+++ b/crates/workshold-http/src/client.rs
@@ -1,8 +1,8 @@
-//! One connection for each request.
+//! An HTTP/1 client that opens a new connection for each request.
 //!
-//! A pooled connection that the other side closes leaves it open whether a
-//! request was taken. A fresh one does not: until [`FreshConnection::send`] is called,
-//! no byte of the request has left.
+//! If the server closes a pooled connection while a request is sent on it, the client can't tell
+//! whether the server received the request. With a new connection it can: until
+//! [`FreshConnection::send`] is called, no byte of the request has been sent.
 
 use std::time::Duration;
 
@@ -28,54 +28,54 @@
 use crate::body;
 use crate::body::Body;
 
-/// The longest answer that [`call`] reads, in bytes.
+/// Maximum length of a response body that [`call`] and [`call_raw`] read, in bytes.
 const MAX_ANSWER_LEN: usize = 32 * 1024 * 1024;
 
-/// Why a call gave no answer.
+/// Why a call returned no result.
 #[derive(Debug, Display)]
 pub enum CallError {
-    /// no connection to {address}: {why}
+    /// cannot connect to {address}: {why}
     Connect {
-        /// Where to.
+        /// Address of the server.
         address: String,
-        /// What the machine said.
+        /// Error of the operating system or of the connection's setup.
         why: String,
     },
-    /// the connection to {address} broke: {why}
+    /// the connection to {address} failed: {why}
     Broken {
-        /// Where to.
+        /// Address of the server.
         address: String,
-        /// What broke it.
+        /// Error of the connection.
         why: String,
     },
     /// no answer from {address} within {after:?}
     TimedOut {
-        /// Where to.
+        /// Address of the server.
         address: String,
-        /// How long it was waited for.
+        /// The time limit that passed.
         after: Duration,
     },
     /// {address} answered {status}: {text}
     Refused {
-        /// Where to.
+        /// Address of the server.
         address: String,
-        /// The status.
+        /// A status other than 2xx.
         status: StatusCode,
-        /// The body, cut short.
+        /// The start of the response body.
         text: String,
     },
-    /// the answer of {address} makes no sense: {why}
+    /// cannot parse the answer of {address}: {why}
     Unreadable {
-        /// Where to.
+        /// Address of the server.
         address: String,
-        /// What the reader said.
+        /// Error of the JSON parser.
         why: String,
     },
 }
 
 impl std::error::Error for CallError {}
 
-/// A connection that no request has been sent on.
+/// A new connection on which no request has been sent yet.
 #[derive(Debug)]
 pub struct FreshConnection {
     address: String,
@@ -83,7 +83,7 @@
     driver: ConnectionTask,
 }
 
-/// Ends the connection's task when the last user of it is gone.
+/// The task that drives a connection. Dropping this aborts the task and closes the connection.
 #[derive(Debug)]
 pub struct ConnectionTask(JoinHandle<()>);
 
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// [`CallError::Connect`] or [`CallError::TimedOut`]; no byte left in either case.
+/// [`CallError::Connect`] or [`CallError::TimedOut`]; in both cases nothing was sent.
 pub async fn connect(address: &str, within: Duration) -> Result<FreshConnection, CallError> {
     let failed = |why: String| CallError::Connect { address: address.to_owned(), why };
     let connecting = timeout(within, TcpStream::connect(address)).await;
@@ -108,20 +108,21 @@
     let shaken = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = shaken.map_err(|err| failed(err.to_string()))?;
     let driver = tokio::spawn(async move {
-        // What breaks a connection is seen by whoever waits on it.
+        // The pending request or the reader of the response body gets the connection's error.
         let _ = connection.await;
     });
     Ok(FreshConnection { address: address.to_owned(), sender, driver: ConnectionTask(driver) })
 }
 
 impl FreshConnection {
-    /// Sends the request; from here on the other side may have it.
+    /// Sends the request and waits up to `within` for the head of the response. From this call on
+    /// the server may have received the request.
     ///
-    /// The response's body lives as long as the [`ConnectionTask`] that comes with it.
+    /// The response's body can be read only while the returned [`ConnectionTask`] exists.
     ///
     /// # Errors
     ///
-    /// [`CallError::Broken`] or [`CallError::TimedOut`]: it may have run.
+    /// [`CallError::Broken`] or [`CallError::TimedOut`]; in both cases the request may have run.
     pub async fn send(
         mut self,
         req: Request<Body>,
@@ -135,11 +136,11 @@
     }
 }
 
-/// A request for `path` at `address`, with a JSON body if there is one.
+/// Creates a request for `path` at `address`, with `value` as JSON body if there is one.
 ///
 /// # Panics
 ///
-/// If `path` is not a path.
+/// If `path` is not a valid URI path.
 pub fn request<T: Serialize>(
     address: &str,
     method: Method,
@@ -151,14 +152,14 @@
     });
     let req = Request::builder().method(method).uri(path).header(HOST, address);
     let req = if value.is_some() { req.header(CONTENT_TYPE, "application/json") } else { req };
-    req.body(body::full(bytes)).expect("the path is one")
+    req.body(body::full(bytes)).expect("the path is valid")
 }
 
-/// Calls and reads a JSON answer, all `within` the time given.
+/// Sends a request and parses the JSON response, all within the time `within`.
 ///
 /// # Errors
 ///
-/// [`CallError`]; only [`CallError::Connect`] means that nothing was sent.
+/// A [`CallError`]; only [`CallError::Connect`] means that nothing was sent.
 pub async fn call<I: Serialize, O: DeserializeOwned>(
     address: &str,
     method: Method,
@@ -173,11 +174,11 @@
         .map_err(|err| CallError::Unreadable { address: address.to_owned(), why: err.to_string() })
 }
 
-/// Calls without a body; the answer is text for people.
+/// Sends a request without a body and returns the bytes of the response, such as text for people.
 ///
 /// # Errors
 ///
-/// As [`call`], but for [`CallError::Unreadable`].
+/// As [`call`], except for [`CallError::Unreadable`].
 pub async fn call_raw(
     address: &str,
     method: Method,
@@ -189,7 +190,7 @@
     bytes.await.map_err(|_| timed_out())?
 }
 
-/// Calls without a body and reads a JSON answer.
+/// Sends a GET request and parses the JSON response.
 ///
 /// # Errors
 ///
@@ -202,6 +203,9 @@
     call::<(), O>(address, Method::GET, path, None, within).await
 }
 
+/// Sends a request and returns the body of the response, if its status is 2xx. `within` limits
+/// the connect and the wait for the response's head separately, and nothing limits the time to
+/// read the body: callers set a timeout for the whole.
 async fn call_bytes<I: Serialize>(
     address: &str,
     method: Method,
@@ -223,5 +227,5 @@
     Err(CallError::Refused { address: address.to_owned(), status, text })
 }
 
-/// How much of an error's body is quoted.
+/// Maximum length of the body quoted in [`CallError::Refused`], in characters.
 const MAX_QUOTED_LEN: usize = 400;
--- a/crates/workshold-http/src/lib.rs
+++ b/crates/workshold-http/src/lib.rs
@@ -1,8 +1,11 @@
-//! Small helpers over `hyper` that every process of workshold uses.
+//! HTTP and signal helpers, built on `hyper`, that every process of workshold uses.
 //!
-//! [`server`] serves a `tower` service with bounds on everything a peer can make
-//! large or slow; [`client`] makes one connection for each request, so that it is
-//! always known whether a byte of it left; [`signals`] says what a process is asked for.
+//! - [`server`] serves a `tower` service, with limits on everything that a client can make large
+//!   or slow.
+//! - [`client`] opens a new connection for each request, so that it is always known whether any
+//!   byte of the request was sent.
+//! - [`body`] has helpers for request and response bodies.
+//! - [`signals`] translates Unix signals into actions.
 
 pub mod body;
 pub mod client;
--- a/crates/workshold-http/src/server.rs
+++ b/crates/workshold-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Serving a `tower` service on a listener, within bounds.
+//! An HTTP/1 server that serves a `tower` service with limits on connections and request heads.
 
 use std::convert::Infallible;
 use std::io;
@@ -21,16 +21,17 @@
 use tokio::task::JoinSet;
 use tower::Service;
 
-/// What one peer may use up.
+/// Limits of a server against clients that are many, slow, or send too much.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Connections at once; more wait in the machine's backlog.
+    /// Maximum number of open connections. Further ones wait in the listener's backlog.
     pub max_connections: usize,
-    /// Headers of a request.
+    /// Maximum number of headers of a request.
     pub max_headers: usize,
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head (request line and headers), in bytes. A limit below 8192
+    /// has no effect, since `hyper` needs a buffer of that size.
     pub max_head_len: usize,
-    /// Time for a request's head to come.
+    /// Time within which the head of a request must arrive.
     pub head_read_timeout: Duration,
 }
 
@@ -45,26 +46,26 @@
     }
 }
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Listens on `address`; accepted connections hold at most `send_buffer` bytes that
-/// their peer has not read. Left to the machine, that grows to megabytes, and a peer
-/// who has stopped reading is not noticed.
+/// Listens on `address`. Accepted connections hold at most `send_buffer` bytes that the client
+/// has not read. The kernel would let that buffer grow to megabytes, and a client that has stopped
+/// reading would go unnoticed.
 ///
 /// # Errors
 ///
-/// What the machine says.
+/// The error of the operating system, such as that the address is in use.
 pub fn bind(address: SocketAddr, send_buffer: u32) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    // Connections that are accepted have the listener's bound.
+    // Accepted connections inherit the listener's buffer size.
     socket.set_send_buffer_size(send_buffer)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// An answer that is always one, as `hyper` wants to hear it.
+/// Wraps a response that can't fail in the `Result` that `hyper` requires of a service.
 ///
 /// # Errors
 ///
@@ -75,18 +76,19 @@
     Ok(answer.await)
 }
 
-/// How far the end of a server has come.
+/// What a server does; its owner sets it to shut the server down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// It serves.
+    /// Accepts connections and serves requests.
     Running,
-    /// It accepts nothing and finishes what it has.
+    /// Accepts no connections, and closes each one after the request in progress.
     Draining,
-    /// It cuts what is left.
+    /// Closes all connections at once.
     Aborting,
 }
 
-/// Serves until `stage` says otherwise; returns how many connections were cut.
+/// Serves connections until `stage` is no longer [`ServerState::Running`] and all of them are closed.
+/// Returns the number of connections that were aborted while still open.
 pub async fn serve<S, B>(
     listener: TcpListener,
     bounds: ServerLimits,
@@ -109,7 +111,7 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(_) => {
-                    // Out of descriptors, say; others may end meanwhile.
+                    // Such as too many open files: other connections may close meanwhile.
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                     continue;
                 }
@@ -129,8 +131,10 @@
     finish(connections, stage).await
 }
 
+/// Time to wait after a failed accept, so that the loop doesn't spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
+/// Serves one connection until it ends, or until the state of the server ends it.
 async fn run_connection<S, B>(
     io: TokioIo<tokio::net::TcpStream>,
     bounds: ServerLimits,
@@ -153,7 +157,7 @@
     let mut connection = std::pin::pin!(connection);
     loop {
         tokio::select! {
-            // A peer that misbehaves or goes away ends only its own connection.
+            // An error ends only this connection: the client misbehaved or went away.
             _ = connection.as_mut() => return,
             changed = stage.changed() => match changed.map(|()| *stage.borrow()) {
                 Ok(ServerState::Running) => {}
@@ -164,9 +168,11 @@
     }
 }
 
-/// What `hyper` asks for at least.
+/// Minimum buffer size that `hyper` accepts, in bytes; it panics at less.
 const MIN_BUF_LEN: usize = 8192;
 
+/// Waits until all connections have ended, or aborts them if the owner says so or is gone.
+/// Returns the number of aborted connections.
 async fn finish(mut connections: JoinSet<()>, mut stage: watch::Receiver<ServerState>) -> usize {
     loop {
         tokio::select! {
--- a/crates/workshold-http/src/signals.rs
+++ b/crates/workshold-http/src/signals.rs
@@ -1,4 +1,4 @@
-//! What the machine and its operators ask of a process by signals.
+//! Unix signals by which service managers and operators control a process.
 
 use std::io;
 
@@ -6,19 +6,19 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// What a signal asks for.
+/// What a signal requests of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SignalAction {
-    /// To stop with a plan.
+    /// Drain and stop (SIGTERM, SIGINT).
     Stop,
-    /// To read the settings again.
+    /// Reload the settings (SIGHUP).
     Reload,
-    /// To print its state.
+    /// Print the process's state (SIGUSR1).
     Dump,
 }
 
-/// The signals that a process answers to. Until this is made, each of them ends it: it
-/// is the first thing that a process makes.
+/// Handlers of the signals that a process reacts to. Until they are installed, each of these
+/// signals kills the process, so a process installs them before anything else.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -28,11 +28,11 @@
 }
 
 impl Signals {
-    /// From here on signals wait to be taken.
+    /// Installs the handlers. From then on signals are kept for [`Signals::next`].
     ///
     /// # Errors
     ///
-    /// What the machine says.
+    /// The error of the operating system.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> SignalAction {
         tokio::select! {
             _ = self.terminate.recv() => SignalAction::Stop,
