--- a/crates/workshold-telemetry/src/events.rs
+++ b/crates/workshold-telemetry/src/events.rs
@@ -1,24 +1,24 @@
-//! Lists of numbered events.
+//! Numbered log events and the reference page that lists them.
 
 use std::fmt::Write as _;
 
 use log::Level;
 use log::Record;
 
-/// One row of a catalogue.
+/// An event as a row of the reference page.
 #[derive(Debug, Clone)]
 pub struct Row {
-    /// The number as it is written in logs.
+    /// The event's code in log lines, such as `W101`.
     pub code: String,
-    /// Its level.
+    /// Log level of the event.
     pub level: Level,
-    /// What happened.
+    /// What happened; the text of the event's log lines.
     pub what: &'static str,
-    /// What an operator does about it.
+    /// What an operator should do about it.
     pub advice: &'static str,
 }
 
-/// Logs an event with its fields.
+/// Logs an event with its fields, unless its level is disabled. `code` becomes the record's target.
 pub fn emit(code: &str, level: Level, what: &str, fields: &[(&'static str, &str)]) {
     if level > log::max_level() {
         return;
@@ -34,7 +34,7 @@
     );
 }
 
-/// The text of a page that lists events.
+/// Renders the Markdown reference page of a list of events.
 pub fn reference_page(title: &str, rows: impl Iterator<Item = Row>) -> String {
     let mut text = format!(
         "# {title}\n\nEvery line that a node logs has a number. Fields follow the text.\n\n\
@@ -46,47 +46,50 @@
     text
 }
 
-/// Makes an enum `Event` of numbered events, with `emit` and `rows` beside it.
+/// Defines an enum `Event` of numbered log events, and functions `emit` and `rows` for it.
+///
+/// Each event has a name, a number, a log level, a text (what happened) and advice for operators.
 #[macro_export]
 macro_rules! events {
     ($($name:ident = $number:literal, $level:ident, $what:literal, $do:literal;)*) => {
-        /// Everything that is ever logged.
+        /// The events that this process logs.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Event {
             $(#[doc = $what] $name,)*
         }
 
         impl Event {
-            /// All of them, by number.
+            /// All events, in the order of their numbers.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Its number; never used for another one.
+            /// Number of the event. A number is never reused for another event, so that the logs
+            /// of different versions can be compared.
             pub const fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// Its level.
+            /// Log level of the event.
             pub const fn level(self) -> $crate::log::Level {
                 match self { $(Self::$name => $crate::log::Level::$level,)* }
             }
 
-            /// What happened.
+            /// What happened; the text of the event's log lines.
             pub const fn what(self) -> &'static str {
                 match self { $(Self::$name => $what,)* }
             }
 
-            /// What an operator does about it.
+            /// What an operator should do about the event.
             pub const fn advice(self) -> &'static str {
                 match self { $(Self::$name => $do,)* }
             }
 
-            /// The number as it is written in logs.
+            /// The event's code in log lines: `W` and the number.
             pub fn code(self) -> String {
                 format!("W{:03}", self.number())
             }
         }
 
-        /// Logs `event` with its fields.
+        /// Logs `event` with its fields, unless its level is disabled.
         pub fn emit(event: Event, fields: &[(&'static str, &str)]) {
             if event.level() > $crate::log::max_level() {
                 return;
@@ -94,7 +97,7 @@
             $crate::emit(&event.code(), event.level(), event.what(), fields);
         }
 
-        /// All events, for their page.
+        /// Returns all events as rows of the reference page.
         pub fn rows() -> impl Iterator<Item = $crate::events::Row> {
             Event::ALL.iter().map(|event| $crate::events::Row {
                 code: event.code(),
--- a/crates/workshold-telemetry/src/exposition.rs
+++ b/crates/workshold-telemetry/src/exposition.rs
@@ -1,5 +1,5 @@
-//! Metrics that are asked for: `cadence` counts into a registry, which is told as text
-//! in the usual exposition format.
+//! Metrics for scraping: a `cadence` sink that collects metrics in a Prometheus registry, and
+//! returns them in the Prometheus text exposition format.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,13 +15,14 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// Upper bounds of the latency buckets, in milliseconds: around the goals of the
-/// users' routes, and up to the longest that a caller waits.
+/// Upper bounds of the latency histograms' buckets, in milliseconds. They are dense around the
+/// latency targets of the callers' routes and end at the longest time that a caller waits.
 const BUCKETS_MS: [f64; 14] = [
     5.0, 10.0, 25.0, 50.0, 75.0, 100.0, 150.0, 200.0, 300.0, 400.0, 500.0, 1_000.0, 2_500.0,
     8_000.0,
 ];
 
+/// The metrics registered so far, by name. A metric is registered when it is first emitted.
 #[derive(Default)]
 struct Known {
     counters: BTreeMap<String, IntCounter>,
@@ -29,14 +30,15 @@
     histograms: BTreeMap<String, Histogram>,
 }
 
-/// A sink of `cadence` whose figures stay here until they are asked for.
+/// A metrics sink for `cadence` that keeps the values in memory until they are scraped.
 #[derive(Clone, Default)]
 pub struct Exposition {
     registry: Registry,
     known: Arc<Mutex<Known>>,
 }
 
-/// A figure that was half taken when its taker panicked is still a figure.
+/// A panic while a metric is updated leaves a value that is at worst one update behind, so the
+/// registry stays usable after the panic is caught.
 impl std::panic::RefUnwindSafe for Exposition {}
 
 impl std::fmt::Debug for Exposition {
@@ -46,11 +48,11 @@
 }
 
 impl Exposition {
-    /// All figures as text.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// What the encoder says; a name that it does not take.
+    /// The encoder's error, such as for an invalid metric name.
     pub fn text(&self) -> io::Result<Vec<u8>> {
         let mut text = Vec::new();
         let families = self.registry.gather();
@@ -58,6 +60,8 @@
         Ok(text)
     }
 
+    /// Applies one update: adds to a counter (kind `c`), sets a gauge (`g`), or observes a value in
+    /// a histogram (all other kinds, such as timers).
     fn take(&self, name: &str, value: f64, kind: &str) -> Result<(), prometheus::Error> {
         let mut known = self.known.lock();
         match kind {
@@ -92,7 +96,8 @@
 }
 
 impl MetricSink for Exposition {
-    /// Takes a line `name:value|kind`.
+    /// Parses a StatsD line, `name:value|kind`, and applies it. Dots in names become underscores,
+    /// as Prometheus requires.
     fn emit(&self, metric: &str) -> io::Result<usize> {
         let bad = || io::Error::other(format!("not a metric: {metric}"));
         let (name, rest) = metric.split_once(':').ok_or_else(bad)?;
--- a/crates/workshold-telemetry/src/lib.rs
+++ b/crates/workshold-telemetry/src/lib.rs
@@ -1,10 +1,10 @@
-//! What every daemon of workshold logs, and how.
+//! Logging and metrics of the workshold daemons.
 //!
-//! - [`events!`] makes a list of numbered events, which is also their catalogue.
-//! - [`exposition`] keeps what is counted and tells it as text on request.
-//! - [`lines`] turns an event into a line of text or JSON.
-//! - [`writer`] takes lines into a bounded queue and writes them from a thread of
-//!   its own, so that a reader who stalls costs no request.
+//! - [`events!`] defines a daemon's numbered log events, and the reference page that lists them.
+//! - [`exposition`] collects metrics and returns them in the Prometheus text format on request.
+//! - [`lines`] formats an event as a line of text or JSON.
+//! - [`writer`] puts lines into a bounded queue that a thread of its own writes out, so that a
+//!   stalled reader of the log blocks no request.
 
 pub mod events;
 pub mod exposition;
--- a/crates/workshold-telemetry/src/lines.rs
+++ b/crates/workshold-telemetry/src/lines.rs
@@ -1,4 +1,4 @@
-//! One line an event, text or JSON.
+//! Formats a log event as one line of text or JSON.
 
 use log::Record;
 use log::kv::Key;
@@ -6,7 +6,7 @@
 use log::kv::VisitSource;
 use serde_json::Map;
 
-/// A line for people.
+/// Formats an event as text, for people. `at` is the wall-clock time in milliseconds.
 pub fn text(at: u64, node: &str, record: &Record<'_>) -> String {
     let mut line = format!(
         "{at} {:5} {} {node} {}",
@@ -20,13 +20,14 @@
     line
 }
 
-/// The longest line for programs, in bytes: collectors with buffers of 512 bytes cut what is
-/// longer, and then no program can read it.
+/// Maximum length of a JSON line, in bytes. Log collectors with buffers of 512 bytes, line end
+/// included, cut longer lines, which are then no longer valid JSON.
 const MOST_LEN: usize = 511;
-/// What stands at the end of a value that was shortened.
+/// Marks the end of a truncated value.
 const CUT: &str = "...";
 
-/// A line for programs; the longest values are shortened until it fits.
+/// Formats an event as JSON, for programs. `at` is the wall-clock time in milliseconds. The longest
+/// values are truncated until the line fits into `MOST_LEN` bytes.
 pub fn json(at: u64, node: &str, record: &Record<'_>) -> String {
     let mut line = Map::new();
     line.insert("at_ms".to_owned(), at.into());
@@ -46,7 +47,8 @@
     serde_json::to_string(line).expect("lines have only text keys")
 }
 
-/// Takes about `over` bytes off the longest value; whether there was anything to take.
+/// Truncates the longest value so that the line gets about `over` bytes shorter. Returns `false`
+/// if there is nothing left to truncate.
 fn shorten_longest(line: &mut Map<String, serde_json::Value>, over: usize) -> bool {
     let texts = line.values_mut().filter_map(|value| match value {
         serde_json::Value::String(text) => Some(text),
@@ -61,10 +63,12 @@
     end > 0
 }
 
+/// Replaces line breaks by spaces, since a log line must be one line.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
 
+/// Collects the key-value fields of a record.
 struct Fields(Vec<(String, String)>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
--- a/crates/workshold-telemetry/src/writer.rs
+++ b/crates/workshold-telemetry/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writing lines from a thread of its own, out of a bounded queue.
+//! Writes log lines from a bounded queue in a thread of its own.
 
 use std::collections::VecDeque;
 use std::io;
@@ -20,24 +20,29 @@
 
 use crate::lines;
 
-/// Lines that may wait. Above [`FOR_ALL`] of them only warnings and errors are
-/// taken, so that a flood of the usual does not push out what explains a failure.
+/// Maximum number of queued lines. Above [`FOR_ALL`] only warnings and errors are accepted, so that
+/// a flood of routine events doesn't displace those that explain a failure.
 const MOST_WAITING: usize = 2_048;
+/// Number of queued lines up to which every level is accepted.
 const FOR_ALL: usize = 1_536;
-/// Lines are written together at most this often: a write costs a wake-up.
+/// Pause between two writes. Lines that arrive meanwhile are written in one batch, since each write
+/// costs a wake-up of the thread.
 const GATHER: Duration = Duration::from_millis(25);
-/// The writer needs little.
+/// Stack size of the writer thread, in bytes: less than the default, since it needs little.
 const STACK_LEN: usize = 64 * 1024;
 
 #[derive(Debug, Default)]
 struct Waiting {
     lines: VecDeque<String>,
+    /// Lines dropped because the queue was full, since the last write.
     left_out: u64,
+    /// The process is stopping: the writer writes what is queued and ends.
     is_ending: bool,
+    /// The writer has ended.
     has_ended: bool,
 }
 
-/// The queue between those who log and the one thread that writes.
+/// The queue between the threads that log and the one thread that writes.
 #[derive(Debug, Default)]
 pub struct Queue {
     waiting: Mutex<Waiting>,
@@ -45,7 +50,8 @@
 }
 
 impl Queue {
-    /// Takes a line, or counts it as left out.
+    /// Queues a line; if the queue is too full for its level, drops and counts it. Never blocks on
+    /// the writer.
     pub fn push(&self, level: Level, line: String) {
         let mut waiting = self.waiting.lock();
         let most = if level <= Level::Warn { MOST_WAITING } else { FOR_ALL };
@@ -57,12 +63,13 @@
         self.changed.notify_one();
     }
 
-    /// Lines that were left out and not yet told of.
+    /// Returns the number of dropped lines that the log doesn't report yet.
     pub fn left_out(&self) -> u64 {
         self.waiting.lock().left_out
     }
 
-    /// Writes lines until [`Self::shut_down`] is called and none is left.
+    /// Writes lines to `out` until [`Self::shut_down`] is called and the queue is empty, or until a write
+    /// fails.
     pub fn write_all(&self, out: &mut dyn Write) {
         loop {
             let (text, is_ending) = self.next_batch();
@@ -78,6 +85,8 @@
         }
     }
 
+    /// Waits for lines and returns all of them as one text, and whether the writer should end. If
+    /// lines were dropped, the last line reports how many.
     fn next_batch(&self) -> (String, bool) {
         let mut waiting = self.waiting.lock();
         while waiting.lines.is_empty() && !waiting.is_ending {
@@ -95,7 +104,7 @@
         (text, waiting.is_ending)
     }
 
-    /// Lets the writer finish, for a while.
+    /// Tells the writer to write what is queued and end, and waits for that up to `within`.
     pub fn shut_down(&self, within: Duration) {
         let mut waiting = self.waiting.lock();
         waiting.is_ending = true;
@@ -106,6 +115,7 @@
     }
 }
 
+/// The logger: formats each record as a JSON line and queues it.
 struct ToQueue {
     queue: Arc<Queue>,
     node: String,
@@ -125,11 +135,11 @@
     fn flush(&self) {}
 }
 
-/// Sends all events as JSON lines to standard output.
+/// Sets up logging for this process: events up to `level` go to standard output as JSON lines.
 ///
 /// # Errors
 ///
-/// If logging was set up before in this process, or no thread can be had.
+/// If a logger is already set in this process, or the writer thread can't be started.
 pub fn init(level: LevelFilter, node: &str) -> io::Result<Arc<Queue>> {
     let queue = Arc::new(Queue::default());
     let to_queue =
--- a/crates/workshold-telemetry/tests/exposition.rs
+++ b/crates/workshold-telemetry/tests/exposition.rs
@@ -1,4 +1,4 @@
-//! What is counted through the façade is told as text.
+//! Metrics that are emitted through `cadence` appear in the Prometheus text format.
 
 use cadence::Counted;
 use cadence::Gauged;
--- a/crates/workshold-telemetry/tests/lines.rs
+++ b/crates/workshold-telemetry/tests/lines.rs
@@ -1,7 +1,7 @@
-//! A line for programs is whole JSON however much an event has to say.
+//! A JSON log line is valid JSON however long the event's fields are.
 //!
-//! Seen: 12 to 32 lines of a day were cut near 510 bytes by whoever collected them, most of
-//! them what a steward sees in a domain, so that no program could read them.
+//! Guards against a log collector that cut 12 to 32 lines of a day near 510 bytes, so that no
+//! program could parse them. Most were events of what a steward sees in a domain.
 
 use log::Level;
 use log::Record;
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use workshold_telemetry::lines;
 
-/// Collectors with fixed buffers take lines of 512 bytes with their end.
+/// Longest line that fits into a collector's buffer of 512 bytes together with its line end.
 const MOST: usize = 511;
 
 fn line(fields: &[(&str, &str)]) -> String {
--- a/crates/workshold-telemetry/tests/writer.rs
+++ b/crates/workshold-telemetry/tests/writer.rs
@@ -1,4 +1,4 @@
-//! A reader who stalls, and a flood, cost no request and lose no failure.
+//! A stalled reader of the log or a flood of lines blocks no logging thread and drops no warnings.
 
 use std::io;
 use std::io::Write;
@@ -11,7 +11,7 @@
 use log::Level;
 use workshold_telemetry::writer::Queue;
 
-/// Blocks in its first write until told to go on.
+/// An output that blocks in its first write until a message arrives.
 struct Stalled {
     go_on: Option<mpsc::Receiver<()>>,
     written: Arc<parking_lot::Mutex<Vec<u8>>>,
