--- a/crates/workshold-protocol/src/bundle.rs
+++ b/crates/workshold-protocol/src/bundle.rs
@@ -161,7 +161,7 @@
 struct Faults(Vec<Fault>);
 
 impl Faults {
-    fn unless(&mut self, ok: bool, place: String, why: &str) {
+    fn require(&mut self, ok: bool, place: String, why: &str) {
         if !ok {
             self.0.push(Fault { place, why: why.to_owned() });
         }
@@ -186,7 +186,7 @@
     /// bundle is valid.
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults = Faults(Vec::new());
-        faults.unless(!self.name.trim().is_empty(), "name".to_owned(), "it is empty");
+        faults.require(!self.name.trim().is_empty(), "name".to_owned(), "it is empty");
         self.weights.check(&mut faults);
         self.models.iter().for_each(|(name, model)| model.check(name, &mut faults));
         self.services.iter().for_each(|(name, service)| service.check(name, &mut faults));
@@ -212,12 +212,12 @@
 
     /// Returns the digest of the canonical text, which identifies the bundle.
     pub fn hash(&self) -> BundleHash {
-        BundleHash::of(self.canonical().as_bytes())
+        BundleHash::of(self.canonical_json().as_bytes())
     }
 
     /// Returns the JSON text that is signed and hashed. Its maps are ordered, so equal bundles
     /// have equal texts.
-    pub fn canonical(&self) -> String {
+    pub fn canonical_json(&self) -> String {
         serde_json::to_string(self).expect("a bundle has only text keys")
     }
 
@@ -225,8 +225,9 @@
     fn check_paths(&self, faults: &mut Faults) {
         let services: Vec<_> = self.services.iter().collect();
         for (i, (name, service)) in services.iter().enumerate() {
-            let clash = services[..i].iter().any(|(_, other)| overlap(&service.path, &other.path));
-            faults.unless(!clash, format!("services.{name}.path"), "another service has it");
+            let overlaps =
+                services[..i].iter().any(|(_, other)| paths_overlap(&service.path, &other.path));
+            faults.require(!overlaps, format!("services.{name}.path"), "another service has it");
         }
     }
 
@@ -234,9 +235,9 @@
     fn check_keys(&self, faults: &mut Faults) {
         let mut seen = BTreeSet::new();
         for (name, team) in &self.teams {
-            let fresh = team.key_hashes.iter().all(|key| seen.insert(key));
-            faults.unless(
-                fresh,
+            let are_unique = team.key_hashes.iter().all(|key| seen.insert(key));
+            faults.require(
+                are_unique,
                 format!("teams.{name}.key_hashes"),
                 "another team has one of them",
             );
@@ -245,35 +246,35 @@
 }
 
 /// Whether two path prefixes are equal or one contains the other.
-fn overlap(a: &str, b: &str) -> bool {
-    let inside = |a: &str, b: &str| a == b || a.starts_with(&format!("{b}/"));
-    inside(a, b) || inside(b, a)
+fn paths_overlap(a: &str, b: &str) -> bool {
+    let is_within = |a: &str, b: &str| a == b || a.starts_with(&format!("{b}/"));
+    is_within(a, b) || is_within(b, a)
 }
 
 impl CostWeights {
     fn check(self, faults: &mut Faults) {
-        let good = |weight: f64| weight.is_finite() && weight >= 0.0;
+        let is_valid = |weight: f64| weight.is_finite() && weight >= 0.0;
         let why = "it must be zero or more";
-        faults.unless(good(self.group_downtime), "weights.group_downtime".to_owned(), why);
+        faults.require(is_valid(self.group_downtime), "weights.group_downtime".to_owned(), why);
         let place = "weights.stranded_accelerator".to_owned();
-        faults.unless(good(self.stranded_accelerator), place, why);
+        faults.require(is_valid(self.stranded_accelerator), place, why);
     }
 }
 
 impl Model {
     fn check(&self, name: &ModelName, faults: &mut Faults) {
         let place = |key: &str| format!("models.{name}.{key}");
-        faults.unless(!self.roles.is_empty(), place("roles"), "there is none");
+        faults.require(!self.roles.is_empty(), place("roles"), "there is none");
         let names: BTreeSet<_> = self.roles.iter().map(|role| &role.name).collect();
-        faults.unless(names.len() == self.roles.len(), place("roles"), "two have one name");
+        faults.require(names.len() == self.roles.len(), place("roles"), "two have one name");
         for (i, role) in self.roles.iter().enumerate() {
             let size_ok = (1..=MAX_GROUP_SIZE).contains(&role.instances);
-            faults.unless(size_ok, place(&format!("roles[{i}].instances")), "it must be 1 to 64");
+            faults.require(size_ok, place(&format!("roles[{i}].instances")), "it must be 1 to 64");
             let worth_ok = role.worth > 0.0 && role.worth <= 1.0;
             let why = "it must be above 0 and at most 1";
-            faults.unless(worth_ok, place(&format!("roles[{i}].worth")), why);
+            faults.require(worth_ok, place(&format!("roles[{i}].worth")), why);
         }
-        faults.unless(self.weights_mib > 0, place("weights_mib"), "it must be above 0");
+        faults.require(self.weights_mib > 0, place("weights_mib"), "it must be above 0");
     }
 
     /// Returns the role called `name`; `None` if this model has no such role.
@@ -288,11 +289,12 @@
 impl Service {
     fn check(&self, name: &ServiceName, faults: &mut Faults) {
         let place = |key: &str| format!("services.{name}.{key}");
-        let shaped = self.path.len() > 1 && self.path.starts_with('/') && !self.path.ends_with('/');
-        faults.unless(shaped, place("path"), "it must begin with / and not end with it");
-        let reserved = RESERVED_PATHS.iter().any(|path| overlap(&self.path, path));
-        faults.unless(!reserved, place("path"), "the nodes keep this path for themselves");
-        faults.unless(self.deadline > Millis::ZERO, place("deadline"), "it must be above 0");
+        let is_well_formed =
+            self.path.len() > 1 && self.path.starts_with('/') && !self.path.ends_with('/');
+        faults.require(is_well_formed, place("path"), "it must begin with / and not end with it");
+        let reserved = RESERVED_PATHS.iter().any(|path| paths_overlap(&self.path, path));
+        faults.require(!reserved, place("path"), "the nodes keep this path for themselves");
+        faults.require(self.deadline > Millis::ZERO, place("deadline"), "it must be above 0");
     }
 
     /// Whether a request with this HTTP method may run more than once.
@@ -309,14 +311,14 @@
         let place = |key: &str| format!("teams.{name}.{key}");
         let positive = |rate: f64| rate.is_finite() && rate > 0.0;
         let why = "it must be above 0";
-        faults.unless(positive(self.requests_per_s), place("requests_per_s"), why);
-        faults.unless(positive(self.tokens_per_s), place("tokens_per_s"), why);
-        faults.unless(positive(self.share), place("share"), why);
+        faults.require(positive(self.requests_per_s), place("requests_per_s"), why);
+        faults.require(positive(self.tokens_per_s), place("tokens_per_s"), why);
+        faults.require(positive(self.share), place("share"), why);
         let is_hash = |key: &String| {
             key.len() == KEY_HASH_LEN && key.chars().all(|c| matches!(c, '0'..='9' | 'a'..='f'))
         };
         let why = "each must be 64 lower-case hexadecimal digits";
-        faults.unless(self.key_hashes.iter().all(is_hash), place("key_hashes"), why);
+        faults.require(self.key_hashes.iter().all(is_hash), place("key_hashes"), why);
     }
 }
 
@@ -326,14 +328,14 @@
 pub struct SignedBundle {
     /// The bundle that was signed.
     pub bundle: Bundle,
-    /// Signature of [`Bundle::canonical`].
+    /// Signature of [`Bundle::canonical_json`].
     pub signature: OperatorSignature,
 }
 
 impl SignedBundle {
     /// Signs `bundle` with `key`.
     pub fn sign(bundle: Bundle, key: &OperatorKey) -> Self {
-        let signature = key.sign(bundle.canonical().as_bytes());
+        let signature = key.sign(bundle.canonical_json().as_bytes());
         Self { bundle, signature }
     }
 }
--- a/crates/workshold-protocol/src/clock.rs
+++ b/crates/workshold-protocol/src/clock.rs
@@ -86,7 +86,7 @@
 }
 
 /// Added to the process clock, so that `now - ttl` is not cut off at zero just after the start.
-const CLOCK_BASE: Millis = Millis::from_secs(1_000);
+const CLOCK_START: Millis = Millis::from_secs(1_000);
 
 impl Default for SystemClock {
     fn default() -> Self {
@@ -103,7 +103,7 @@
 
 impl Clock for SystemClock {
     fn now(&self) -> Millis {
-        CLOCK_BASE + Millis(since_boot().saturating_sub(self.start).as_millis() as u64)
+        CLOCK_START + Millis(since_boot().saturating_sub(self.start).as_millis() as u64)
     }
 
     fn wall(&self) -> Millis {
--- a/crates/workshold-protocol/src/ids.rs
+++ b/crates/workshold-protocol/src/ids.rs
@@ -152,7 +152,7 @@
 
             /// Returns the first hexadecimal digits, enough to tell two digests apart in output.
             pub fn short(&self) -> String {
-                self.to_string()[..SHORT_DIGEST].to_owned()
+                self.to_string()[..SHORT_DIGEST_LEN].to_owned()
             }
         }
 
@@ -181,7 +181,7 @@
 /// Length of a digest, in bytes. At 128 bits, accidental collisions are negligible.
 pub const DIGEST_LEN: usize = 16;
 /// Number of hexadecimal digits in a digest's short form.
-const SHORT_DIGEST: usize = 12;
+const SHORT_DIGEST_LEN: usize = 12;
 
 fn parse_digest(text: &str) -> Result<[u8; DIGEST_LEN]> {
     let bad = || Error::BadDigest { text: text.chars().take(MAX_NAME_LEN).collect() };
--- a/crates/workshold-protocol/src/peer.rs
+++ b/crates/workshold-protocol/src/peer.rs
@@ -1,6 +1,6 @@
 //! Messages between nodes.
 //!
-//! Nodes poll each other; nothing is pushed. An answer states the age of its data instead of
+//! Nodes poll each other; nothing is pushed. A response states the age of its data instead of
 //! a time, since clocks of two nodes can't be compared. The requester subtracts that age from the
 //! time at which it sent the request, by its own clock: the data is no older than that, whatever
 //! the network delays were.
@@ -29,7 +29,7 @@
 /// A request to another node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerRequest {
-    /// Random number that the answer must repeat. An answer with another nonce, such as a late or
+    /// Random number that the response must repeat. A response with another nonce, such as a late or
     /// replayed one, is dropped.
     pub nonce: u64,
     /// The requesting node.
@@ -44,7 +44,7 @@
     /// The node's status and what it knows of instances and groups.
     Digest {
         /// Data centre of the requester. A node of the same data centre gets the reports that the
-        /// answering node obtained by its own probes. A node of another one gets the groups that
+        /// responding node obtained by its own probes. A node of another one gets the groups that
         /// serve here and the status of the other nodes here.
         data_centre: DataCentre,
     },
@@ -60,41 +60,41 @@
     },
 }
 
-/// The answer to a [`PeerRequest`].
+/// The response to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerResponse {
     /// The nonce of the request.
     pub nonce: u64,
-    /// The answering node.
+    /// The responding node.
     pub from: NodeId,
-    /// Content of the answer.
+    /// Content of the response.
     pub body: PeerResponseBody,
 }
 
-/// Content of an [`PeerResponse`], by the kind of request.
+/// Content of a [`PeerResponse`], by the kind of request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponseBody {
-    /// Answers [`PeerQuery::Digest`].
+    /// Response to [`PeerQuery::Digest`].
     Digest(Box<NodeSummary>),
-    /// Answers [`PeerQuery::Records`] with the records from the requested offset on, or from the
-    /// answering node's checkpoint if that is all it still has.
+    /// Response to [`PeerQuery::Records`] with the records from the requested offset on, or from the
+    /// responding node's checkpoint if that is all it still has.
     Records {
         /// Offsets and sealed texts of the records.
         records: Vec<(Offset, String)>,
-        /// The first offset that the answering node has not read.
+        /// The first offset that the responding node has not read.
         next: Offset,
-        /// Whether the answering node is authoritative: whether the bundle that it has read may be
+        /// Whether the responding node is authoritative: whether the bundle that it has read may be
         /// treated as the one in force.
         custody: bool,
     },
-    /// Answers [`PeerQuery::KeyResult`]; `None` if the node has no result for the key.
+    /// Response to [`PeerQuery::KeyResult`]; `None` if the node has no result for the key.
     KeyResult(Option<StoredResponse>),
 }
 
 /// A node's status and what it knows of instances, groups and other nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeSummary {
-    /// Status of the answering node.
+    /// Status of the responding node.
     pub own: NodeStatus,
     /// The other live nodes of its data centre; empty for a requester of the same data centre.
     pub near: Vec<AgedNode>,
@@ -106,7 +106,7 @@
 
 /// A group that a node found ready by checking the reports of all members.
 ///
-/// Ages are as of the time at which the answer was written.
+/// Ages are as of the time at which the response was written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgedGroup {
     /// Name of the group.
@@ -158,23 +158,23 @@
     pub requests_per_s: f32,
 }
 
-/// Status of a third node, with its age when the answer was written.
+/// Status of a third node, with its age when the response was written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgedNode {
     /// Name of that node.
     pub node: NodeId,
-    /// Time since the answering node requested the status, by its own clock.
+    /// Time since the responding node requested the status, by its own clock.
     pub age: Millis,
     /// The status.
     pub status: NodeStatus,
 }
 
-/// An instance's report, with its age when the answer was written.
+/// An instance's report, with its age when the response was written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgedReport {
     /// The instance that reported.
     pub instance: InstanceId,
-    /// Time since the answering node sent the probe, by its own clock.
+    /// Time since the responding node sent the probe, by its own clock.
     pub age: Millis,
     /// The report, whose `lag` is not part of `age`.
     pub report: Report,
--- a/crates/workshold-protocol/src/record.rs
+++ b/crates/workshold-protocol/src/record.rs
@@ -83,7 +83,7 @@
     Checkpoint(Checkpoint),
 }
 
-/// See [`Fact::BundleSignedOff`].
+/// Content of [`Fact::BundleSignedOff`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignOff {
@@ -93,7 +93,7 @@
     pub parent: Option<BundleHash>,
 }
 
-/// See [`Fact::StopRequested`].
+/// Content of [`Fact::StopRequested`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StopRequest {
@@ -103,7 +103,7 @@
     pub stop: bool,
 }
 
-/// See [`Fact::GroupFormed`].
+/// Content of [`Fact::GroupFormed`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupFormation {
@@ -150,7 +150,7 @@
     pub incarnation: Incarnation,
 }
 
-/// See [`Fact::GroupDraining`] and [`Fact::GroupDissolved`].
+/// Content of [`Fact::GroupDraining`] and [`Fact::GroupDissolved`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupEnd {
@@ -178,7 +178,7 @@
     Outgrown,
 }
 
-/// See [`Fact::MemberReleased`].
+/// Content of [`Fact::MemberReleased`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberRelease {
@@ -190,7 +190,7 @@
     pub instance: InstanceId,
 }
 
-/// See [`Fact::Intent`].
+/// Content of [`Fact::Intent`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Intent {
@@ -206,7 +206,7 @@
     pub incarnation: Incarnation,
 }
 
-/// See [`Fact::KeysForgotten`].
+/// Content of [`Fact::KeysForgotten`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyExpiry {
@@ -214,7 +214,7 @@
     pub before: Millis,
 }
 
-/// See [`Fact::Checkpoint`].
+/// Content of [`Fact::Checkpoint`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
@@ -244,7 +244,7 @@
     }
 
     /// Whether only operators may write this kind of fact. All others only nodes may write.
-    pub const fn is_operators(&self) -> bool {
+    pub const fn is_operator_only(&self) -> bool {
         matches!(self, Self::BundlePublished(_) | Self::BundleSignedOff(_) | Self::StopRequested(_))
     }
 }
@@ -269,7 +269,7 @@
 /// The text of a record in the log, as JSON.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Sealed {
+struct SealedRecord {
     /// JSON text of the [`Envelope`]. It is kept as text, because the seal is over its exact bytes.
     body: String,
     seal: Seal,
@@ -280,13 +280,13 @@
 }
 
 fn sealed_text(body: String, seal: Seal) -> String {
-    serde_json::to_string(&Sealed { body, seal }).expect("a sealed record is text")
+    serde_json::to_string(&SealedRecord { body, seal }).expect("a sealed record is text")
 }
 
 /// Seals `envelope` with the cluster key and returns the text to append.
 pub fn seal_as_node(envelope: &Envelope, key: &ClusterKey) -> String {
     let body = body_text(envelope);
-    let seal = RecordSeal(key.seal(SealPurpose::Record, body.as_bytes()));
+    let seal = HexSeal(key.seal(SealPurpose::Record, body.as_bytes()));
     sealed_text(body, Seal::Node(seal.to_string()))
 }
 
@@ -298,9 +298,9 @@
 }
 
 /// A node's seal, displayed in hexadecimal.
-struct RecordSeal([u8; crate::signing::KEY_LEN]);
+struct HexSeal([u8; crate::signing::KEY_LEN]);
 
-impl std::fmt::Display for RecordSeal {
+impl std::fmt::Display for HexSeal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
@@ -320,7 +320,7 @@
         what: "a record".to_owned(),
         why: why.to_string(),
     };
-    let Sealed { body, seal } = serde_json::from_str(text).map_err(unreadable)?;
+    let SealedRecord { body, seal } = serde_json::from_str(text).map_err(unreadable)?;
     let author = match seal {
         Seal::Node(seal) => check_node_seal(&body, &seal, key)?,
         Seal::Operator(signature) => {
@@ -328,27 +328,27 @@
         }
     };
     let envelope: Envelope = serde_json::from_str(&body).map_err(unreadable)?;
-    envelope.facts.iter().try_for_each(|fact| check_author(fact, &author, operators))?;
+    envelope.facts.iter().try_for_each(|fact| check_permission(fact, &author, operators))?;
     Ok((envelope, author))
 }
 
 fn check_node_seal(body: &str, seal: &str, key: &ClusterKey) -> Result<Author> {
-    let want = RecordSeal(key.seal(SealPurpose::Record, body.as_bytes())).to_string();
+    let expected = HexSeal(key.seal(SealPurpose::Record, body.as_bytes())).to_string();
     // Comparing `blake3::Hash` values takes constant time, so the duration reveals nothing about
     // the expected seal.
-    if blake3::hash(want.as_bytes()) == blake3::hash(seal.as_bytes()) {
+    if blake3::hash(expected.as_bytes()) == blake3::hash(seal.as_bytes()) {
         Ok(Author::Node)
     } else {
         Err(Error::BadSeal)
     }
 }
 
-fn check_author(fact: &Fact, author: &Author, operators: &TrustedOperators) -> Result<()> {
-    if fact.is_operators() != matches!(author, Author::Operator(_)) {
+fn check_permission(fact: &Fact, author: &Author, operators: &TrustedOperators) -> Result<()> {
+    if fact.is_operator_only() != matches!(author, Author::Operator(_)) {
         return Err(Error::NotAllowed { what: fact.kind(), author: format!("{author:?}") });
     }
     if let Fact::BundlePublished(signed) = fact {
-        operators.verify(signed.bundle.canonical().as_bytes(), &signed.signature)?;
+        operators.verify(signed.bundle.canonical_json().as_bytes(), &signed.signature)?;
         signed.bundle.clone().into_validated()?;
     }
     Ok(())
--- a/crates/workshold-protocol/src/report.rs
+++ b/crates/workshold-protocol/src/report.rs
@@ -104,7 +104,7 @@
     },
 }
 
-/// See [`OrderAction::Join`].
+/// Content of [`OrderAction::Join`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JoinOrder {
--- a/crates/workshold-protocol/src/signing.rs
+++ b/crates/workshold-protocol/src/signing.rs
@@ -145,7 +145,7 @@
 
 impl SealPurpose {
     /// Context string of the key derivation, unique to the purpose.
-    const fn context(self) -> &'static str {
+    const fn key_derivation_context(self) -> &'static str {
         match self {
             Self::Record => "workshold 2026 record",
             Self::Peer => "workshold 2026 peer message",
@@ -172,15 +172,15 @@
 
     /// Computes the seal of `content` for `purpose`.
     pub fn seal(&self, purpose: SealPurpose, content: &[u8]) -> [u8; KEY_LEN] {
-        let key = blake3::derive_key(purpose.context(), &self.0);
+        let key = blake3::derive_key(purpose.key_derivation_context(), &self.0);
         *blake3::keyed_hash(&key, content).as_bytes()
     }
 
     /// Whether `seal` is the seal of `content` for `purpose`. Compares in constant time, so that
     /// the duration doesn't reveal how much of a forged seal is right.
     pub fn is_valid_seal(&self, purpose: SealPurpose, content: &[u8], seal: &[u8]) -> bool {
-        let want = blake3::Hash::from(self.seal(purpose, content));
-        <[u8; KEY_LEN]>::try_from(seal).is_ok_and(|seal| want == blake3::Hash::from(seal))
+        let expected = blake3::Hash::from(self.seal(purpose, content));
+        <[u8; KEY_LEN]>::try_from(seal).is_ok_and(|seal| expected == blake3::Hash::from(seal))
     }
 }
 
--- a/crates/workshold-protocol/tests/bundles.rs
+++ b/crates/workshold-protocol/tests/bundles.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn unknown_keys_are_refused_with_their_place() {
+fn an_unknown_key_is_rejected_by_name() {
     let err = Bundle::from_toml("name = \"b\"\nmodles = 1\n").unwrap_err().to_string();
     assert!(err.contains("modles"), "{err}");
 }
--- a/crates/workshold-protocol/tests/clock.rs
+++ b/crates/workshold-protocol/tests/clock.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_clock_counts_what_the_machine_has_slept() {
+fn monotonic_time_includes_time_suspended() {
     let before = uptime();
     let now = clock::since_boot();
     let after = uptime();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_clock_goes_on_and_never_back() {
+fn the_process_clock_advances() {
     let clock = SystemClock::default();
     let first = clock.now();
     std::thread::sleep(Duration::from_millis(20));
--- a/crates/workshold-protocol/tests/sealing.rs
+++ b/crates/workshold-protocol/tests/sealing.rs
@@ -29,7 +29,7 @@
     ClusterKey::from_text(&ClusterKey::generate_text()).unwrap()
 }
 
-fn trusting(key: &OperatorKey) -> TrustedOperators {
+fn trusted_operators(key: &OperatorKey) -> TrustedOperators {
     TrustedOperators::new([(OperatorName::new("alice").unwrap(), key.public())]).unwrap()
 }
 
@@ -38,29 +38,29 @@
     Envelope::new(Millis(1), vec![fact])
 }
 
-fn forget() -> Envelope {
+fn forget_keys() -> Envelope {
     Envelope::new(Millis(1), vec![Fact::KeysForgotten(KeyExpiry { before: Millis(9) })])
 }
 
 #[test]
-fn records_are_opened_by_who_shares_the_keys() {
+fn records_of_nodes_and_operators_are_accepted() {
     let (cluster, operator) = (cluster_key(), OperatorKey::generate());
-    let trusted = trusting(&operator);
+    let trusted = trusted_operators(&operator);
     let (envelope, author) =
-        record::open(&record::seal_as_node(&forget(), &cluster), &cluster, &trusted).unwrap();
-    assert_eq!((envelope.facts, author), (forget().facts, Author::Node));
+        record::open(&record::seal_as_node(&forget_keys(), &cluster), &cluster, &trusted).unwrap();
+    assert_eq!((envelope.facts, author), (forget_keys().facts, Author::Node));
     let text = record::seal_as_operator(&sign_off(), &operator);
     let (_, author) = record::open(&text, &cluster, &trusted).unwrap();
     assert_eq!(author, Author::Operator(OperatorName::new("alice").unwrap()));
 }
 
 #[test]
-fn nodes_do_not_sign_off_and_operators_do_not_write_for_nodes() {
+fn nodes_may_not_sign_off_and_operators_may_not_write_facts_of_nodes() {
     let (cluster, operator) = (cluster_key(), OperatorKey::generate());
-    let trusted = trusting(&operator);
+    let trusted = trusted_operators(&operator);
     for text in [
         record::seal_as_node(&sign_off(), &cluster),
-        record::seal_as_operator(&forget(), &operator),
+        record::seal_as_operator(&forget_keys(), &operator),
     ] {
         let opened = record::open(&text, &cluster, &trusted);
         assert!(matches!(opened, Err(Error::NotAllowed { .. })), "{opened:?}");
@@ -68,18 +68,18 @@
 }
 
 #[test]
-fn strangers_are_refused() {
+fn records_under_unknown_keys_are_rejected() {
     let (cluster, operator) = (cluster_key(), OperatorKey::generate());
-    let trusted = trusting(&operator);
-    let other = record::seal_as_node(&forget(), &cluster_key());
-    assert_eq!(record::open(&other, &cluster, &trusted), Err(Error::BadSeal));
-    let stranger = record::seal_as_operator(&sign_off(), &OperatorKey::generate());
-    let opened = record::open(&stranger, &cluster, &trusted);
+    let trusted = trusted_operators(&operator);
+    let other_cluster = record::seal_as_node(&forget_keys(), &cluster_key());
+    assert_eq!(record::open(&other_cluster, &cluster, &trusted), Err(Error::BadSeal));
+    let untrusted = record::seal_as_operator(&sign_off(), &OperatorKey::generate());
+    let opened = record::open(&untrusted, &cluster, &trusted);
     assert!(matches!(opened, Err(Error::UntrustedKey { .. })), "{opened:?}");
 }
 
 #[test]
-fn a_bundle_that_was_changed_after_signing_is_refused() {
+fn a_bundle_that_was_changed_after_signing_is_rejected() {
     let (cluster, operator) = (cluster_key(), OperatorKey::generate());
     let bundle = Bundle {
         name: "good".to_owned(),
@@ -92,30 +92,30 @@
     signed.bundle.name = "changed".to_owned();
     let envelope = Envelope::new(Millis(1), vec![Fact::BundlePublished(Box::new(signed))]);
     let text = record::seal_as_operator(&envelope, &operator);
-    let opened = record::open(&text, &cluster, &trusting(&operator));
+    let opened = record::open(&text, &cluster, &trusted_operators(&operator));
     assert_eq!(opened, Err(Error::BadSignature));
 }
 
 proptest! {
     #[test]
-    fn any_text_is_a_record_or_an_error(text in ".*") {
+    fn arbitrary_text_is_rejected_as_a_record(text in ".*") {
         let operator = OperatorKey::generate();
-        prop_assert!(record::open(&text, &cluster_key(), &trusting(&operator)).is_err());
+        prop_assert!(record::open(&text, &cluster_key(), &trusted_operators(&operator)).is_err());
     }
 
     #[test]
-    fn a_message_with_one_byte_changed_is_refused(at in 0_usize..200, flip in 1_u8..=255) {
+    fn a_message_with_one_changed_byte_is_rejected(position in 0_usize..200, flip in 1_u8..=255) {
         let key = cluster_key();
         let from = NodeId::new("node-1").unwrap();
         let ask = PeerQuery::Records { from: workshold_protocol::ids::Offset(7) };
         let mut bytes = encode_sealed(&PeerRequest { nonce: 5, from, ask }, &key);
-        let at = at % bytes.len();
-        bytes[at] ^= flip;
+        let position = position % bytes.len();
+        bytes[position] ^= flip;
         prop_assert_eq!(decode_sealed::<PeerRequest>(&bytes, &key), Err(Error::BadSeal));
     }
 
     #[test]
-    fn any_toml_is_a_bundle_or_an_error(text in "[a-z0-9_\\[\\]=\"\\.\n ]{0,200}") {
+    fn arbitrary_toml_does_not_panic(text in "[a-z0-9_\\[\\]=\"\\.\n ]{0,200}") {
         if let Ok(bundle) = Bundle::from_toml(&text) {
             let _ = bundle.faults();
         }
