--- a/crates/workshold-http/src/client.rs
+++ b/crates/workshold-http/src/client.rs
@@ -29,7 +29,7 @@
 use crate::body::Body;
 
 /// Maximum length of a response body that [`call`] and [`call_raw`] read, in bytes.
-const MAX_ANSWER_LEN: usize = 32 * 1024 * 1024;
+const MAX_RESPONSE_LEN: usize = 32 * 1024 * 1024;
 
 /// Why a call returned no result.
 #[derive(Debug, Display)]
@@ -105,8 +105,8 @@
         .map_err(|_| CallError::TimedOut { address: address.to_owned(), after: within })?
         .map_err(|err| failed(err.to_string()))?;
     stream.set_nodelay(true).map_err(|err| failed(err.to_string()))?;
-    let shaken = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = shaken.map_err(|err| failed(err.to_string()))?;
+    let result = http1::handshake(TokioIo::new(stream)).await;
+    let (sender, connection) = result.map_err(|err| failed(err.to_string()))?;
     let driver = tokio::spawn(async move {
         // The pending request or the reader of the response body gets the connection's error.
         let _ = connection.await;
@@ -216,7 +216,7 @@
     let connected = connect(address, within).await?;
     let (res, _driver) = connected.send(request(address, method, path, value), within).await?;
     let status = res.status();
-    let limited = http_body_util::Limited::new(res.into_body(), MAX_ANSWER_LEN).collect().await;
+    let limited = http_body_util::Limited::new(res.into_body(), MAX_RESPONSE_LEN).collect().await;
     let bytes = limited
         .map_err(|err| CallError::Broken { address: address.to_owned(), why: err.to_string() })?;
     let bytes = bytes.to_bytes();
--- a/crates/workshold-http/src/server.rs
+++ b/crates/workshold-http/src/server.rs
@@ -47,7 +47,7 @@
 }
 
 /// Maximum number of connections that wait to be accepted.
-const BACKLOG: u32 = 1_024;
+const LISTEN_BACKLOG: u32 = 1_024;
 
 /// Listens on `address`. Accepted connections hold at most `send_buffer` bytes that the client
 /// has not read. The kernel would let that buffer grow to megabytes, and a client that has stopped
@@ -62,7 +62,7 @@
     // Accepted connections inherit the listener's buffer size.
     socket.set_send_buffer_size(send_buffer)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// Wraps a response that can't fail in the `Result` that `hyper` requires of a service.
@@ -71,9 +71,9 @@
 ///
 /// Never.
 pub async fn infallible<B>(
-    answer: impl Future<Output = Response<B>>,
+    response: impl Future<Output = Response<B>>,
 ) -> Result<Response<B>, Infallible> {
-    Ok(answer.await)
+    Ok(response.await)
 }
 
 /// What a server does; its owner sets it to shut the server down.
@@ -87,13 +87,13 @@
     Aborting,
 }
 
-/// Serves connections until `stage` is no longer [`ServerState::Running`] and all of them are closed.
-/// Returns the number of connections that were aborted while still open.
+/// Serves connections until `state` is no longer [`ServerState::Running`] and all connections are
+/// closed. Returns how many of them were aborted while still open.
 pub async fn serve<S, B>(
     listener: TcpListener,
-    bounds: ServerLimits,
+    limits: ServerLimits,
     service: S,
-    mut stage: watch::Receiver<ServerState>,
+    mut state: watch::Receiver<ServerState>,
 ) -> usize
 where
     S: Service<Request<Incoming>, Response = Response<B>, Error = Infallible>,
@@ -103,43 +103,43 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let permits = Arc::new(Semaphore::new(bounds.max_connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     let mut connections = JoinSet::new();
-    while *stage.borrow() == ServerState::Running {
+    while *state.borrow() == ServerState::Running {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { break };
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(_) => {
                     // Such as too many open files: other connections may close meanwhile.
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             },
-            _ = stage.changed() => break,
+            _ = state.changed() => break,
         };
         let _ = stream.set_nodelay(true);
         let service = TowerToHyperService::new(service.clone());
-        let stage = stage.clone();
+        let state = state.clone();
         connections.spawn(async move {
-            run_connection(TokioIo::new(stream), bounds, service, stage).await;
+            handle_connection(TokioIo::new(stream), limits, service, state).await;
             drop(permit);
         });
         while connections.try_join_next().is_some() {}
     }
     drop(listener);
-    finish(connections, stage).await
+    drain_connections(connections, state).await
 }
 
 /// Time to wait after a failed accept, so that the loop doesn't spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves one connection until it ends, or until the state of the server ends it.
-async fn run_connection<S, B>(
+async fn handle_connection<S, B>(
     io: TokioIo<tokio::net::TcpStream>,
-    bounds: ServerLimits,
+    limits: ServerLimits,
     service: TowerToHyperService<S>,
-    mut stage: watch::Receiver<ServerState>,
+    mut state: watch::Receiver<ServerState>,
 ) where
     S: Service<Request<Incoming>, Response = Response<B>, Error = Infallible>,
     S: Clone + Send + 'static,
@@ -150,16 +150,16 @@
 {
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.head_read_timeout)
-        .max_headers(bounds.max_headers)
-        .max_buf_size(bounds.max_head_len.max(MIN_BUF_LEN))
+        .header_read_timeout(limits.head_read_timeout)
+        .max_headers(limits.max_headers)
+        .max_buf_size(limits.max_head_len.max(MIN_BUF_LEN))
         .serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
     loop {
         tokio::select! {
             // An error ends only this connection: the client misbehaved or went away.
             _ = connection.as_mut() => return,
-            changed = stage.changed() => match changed.map(|()| *stage.borrow()) {
+            changed = state.changed() => match changed.map(|()| *state.borrow()) {
                 Ok(ServerState::Running) => {}
                 Ok(ServerState::Draining) => connection.as_mut().graceful_shutdown(),
                 Ok(ServerState::Aborting) | Err(_) => return,
@@ -173,12 +173,15 @@
 
 /// Waits until all connections have ended, or aborts them if the owner says so or is gone.
 /// Returns the number of aborted connections.
-async fn finish(mut connections: JoinSet<()>, mut stage: watch::Receiver<ServerState>) -> usize {
+async fn drain_connections(
+    mut connections: JoinSet<()>,
+    mut state: watch::Receiver<ServerState>,
+) -> usize {
     loop {
         tokio::select! {
             ended = connections.join_next() => if ended.is_none() { return 0 },
-            changed = stage.changed() => {
-                if changed.is_err() || *stage.borrow() == ServerState::Aborting {
+            changed = state.changed() => {
+                if changed.is_err() || *state.borrow() == ServerState::Aborting {
                     while connections.try_join_next().is_some() {}
                     return connections.len();
                 }
