--- a/crates/workshold-telemetry/src/events.rs
+++ b/crates/workshold-telemetry/src/events.rs
@@ -7,7 +7,7 @@
 
 /// An event as a row of the reference page.
 #[derive(Debug, Clone)]
-pub struct Row {
+pub struct EventRow {
     /// The event's code in log lines, such as `W101`.
     pub code: String,
     /// Log level of the event.
@@ -35,7 +35,7 @@
 }
 
 /// Renders the Markdown reference page of a list of events.
-pub fn reference_page(title: &str, rows: impl Iterator<Item = Row>) -> String {
+pub fn reference_page(title: &str, rows: impl Iterator<Item = EventRow>) -> String {
     let mut text = format!(
         "# {title}\n\nEvery line that a node logs has a number. Fields follow the text.\n\n\
          | number | level | what happened | what to do |\n| --- | --- | --- | --- |\n",
@@ -98,8 +98,8 @@
         }
 
         /// Returns all events as rows of the reference page.
-        pub fn rows() -> impl Iterator<Item = $crate::events::Row> {
-            Event::ALL.iter().map(|event| $crate::events::Row {
+        pub fn rows() -> impl Iterator<Item = $crate::events::EventRow> {
+            Event::ALL.iter().map(|event| $crate::events::EventRow {
                 code: event.code(),
                 level: event.level(),
                 what: event.what(),
--- a/crates/workshold-telemetry/src/exposition.rs
+++ b/crates/workshold-telemetry/src/exposition.rs
@@ -24,7 +24,7 @@
 
 /// The metrics registered so far, by name. A metric is registered when it is first emitted.
 #[derive(Default)]
-struct Known {
+struct RegisteredMetrics {
     counters: BTreeMap<String, IntCounter>,
     gauges: BTreeMap<String, Gauge>,
     histograms: BTreeMap<String, Histogram>,
@@ -34,7 +34,7 @@
 #[derive(Clone, Default)]
 pub struct Exposition {
     registry: Registry,
-    known: Arc<Mutex<Known>>,
+    metrics: Arc<Mutex<RegisteredMetrics>>,
 }
 
 /// A panic while a metric is updated leaves a value that is at worst one update behind, so the
@@ -62,33 +62,33 @@
 
     /// Applies one update: adds to a counter (kind `c`), sets a gauge (`g`), or observes a value in
     /// a histogram (all other kinds, such as timers).
-    fn take(&self, name: &str, value: f64, kind: &str) -> Result<(), prometheus::Error> {
-        let mut known = self.known.lock();
+    fn apply_update(&self, name: &str, value: f64, kind: &str) -> Result<(), prometheus::Error> {
+        let mut metrics = self.metrics.lock();
         match kind {
             "c" => {
-                if !known.counters.contains_key(name) {
+                if !metrics.counters.contains_key(name) {
                     let counter = IntCounter::new(name, name)?;
                     self.registry.register(Box::new(counter.clone()))?;
-                    known.counters.insert(name.to_owned(), counter);
+                    metrics.counters.insert(name.to_owned(), counter);
                 }
-                known.counters[name].inc_by(value.max(0.0) as u64);
+                metrics.counters[name].inc_by(value.max(0.0) as u64);
             }
             "g" => {
-                if !known.gauges.contains_key(name) {
+                if !metrics.gauges.contains_key(name) {
                     let gauge = Gauge::new(name, name)?;
                     self.registry.register(Box::new(gauge.clone()))?;
-                    known.gauges.insert(name.to_owned(), gauge);
+                    metrics.gauges.insert(name.to_owned(), gauge);
                 }
-                known.gauges[name].set(value);
+                metrics.gauges[name].set(value);
             }
             _ => {
-                if !known.histograms.contains_key(name) {
+                if !metrics.histograms.contains_key(name) {
                     let options = HistogramOpts::new(name, name).buckets(BUCKETS_MS.to_vec());
                     let histogram = Histogram::with_opts(options)?;
                     self.registry.register(Box::new(histogram.clone()))?;
-                    known.histograms.insert(name.to_owned(), histogram);
+                    metrics.histograms.insert(name.to_owned(), histogram);
                 }
-                known.histograms[name].observe(value);
+                metrics.histograms[name].observe(value);
             }
         }
         Ok(())
@@ -104,7 +104,7 @@
         let mut parts = rest.split('|');
         let value = parts.next().and_then(|value| value.parse().ok()).ok_or_else(bad)?;
         let kind = parts.next().ok_or_else(bad)?;
-        self.take(&name.replace('.', "_"), value, kind).map_err(io::Error::other)?;
+        self.apply_update(&name.replace('.', "_"), value, kind).map_err(io::Error::other)?;
         Ok(metric.len())
     }
 }
--- a/crates/workshold-telemetry/src/writer.rs
+++ b/crates/workshold-telemetry/src/writer.rs
@@ -20,22 +20,22 @@
 
 use crate::lines;
 
-/// Maximum number of queued lines. Above [`FOR_ALL`] only warnings and errors are accepted, so that
-/// a flood of routine events doesn't displace those that explain a failure.
-const MOST_WAITING: usize = 2_048;
+/// Maximum number of queued lines. Above [`MAX_ROUTINE_LINES`] only warnings and errors are
+/// accepted, so that a flood of routine events doesn't displace those that explain a failure.
+const MAX_QUEUED_LINES: usize = 2_048;
 /// Number of queued lines up to which every level is accepted.
-const FOR_ALL: usize = 1_536;
+const MAX_ROUTINE_LINES: usize = 1_536;
 /// Pause between two writes. Lines that arrive meanwhile are written in one batch, since each write
 /// costs a wake-up of the thread.
-const GATHER: Duration = Duration::from_millis(25);
+const WRITE_INTERVAL: Duration = Duration::from_millis(25);
 /// Stack size of the writer thread, in bytes: less than the default, since it needs little.
-const STACK_LEN: usize = 64 * 1024;
+const WRITER_STACK_LEN: usize = 64 * 1024;
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct QueueState {
     lines: VecDeque<String>,
     /// Lines dropped because the queue was full, since the last write.
-    left_out: u64,
+    dropped: u64,
     /// The process is stopping: the writer writes what is queued and ends.
     is_ending: bool,
     /// The writer has ended.
@@ -44,43 +44,43 @@
 
 /// The queue between the threads that log and the one thread that writes.
 #[derive(Debug, Default)]
-pub struct Queue {
-    waiting: Mutex<Waiting>,
+pub struct LogQueue {
+    state: Mutex<QueueState>,
     changed: Condvar,
 }
 
-impl Queue {
+impl LogQueue {
     /// Queues a line; if the queue is too full for its level, drops and counts it. Never blocks on
     /// the writer.
     pub fn push(&self, level: Level, line: String) {
-        let mut waiting = self.waiting.lock();
-        let most = if level <= Level::Warn { MOST_WAITING } else { FOR_ALL };
-        if waiting.lines.len() >= most {
-            waiting.left_out += 1;
+        let mut state = self.state.lock();
+        let limit = if level <= Level::Warn { MAX_QUEUED_LINES } else { MAX_ROUTINE_LINES };
+        if state.lines.len() >= limit {
+            state.dropped += 1;
             return;
         }
-        waiting.lines.push_back(line);
+        state.lines.push_back(line);
         self.changed.notify_one();
     }
 
     /// Returns the number of dropped lines that the log doesn't report yet.
-    pub fn left_out(&self) -> u64 {
-        self.waiting.lock().left_out
+    pub fn dropped(&self) -> u64 {
+        self.state.lock().dropped
     }
 
-    /// Writes lines to `out` until [`Self::shut_down`] is called and the queue is empty, or until a write
-    /// fails.
-    pub fn write_all(&self, out: &mut dyn Write) {
+    /// Writes lines to `out` until [`Self::shut_down`] is called and the queue is empty, or until a
+    /// write fails. The writer thread runs this.
+    pub fn run_writer(&self, out: &mut dyn Write) {
         loop {
             let (text, is_ending) = self.next_batch();
-            let is_stuck = out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_err();
-            if is_stuck || (is_ending && text.is_empty()) {
-                self.waiting.lock().has_ended = true;
+            let has_failed = out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_err();
+            if has_failed || (is_ending && text.is_empty()) {
+                self.state.lock().has_ended = true;
                 self.changed.notify_all();
                 return;
             }
             if !is_ending {
-                thread::sleep(GATHER);
+                thread::sleep(WRITE_INTERVAL);
             }
         }
     }
@@ -88,41 +88,41 @@
     /// Waits for lines and returns all of them as one text, and whether the writer should end. If
     /// lines were dropped, the last line reports how many.
     fn next_batch(&self) -> (String, bool) {
-        let mut waiting = self.waiting.lock();
-        while waiting.lines.is_empty() && !waiting.is_ending {
-            self.changed.wait(&mut waiting);
+        let mut state = self.state.lock();
+        while state.lines.is_empty() && !state.is_ending {
+            self.changed.wait(&mut state);
         }
         let mut text = String::new();
-        for line in waiting.lines.drain(..) {
+        for line in state.lines.drain(..) {
             text.push_str(&line);
             text.push('\n');
         }
-        if waiting.left_out > 0 {
-            let left_out = std::mem::take(&mut waiting.left_out);
+        if state.dropped > 0 {
+            let left_out = std::mem::take(&mut state.dropped);
             text.push_str(&format!("{{\"event\":\"W000\",\"left_out\":{left_out}}}\n"));
         }
-        (text, waiting.is_ending)
+        (text, state.is_ending)
     }
 
     /// Tells the writer to write what is queued and end, and waits for that up to `within`.
     pub fn shut_down(&self, within: Duration) {
-        let mut waiting = self.waiting.lock();
-        waiting.is_ending = true;
+        let mut state = self.state.lock();
+        state.is_ending = true;
         self.changed.notify_all();
-        if !waiting.has_ended {
-            self.changed.wait_for(&mut waiting, within);
+        if !state.has_ended {
+            self.changed.wait_for(&mut state, within);
         }
     }
 }
 
 /// The logger: formats each record as a JSON line and queues it.
-struct ToQueue {
-    queue: Arc<Queue>,
+struct QueueLogger {
+    queue: Arc<LogQueue>,
     node: String,
     clock: SystemClock,
 }
 
-impl Log for ToQueue {
+impl Log for QueueLogger {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -140,16 +140,19 @@
 /// # Errors
 ///
 /// If a logger is already set in this process, or the writer thread can't be started.
-pub fn init(level: LevelFilter, node: &str) -> io::Result<Arc<Queue>> {
-    let queue = Arc::new(Queue::default());
-    let to_queue =
-        ToQueue { queue: Arc::clone(&queue), node: node.to_owned(), clock: SystemClock::default() };
-    let boxed: Box<dyn Log> = Box::new(to_queue);
+pub fn init(level: LevelFilter, node: &str) -> io::Result<Arc<LogQueue>> {
+    let queue = Arc::new(LogQueue::default());
+    let logger = QueueLogger {
+        queue: Arc::clone(&queue),
+        node: node.to_owned(),
+        clock: SystemClock::default(),
+    };
+    let boxed: Box<dyn Log> = Box::new(logger);
     Dispatch::new().level(level).chain(boxed).apply().map_err(io::Error::other)?;
-    let for_writer = Arc::clone(&queue);
+    let writer_queue = Arc::clone(&queue);
     thread::Builder::new()
         .name("log".to_owned())
-        .stack_size(STACK_LEN)
-        .spawn(move || for_writer.write_all(&mut io::stdout()))?;
+        .stack_size(WRITER_STACK_LEN)
+        .spawn(move || writer_queue.run_writer(&mut io::stdout()))?;
     Ok(queue)
 }
--- a/crates/workshold-telemetry/tests/exposition.rs
+++ b/crates/workshold-telemetry/tests/exposition.rs
@@ -7,7 +7,7 @@
 use workshold_telemetry::exposition::Exposition;
 
 #[test]
-fn counters_gauges_and_times_are_told_in_the_usual_format() {
+fn counters_gauges_and_timers_appear_in_the_prometheus_format() {
     let exposition = Exposition::default();
     let client = StatsdClient::from_sink("workshold", exposition.clone());
     client.count("requests", 2).unwrap();
--- a/crates/workshold-telemetry/tests/lines.rs
+++ b/crates/workshold-telemetry/tests/lines.rs
@@ -10,7 +10,7 @@
 use workshold_telemetry::lines;
 
 /// Longest line that fits into a collector's buffer of 512 bytes together with its line end.
-const MOST: usize = 511;
+const MAX_LINE_LEN: usize = 511;
 
 fn line(fields: &[(&str, &str)]) -> String {
     let source = fields.to_vec();
@@ -29,21 +29,24 @@
 #[rstest]
 #[case::one_long_field(vec!["x".repeat(2_000)])]
 #[case::two_long_fields(vec!["x".repeat(300), "y".repeat(900)])]
-#[case::signs_that_grow(vec!["\"\n".repeat(400)])]
-#[case::letters_of_several_bytes(vec!["ż€".repeat(300)])]
-fn a_long_line_is_whole_json_within_the_bound(#[case] long: Vec<String>) {
+#[case::characters_that_need_escaping(vec!["\"\n".repeat(400)])]
+#[case::multibyte_characters(vec!["ż€".repeat(300)])]
+fn a_long_line_is_valid_json_within_the_limit(#[case] long_values: Vec<String>) {
     let mut fields = vec![("domain", "hala-a-d5")];
     let names = ["who", "intends"];
-    fields.extend(names.iter().copied().zip(long.iter().map(String::as_str)));
+    fields.extend(names.iter().copied().zip(long_values.iter().map(String::as_str)));
     let line = line(&fields);
-    assert!(line.len() <= MOST, "{} bytes", line.len());
-    let read: Value = serde_json::from_str(&line).unwrap();
-    assert_eq!(read["domain"], "hala-a-d5", "short fields stay whole");
-    assert!(read["who"].as_str().unwrap().ends_with("..."), "what is cut says so");
+    assert!(line.len() <= MAX_LINE_LEN, "{} bytes", line.len());
+    let parsed: Value = serde_json::from_str(&line).unwrap();
+    assert_eq!(parsed["domain"], "hala-a-d5", "short fields are not truncated");
+    assert!(
+        parsed["who"].as_str().unwrap().ends_with("..."),
+        "a truncated value ends with the mark"
+    );
 }
 
 #[test]
-fn a_short_line_says_all() {
-    let read: Value = serde_json::from_str(&line(&[("who", &"x".repeat(200))])).unwrap();
-    assert_eq!(read["who"], "x".repeat(200));
+fn a_short_line_is_not_truncated() {
+    let parsed: Value = serde_json::from_str(&line(&[("who", &"x".repeat(200))])).unwrap();
+    assert_eq!(parsed["who"], "x".repeat(200));
 }
