--- a/crates/workshold-protocol/src/bundle.rs
+++ b/crates/workshold-protocol/src/bundle.rs
@@ -158,9 +158,11 @@
     }
 }
 
+/// Collects the faults that validation finds.
 struct Faults(Vec<Fault>);
 
 impl Faults {
+    /// Records a fault unless `ok`.
     fn require(&mut self, ok: bool, place: String, why: &str) {
         if !ok {
             self.0.push(Fault { place, why: why.to_owned() });
@@ -173,7 +175,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unreadable`] if the text is too long or malformed, with line and column.
+    /// [`Error::Unreadable`] if the text is longer than [`MAX_BUNDLE_LEN`], or malformed; then with
+    /// line and column.
     pub fn from_toml(text: &str) -> Result<Self> {
         let unreadable = |why: String| Error::Unreadable { what: "the bundle".to_owned(), why };
         if text.len() > MAX_BUNDLE_LEN {
--- a/crates/workshold-protocol/src/clock.rs
+++ b/crates/workshold-protocol/src/clock.rs
@@ -82,6 +82,7 @@
 /// suspended, so that a lease or a key expires on time even then.
 #[derive(Debug)]
 pub struct SystemClock {
+    /// Time since boot at which the clock was created.
     start: Duration,
 }
 
--- a/crates/workshold-protocol/src/peer.rs
+++ b/crates/workshold-protocol/src/peer.rs
@@ -29,8 +29,8 @@
 /// A request to another node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerRequest {
-    /// Random number that the response must repeat. A response with another nonce, such as a late or
-    /// replayed one, is dropped.
+    /// Unguessable random number that the response must repeat. A response with another nonce, such
+    /// as a late or replayed one, is dropped.
     pub nonce: u64,
     /// The requesting node.
     pub from: NodeId,
@@ -76,8 +76,8 @@
 pub enum PeerResponseBody {
     /// Response to [`PeerQuery::Digest`].
     Digest(Box<NodeSummary>),
-    /// Response to [`PeerQuery::Records`] with the records from the requested offset on, or from the
-    /// responding node's checkpoint if that is all it still has.
+    /// Response to [`PeerQuery::Records`] with the records from the requested offset on, or from
+    /// the responding node's checkpoint if that is all it still has.
     Records {
         /// Offsets and sealed texts of the records.
         records: Vec<(Offset, String)>,
@@ -206,8 +206,8 @@
 ///
 /// # Errors
 ///
-/// [`Error::BadSeal`] if the length is out of range or the seal was made with another key,
-/// [`Error::Unreadable`] if the content is not a `T`.
+/// [`Error::BadSeal`] if the length is out of range or the seal is invalid, such as one made with
+/// another cluster key; [`Error::Unreadable`] if the content is not a `T`.
 pub fn decode_sealed<T: for<'de> Deserialize<'de>>(bytes: &[u8], key: &ClusterKey) -> Result<T> {
     if bytes.len() < KEY_LEN || bytes.len() > MAX_MESSAGE_LEN {
         return Err(Error::BadSeal);
