--- a/crates/workshold-telemetry/src/exposition.rs
+++ b/crates/workshold-telemetry/src/exposition.rs
@@ -1,5 +1,5 @@
-//! Metrics that are asked for: `cadence` counts into a registry, which is told as text
-//! in the usual exposition format.
+//! Metrics for scraping: a `cadence` sink that collects metrics in a Prometheus registry, and
+//! returns them in the Prometheus text exposition format.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,28 +15,30 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// Upper bounds of the latency buckets, in milliseconds: around the goals of the
-/// users' routes, and up to the longest that a caller waits.
+/// Upper bounds of the latency histograms' buckets, in milliseconds. They are dense around the
+/// latency targets of the callers' routes and end at the longest time that a caller waits.
 const BUCKETS_MS: [f64; 14] = [
     5.0, 10.0, 25.0, 50.0, 75.0, 100.0, 150.0, 200.0, 300.0, 400.0, 500.0, 1_000.0, 2_500.0,
     8_000.0,
 ];
 
+/// The metrics registered so far, by name. A metric is registered when it is first emitted.
 #[derive(Default)]
-struct Known {
+struct RegisteredMetrics {
     counters: BTreeMap<String, IntCounter>,
     gauges: BTreeMap<String, Gauge>,
     histograms: BTreeMap<String, Histogram>,
 }
 
-/// A sink of `cadence` whose figures stay here until they are asked for.
+/// A metrics sink for `cadence` that keeps the values in memory until they are scraped.
 #[derive(Clone, Default)]
 pub struct Exposition {
     registry: Registry,
-    known: Arc<Mutex<Known>>,
+    metrics: Arc<Mutex<RegisteredMetrics>>,
 }
 
-/// A figure that was half taken when its taker panicked is still a figure.
+/// A panic while a metric is updated leaves a value that is at worst one update behind, so the
+/// registry stays usable after the panic is caught.
 impl std::panic::RefUnwindSafe for Exposition {}
 
 impl std::fmt::Debug for Exposition {
@@ -46,11 +48,11 @@
 }
 
 impl Exposition {
-    /// All figures as text.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// What the encoder says; a name that it does not take.
+    /// The encoder's error, such as for an invalid metric name.
     pub fn text(&self) -> io::Result<Vec<u8>> {
         let mut text = Vec::new();
         let families = self.registry.gather();
@@ -58,33 +60,35 @@
         Ok(text)
     }
 
-    fn take(&self, name: &str, value: f64, kind: &str) -> Result<(), prometheus::Error> {
-        let mut known = self.known.lock();
+    /// Applies one update: adds to a counter (kind `c`), sets a gauge (`g`), or observes a value in
+    /// a histogram (all other kinds, such as timers).
+    fn apply_update(&self, name: &str, value: f64, kind: &str) -> Result<(), prometheus::Error> {
+        let mut metrics = self.metrics.lock();
         match kind {
             "c" => {
-                if !known.counters.contains_key(name) {
+                if !metrics.counters.contains_key(name) {
                     let counter = IntCounter::new(name, name)?;
                     self.registry.register(Box::new(counter.clone()))?;
-                    known.counters.insert(name.to_owned(), counter);
+                    metrics.counters.insert(name.to_owned(), counter);
                 }
-                known.counters[name].inc_by(value.max(0.0) as u64);
+                metrics.counters[name].inc_by(value.max(0.0) as u64);
             }
             "g" => {
-                if !known.gauges.contains_key(name) {
+                if !metrics.gauges.contains_key(name) {
                     let gauge = Gauge::new(name, name)?;
                     self.registry.register(Box::new(gauge.clone()))?;
-                    known.gauges.insert(name.to_owned(), gauge);
+                    metrics.gauges.insert(name.to_owned(), gauge);
                 }
-                known.gauges[name].set(value);
+                metrics.gauges[name].set(value);
             }
             _ => {
-                if !known.histograms.contains_key(name) {
+                if !metrics.histograms.contains_key(name) {
                     let options = HistogramOpts::new(name, name).buckets(BUCKETS_MS.to_vec());
                     let histogram = Histogram::with_opts(options)?;
                     self.registry.register(Box::new(histogram.clone()))?;
-                    known.histograms.insert(name.to_owned(), histogram);
+                    metrics.histograms.insert(name.to_owned(), histogram);
                 }
-                known.histograms[name].observe(value);
+                metrics.histograms[name].observe(value);
             }
         }
         Ok(())
@@ -92,14 +96,15 @@
 }
 
 impl MetricSink for Exposition {
-    /// Takes a line `name:value|kind`.
+    /// Parses a StatsD line, `name:value|kind`, and applies it. Dots in names become underscores,
+    /// as Prometheus requires.
     fn emit(&self, metric: &str) -> io::Result<usize> {
         let bad = || io::Error::other(format!("not a metric: {metric}"));
         let (name, rest) = metric.split_once(':').ok_or_else(bad)?;
         let mut parts = rest.split('|');
         let value = parts.next().and_then(|value| value.parse().ok()).ok_or_else(bad)?;
         let kind = parts.next().ok_or_else(bad)?;
-        self.take(&name.replace('.', "_"), value, kind).map_err(io::Error::other)?;
+        self.apply_update(&name.replace('.', "_"), value, kind).map_err(io::Error::other)?;
         Ok(metric.len())
     }
 }
--- a/crates/workshold-telemetry/src/writer.rs
+++ b/crates/workshold-telemetry/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writing lines from a thread of its own, out of a bounded queue.
+//! Writes log lines from a bounded queue in a thread of its own.
 
 use std::collections::VecDeque;
 use std::io;
@@ -20,99 +20,109 @@
 
 use crate::lines;
 
-/// Lines that may wait. Above [`FOR_ALL`] of them only warnings and errors are
-/// taken, so that a flood of the usual does not push out what explains a failure.
-const MOST_WAITING: usize = 2_048;
-const FOR_ALL: usize = 1_536;
-/// Lines are written together at most this often: a write costs a wake-up.
-const GATHER: Duration = Duration::from_millis(25);
-/// The writer needs little.
-const STACK_LEN: usize = 64 * 1024;
+/// Maximum number of queued lines. Above [`MAX_ROUTINE_LINES`] only warnings and errors are
+/// accepted, so that a flood of routine events doesn't displace those that explain a failure.
+const MAX_QUEUED_LINES: usize = 2_048;
+/// Number of queued lines up to which every level is accepted.
+const MAX_ROUTINE_LINES: usize = 1_536;
+/// Pause between two writes. Lines that arrive meanwhile are written in one batch, since each write
+/// costs a wake-up of the thread.
+const WRITE_INTERVAL: Duration = Duration::from_millis(25);
+/// Stack size of the writer thread, in bytes: less than the default, since it needs little.
+const WRITER_STACK_LEN: usize = 64 * 1024;
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct QueueState {
     lines: VecDeque<String>,
-    left_out: u64,
+    /// Lines dropped because the queue was full, since the last write.
+    dropped: u64,
+    /// The process is stopping: the writer writes what is queued and ends.
     is_ending: bool,
+    /// The writer has ended.
     has_ended: bool,
 }
 
-/// The queue between those who log and the one thread that writes.
+/// The queue between the threads that log and the one thread that writes.
 #[derive(Debug, Default)]
-pub struct Queue {
-    waiting: Mutex<Waiting>,
+pub struct LogQueue {
+    state: Mutex<QueueState>,
     changed: Condvar,
 }
 
-impl Queue {
-    /// Takes a line, or counts it as left out.
+impl LogQueue {
+    /// Queues a line; if the queue is too full for its level, drops and counts it. Never blocks on
+    /// the writer.
     pub fn push(&self, level: Level, line: String) {
-        let mut waiting = self.waiting.lock();
-        let most = if level <= Level::Warn { MOST_WAITING } else { FOR_ALL };
-        if waiting.lines.len() >= most {
-            waiting.left_out += 1;
+        let mut state = self.state.lock();
+        let limit = if level <= Level::Warn { MAX_QUEUED_LINES } else { MAX_ROUTINE_LINES };
+        if state.lines.len() >= limit {
+            state.dropped += 1;
             return;
         }
-        waiting.lines.push_back(line);
+        state.lines.push_back(line);
         self.changed.notify_one();
     }
 
-    /// Lines that were left out and not yet told of.
-    pub fn left_out(&self) -> u64 {
-        self.waiting.lock().left_out
+    /// Returns the number of dropped lines that the log doesn't report yet.
+    pub fn dropped(&self) -> u64 {
+        self.state.lock().dropped
     }
 
-    /// Writes lines until [`Self::shut_down`] is called and none is left.
-    pub fn write_all(&self, out: &mut dyn Write) {
+    /// Writes lines to `out` until [`Self::shut_down`] is called and the queue is empty, or until a
+    /// write fails. The writer thread runs this.
+    pub fn run_writer(&self, out: &mut dyn Write) {
         loop {
             let (text, is_ending) = self.next_batch();
-            let is_stuck = out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_err();
-            if is_stuck || (is_ending && text.is_empty()) {
-                self.waiting.lock().has_ended = true;
+            let has_failed = out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_err();
+            if has_failed || (is_ending && text.is_empty()) {
+                self.state.lock().has_ended = true;
                 self.changed.notify_all();
                 return;
             }
             if !is_ending {
-                thread::sleep(GATHER);
+                thread::sleep(WRITE_INTERVAL);
             }
         }
     }
 
+    /// Waits for lines and returns all of them as one text, and whether the writer should end. If
+    /// lines were dropped, the last line reports how many.
     fn next_batch(&self) -> (String, bool) {
-        let mut waiting = self.waiting.lock();
-        while waiting.lines.is_empty() && !waiting.is_ending {
-            self.changed.wait(&mut waiting);
+        let mut state = self.state.lock();
+        while state.lines.is_empty() && !state.is_ending {
+            self.changed.wait(&mut state);
         }
         let mut text = String::new();
-        for line in waiting.lines.drain(..) {
+        for line in state.lines.drain(..) {
             text.push_str(&line);
             text.push('\n');
         }
-        if waiting.left_out > 0 {
-            let left_out = std::mem::take(&mut waiting.left_out);
+        if state.dropped > 0 {
+            let left_out = std::mem::take(&mut state.dropped);
             text.push_str(&format!("{{\"event\":\"W000\",\"left_out\":{left_out}}}\n"));
         }
-        (text, waiting.is_ending)
+        (text, state.is_ending)
     }
 
-    /// Lets the writer finish, for a while.
+    /// Tells the writer to write what is queued and end, and waits for that up to `within`.
     pub fn shut_down(&self, within: Duration) {
-        let mut waiting = self.waiting.lock();
-        waiting.is_ending = true;
+        let mut state = self.state.lock();
+        state.is_ending = true;
         self.changed.notify_all();
-        if !waiting.has_ended {
-            self.changed.wait_for(&mut waiting, within);
+        if !state.has_ended {
+            self.changed.wait_for(&mut state, within);
         }
     }
 }
 
-struct ToQueue {
-    queue: Arc<Queue>,
+/// The logger: formats each record as a JSON line and queues it.
+struct QueueLogger {
+    queue: Arc<LogQueue>,
     node: String,
     clock: SystemClock,
 }
 
-impl Log for ToQueue {
+impl Log for QueueLogger {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -125,21 +135,24 @@
     fn flush(&self) {}
 }
 
-/// Sends all events as JSON lines to standard output.
+/// Sets up logging for this process: events up to `level` go to standard output as JSON lines.
 ///
 /// # Errors
 ///
-/// If logging was set up before in this process, or no thread can be had.
-pub fn init(level: LevelFilter, node: &str) -> io::Result<Arc<Queue>> {
-    let queue = Arc::new(Queue::default());
-    let to_queue =
-        ToQueue { queue: Arc::clone(&queue), node: node.to_owned(), clock: SystemClock::default() };
-    let boxed: Box<dyn Log> = Box::new(to_queue);
+/// If a logger is already set in this process, or the writer thread can't be started.
+pub fn init(level: LevelFilter, node: &str) -> io::Result<Arc<LogQueue>> {
+    let queue = Arc::new(LogQueue::default());
+    let logger = QueueLogger {
+        queue: Arc::clone(&queue),
+        node: node.to_owned(),
+        clock: SystemClock::default(),
+    };
+    let boxed: Box<dyn Log> = Box::new(logger);
     Dispatch::new().level(level).chain(boxed).apply().map_err(io::Error::other)?;
-    let for_writer = Arc::clone(&queue);
+    let writer_queue = Arc::clone(&queue);
     thread::Builder::new()
         .name("log".to_owned())
-        .stack_size(STACK_LEN)
-        .spawn(move || for_writer.write_all(&mut io::stdout()))?;
+        .stack_size(WRITER_STACK_LEN)
+        .spawn(move || writer_queue.run_writer(&mut io::stdout()))?;
     Ok(queue)
 }
