--- a/crates/workshold-gateway/tests/platform.rs
+++ b/crates/workshold-gateway/tests/platform.rs
@@ -1,20 +1,20 @@
-//! Nodes on a stand-in of the users' platform, over sockets.
+//! End-to-end tests: nodes that run against a stand-in of the platform, over real sockets.
 
-#[path = "platform/copies.rs"]
-mod copies;
+#[path = "platform/backoff.rs"]
+mod backoff;
+#[path = "platform/daemon.rs"]
+mod daemon;
 #[path = "platform/ending.rs"]
 mod ending;
 #[path = "platform/limits.rs"]
 mod limits;
-#[path = "platform/path.rs"]
-mod path;
-#[path = "platform/resting.rs"]
-mod resting;
-#[path = "platform/silence.rs"]
-mod silence;
-#[path = "platform/stopping.rs"]
-mod stopping;
+#[path = "platform/request_path.rs"]
+mod request_path;
 #[path = "platform/store.rs"]
 mod store;
+#[path = "platform/store_outage.rs"]
+mod store_outage;
+#[path = "platform/store_restore.rs"]
+mod store_restore;
 #[path = "platform/support/mod.rs"]
 mod support;
--- a/crates/workshold-gateway/tests/platform/stopping.rs
+++ b/crates/workshold-gateway/tests/platform/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process of its own: settings, a planned stop, a changed file.
+//! The daemon as a separate process: checks of its settings, planned stops and reloads.
 
 use std::fs;
 use std::io::Write;
@@ -21,8 +21,8 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_workshold-gateway");
 
-/// A node in a process of its own, which ends with the test.
-struct Process {
+/// A node in a separate process, which is killed when dropped.
+struct NodeProcess {
     child: Child,
     settings: PathBuf,
     callers: SocketAddr,
@@ -30,16 +30,16 @@
     control: SocketAddr,
 }
 
-impl Drop for Process {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // It may have ended by itself, as most of these tests want.
+        // Fails if the process has ended by itself, which most of these tests expect.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_file(&self.settings);
     }
 }
 
-impl Process {
+impl NodeProcess {
     async fn start(name: &str, store: SocketAddr, stop_within_s: f64) -> Self {
         let [callers, readiness, directory, control] = [(); 4].map(|()| free_address());
         let text = format!(
@@ -67,8 +67,8 @@
         caller::is_ready(self.readiness).await
     }
 
-    async fn serving(&self) {
-        wait_for("a group that serves", || async {
+    async fn wait_for_open_group(&self) {
+        wait_for("an open group", || async {
             let state = caller::get(self.control, "/state").await;
             state.is_some_and(|(_, body)| String::from_utf8_lossy(&body).contains("Open"))
         })
@@ -81,74 +81,74 @@
         assert!(sent.success());
     }
 
-    async fn ended(&mut self, within: Duration) -> ExitStatus {
+    async fn wait_for_exit(&mut self, within: Duration) -> ExitStatus {
         let began = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(began.elapsed() < within, "it did not end");
+            assert!(began.elapsed() < within, "the process did not end");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 }
 
 #[tokio::test]
-async fn a_planned_stop_serves_until_callers_have_forgotten_it_and_cuts_nothing() {
+async fn a_planned_stop_serves_callers_that_hold_its_address_and_cuts_no_stream() {
     let deployment = Deployment::start(2, 1).await;
-    let mut node = Process::start("stop", deployment.store.address, 8.0).await;
-    node.serving().await;
+    let mut node = NodeProcess::start("stop", deployment.store.address, 8.0).await;
+    node.wait_for_open_group().await;
     let (res, _driver) =
         caller::open(node.callers, caller::request("r-1", "/chat/x", "k1")).await.unwrap();
     node.signal("TERM");
-    wait_for("the node out of every answer", || async { !node.is_ready().await }).await;
-    // Callers who still have its address are served.
-    let (late, _) =
+    wait_for("a node that is no longer ready", || async { !node.is_ready().await }).await;
+    // Callers that still hold its address are served.
+    let (while_stopping, _) =
         caller::send(node.callers, caller::request("r-2", "/print/x", "k1")).await.unwrap();
-    assert_eq!(late.status(), 200);
+    assert_eq!(while_stopping.status(), 200);
     let text = res.into_body().collect().await.unwrap().to_bytes();
     let text = String::from_utf8(text.to_vec()).unwrap();
     assert_eq!(caller::event_ids(&text), (1..=STREAM_EVENTS).collect::<Vec<u64>>());
-    assert!(node.ended(Duration::from_secs(8)).await.success());
+    assert!(node.wait_for_exit(Duration::from_secs(8)).await.success());
 }
 
 #[tokio::test]
-async fn a_planned_stop_ends_in_time_although_a_stream_does_not() {
+async fn a_planned_stop_keeps_its_deadline_despite_an_endless_stream() {
     let deployment = Deployment::start(2, 0).await;
-    let mut node = Process::start("endless", deployment.store.address, 3.0).await;
-    node.serving().await;
+    let mut node = NodeProcess::start("endless", deployment.store.address, 3.0).await;
+    node.wait_for_open_group().await;
     deployment.engines.iter().for_each(|engine| engine.set_behaviour(InstanceBehaviour::Endless));
     let (_res, _driver) =
         caller::open(node.callers, caller::request("r-1", "/chat/x", "k1")).await.unwrap();
     let began = Instant::now();
     node.signal("TERM");
-    assert!(node.ended(Duration::from_secs(6)).await.success());
+    assert!(node.wait_for_exit(Duration::from_secs(6)).await.success());
     assert!(began.elapsed() < Duration::from_millis(3_500), "{:?}", began.elapsed());
 }
 
 #[tokio::test]
-async fn a_stopping_node_takes_no_stream_that_it_might_have_to_cut() {
+async fn a_stopping_node_refuses_streams_it_could_not_finish() {
     let deployment = Deployment::start(2, 1).await;
-    let node = Process::start("late", deployment.store.address, 8.0).await;
-    node.serving().await;
+    let node = NodeProcess::start("late", deployment.store.address, 8.0).await;
+    node.wait_for_open_group().await;
     node.signal("TERM");
-    // Half of the time for which callers may use its address: one and a half seconds.
+    // Past half of the 1.5 s for which callers may still use its address.
     tokio::time::sleep(Duration::from_millis(950)).await;
     let (stream, _) =
         caller::send(node.callers, caller::request("r-1", "/chat/x", "k1")).await.unwrap();
     assert_eq!(stream.status(), 503);
     let after: f64 = stream.headers()["retry-after"].to_str().unwrap().parse().unwrap();
-    assert!(after < 0.1, "{after}: another node will take it at once");
+    assert!(after < 0.1, "Retry-After is {after} s, though another node can take it at once");
     assert!(deployment.engines.iter().all(|engine| engine.ran().is_empty()));
     let (short, _) =
         caller::send(node.callers, caller::request("r-2", "/print/x", "k1")).await.unwrap();
-    assert_eq!(short.status(), 200, "what is over soon is still served");
+    assert_eq!(short.status(), 200, "short requests are still served");
 }
 
 #[tokio::test]
-async fn a_changed_file_that_is_not_valid_changes_nothing() {
+async fn a_reload_of_invalid_settings_is_ignored() {
     let deployment = Deployment::start(2, 1).await;
-    let node = Process::start("changed", deployment.store.address, 8.0).await;
+    let node = NodeProcess::start("changed", deployment.store.address, 8.0).await;
     fs::write(&node.settings, "[node]\nname = 7\n").unwrap();
     node.signal("HUP");
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -157,17 +157,18 @@
     assert_eq!(res.status(), 200);
 }
 
-/// The node is held while it reads its settings, from a pipe, and signalled then.
+/// The settings come from a named pipe, so that the node blocks in reading them while it is
+/// signalled.
 #[tokio::test]
-async fn a_signal_that_comes_while_a_node_starts_does_not_end_it() {
+async fn a_reload_signal_during_start_does_not_end_the_process() {
     let deployment = Deployment::start(2, 1).await;
     let [callers, readiness, directory, control] = [(); 4].map(|()| free_address());
     let pipe = std::env::temp_dir().join(format!("starting-{}.toml", control.port()));
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     let child = Command::new(BINARY).arg("--settings").arg(&pipe).stdout(Stdio::null()).spawn();
     let node =
-        Process { child: child.unwrap(), settings: pipe.clone(), callers, readiness, control };
-    // This opens once the node reads at the other end.
+        NodeProcess { child: child.unwrap(), settings: pipe.clone(), callers, readiness, control };
+    // Opening for writing blocks until the node opens the other end for reading.
     let opened = tokio::task::spawn_blocking(move || fs::OpenOptions::new().write(true).open(pipe));
     let mut writer = opened.await.unwrap().unwrap();
     node.signal("HUP");
@@ -181,19 +182,20 @@
     );
     writer.write_all(text.as_bytes()).unwrap();
     drop(writer);
-    // What takes the pipe's place is a file, for the reading that the signal asks for.
+    // A regular file replaces the pipe, for the reload that the signal asks for.
     fs::remove_file(&node.settings).unwrap();
     fs::write(&node.settings, text).unwrap();
     wait_for("a ready process", || node.is_ready()).await;
 }
 
 #[test]
-fn settings_are_checked_before_anything_starts() {
+fn check_flag_reports_invalid_settings() {
     let file = std::env::temp_dir().join(format!("bad-{}.toml", std::process::id()));
     fs::write(&file, "[node]\nname = \"n\"\n").unwrap();
-    let ended = Command::new(BINARY).arg("--check").arg("--settings").arg(&file).output().unwrap();
+    let wait_for_exit =
+        Command::new(BINARY).arg("--check").arg("--settings").arg(&file).output().unwrap();
     fs::remove_file(&file).unwrap();
-    let text = String::from_utf8(ended.stderr).unwrap();
-    assert_eq!(ended.status.code(), Some(2), "{text}");
+    let text = String::from_utf8(wait_for_exit.stderr).unwrap();
+    assert_eq!(wait_for_exit.status.code(), Some(2), "{text}");
     assert!(text.contains("data_centre") && text.contains("deploy/entry.toml"), "{text}");
 }
--- a/crates/workshold-gateway/tests/platform/path.rs
+++ b/crates/workshold-gateway/tests/platform/request_path.rs
@@ -1,4 +1,4 @@
-//! The whole path over sockets: store, groups, callers, and what goes wrong on it.
+//! The path of a request over sockets, from caller to upstream, and the faults on it.
 
 use std::time::Duration;
 
@@ -16,16 +16,16 @@
 use workshold_platform_standin::store::StoreBehaviour;
 use workshold_platform_standin::wait_for;
 
-const MANY_REPEATS: &str = "repeat_slack = 100.0";
+const LARGE_RETRY_BUDGET: &str = "repeat_slack = 100.0";
 
 fn all_events() -> Vec<u64> {
     (1..=STREAM_EVENTS).collect()
 }
 
 #[tokio::test]
-async fn a_stream_is_served_whole_by_a_group_that_was_formed_and_opened() {
+async fn a_formed_group_serves_a_complete_stream() {
     let deployment = Deployment::start(4, 1).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.serving().await;
     let (res, text) =
         caller::send(node.callers, caller::request("r-1", "/chat/x?y=1", "k1")).await.unwrap();
@@ -36,9 +36,9 @@
 }
 
 #[tokio::test]
-async fn a_stream_whose_engine_crashes_goes_on_elsewhere_in_the_same_answer() {
+async fn a_stream_fails_over_within_its_answer_when_its_engine_crashes() {
     let deployment = Deployment::start(6, 0).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.serving().await;
     let (res, _driver) =
         caller::open(node.callers, caller::request("r-1", "/chat/x", "k1")).await.unwrap();
@@ -49,15 +49,15 @@
     first.crash();
     let text = res.into_body().collect().await.unwrap().to_bytes();
     let text = String::from_utf8(text.to_vec()).unwrap();
-    assert_eq!(caller::event_ids(&text), all_events(), "none missing, none twice");
+    assert_eq!(caller::event_ids(&text), all_events(), "every event arrives exactly once");
     let runs = deployment.engines.iter().filter(|e| e.ran().contains(&"r-1".to_owned())).count();
     assert_eq!(runs, 2);
 }
 
 #[tokio::test]
-async fn an_event_that_broke_off_is_sent_whole_by_the_next_engine() {
+async fn a_partial_event_is_sent_whole_by_the_next_engine() {
     let deployment = Deployment::start(4, 0).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.serving().await;
     deployment
         .engines
@@ -73,9 +73,9 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_cannot_go_on_is_cut_and_does_not_look_whole() {
+async fn a_stream_without_failover_target_ends_with_an_error() {
     let deployment = Deployment::start(2, 0).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.serving().await;
     let (res, _driver) =
         caller::open(node.callers, caller::request("r-1", "/chat/x", "k1")).await.unwrap();
@@ -84,9 +84,9 @@
 }
 
 #[tokio::test]
-async fn a_caller_who_leaves_ends_the_work_upstream() {
+async fn a_disconnected_caller_cancels_the_upstream_request() {
     let deployment = Deployment::start(2, 0).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.serving().await;
     deployment.engines.iter().for_each(|engine| engine.set_behaviour(InstanceBehaviour::Endless));
     let (res, driver) =
@@ -95,21 +95,21 @@
     assert_eq!(engine.streams(), 1);
     drop((res, driver));
     tokio::time::sleep(Duration::from_millis(400)).await;
-    assert_eq!(engine.streams(), 0, "half a second is the most that it may go on");
+    assert_eq!(engine.streams(), 0, "the upstream's work must end within half a second");
 }
 
 #[rstest]
 #[case::broken(InstanceBehaviour::Breaks, 502)]
 #[case::failed(InstanceBehaviour::Fails, 500)]
-#[case::unproved(InstanceBehaviour::NoStamp, 502)]
+#[case::unstamped(InstanceBehaviour::NoStamp, 502)]
 #[case::foreign(InstanceBehaviour::WrongRequestId, 502)]
 #[tokio::test]
-async fn what_must_run_once_runs_once_and_is_not_called_not_run(
+async fn an_at_most_once_request_is_sent_once_and_not_reported_as_not_executed(
     #[case] behaviour: InstanceBehaviour,
     #[case] status: u16,
 ) {
     let deployment = Deployment::start(2, 3).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     deployment.gates.iter().for_each(|gate| gate.set_behaviour(behaviour));
     let (res, _) =
@@ -119,9 +119,9 @@
 }
 
 #[tokio::test]
-async fn a_request_that_was_not_run_says_so_and_when_to_come_back() {
+async fn a_refused_request_gets_503_with_retry_after() {
     let deployment = Deployment::start(2, 2).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     deployment.gates.iter().for_each(|gate| gate.set_behaviour(InstanceBehaviour::Refuses));
     let (res, _) =
@@ -133,9 +133,9 @@
 }
 
 #[tokio::test]
-async fn what_may_be_repeated_is_tried_at_another_instance() {
+async fn an_idempotent_request_is_retried_at_another_instance() {
     let deployment = Deployment::start(2, 2).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     deployment.gates[0].set_behaviour(InstanceBehaviour::Breaks);
     for i in 0..6 {
@@ -143,7 +143,7 @@
         let (res, text) =
             caller::send(node.callers, caller::request(&id, "/plate/x?n=1", "k1")).await.unwrap();
         assert_eq!(res.status(), 200);
-        assert_eq!(text, "i-gate1 /plate/x?n=1", "path and query are unchanged");
+        assert_eq!(text, "i-gate1 /plate/x?n=1", "path and query arrive unchanged");
     }
 }
 
@@ -151,13 +151,13 @@
 #[case::no_route("/nowhere/x", "k1", 404)]
 #[case::unknown_key("/print/x", "k9", 401)]
 #[tokio::test]
-async fn what_the_configuration_does_not_allow_is_denied(
+async fn requests_without_route_or_valid_key_are_denied(
     #[case] path: &str,
     #[case] key: &str,
     #[case] status: u16,
 ) {
     let deployment = Deployment::start(2, 1).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     let (res, _) = caller::send(node.callers, caller::request("r-1", path, key)).await.unwrap();
     assert_eq!(res.status(), status);
@@ -165,9 +165,9 @@
 }
 
 #[tokio::test]
-async fn a_new_configuration_is_in_force_at_once_and_never_goes_back() {
+async fn a_new_configuration_takes_effect_and_older_versions_are_ignored() {
     let deployment = Deployment::start(2, 1).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     deployment.store.configure(&config(9, "k2"));
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn without_the_store_requests_are_served_until_keys_may_be_out_of_date() {
+async fn without_the_store_requests_are_served_until_max_key_age() {
     let deployment = Deployment::start(2, 1).await;
     let node = TestNode::start("n-1", &deployment.store, "keys_believed_ms = 2500");
     node.ready().await;
@@ -199,9 +199,10 @@
     assert_eq!(send("r-3").await, 200);
 }
 
-/// Some deployments would rather serve by what was known last than refuse.
+/// With `refuse_stale_keys = false` a node that has lost the store goes on serving by the last
+/// configuration that it read.
 #[tokio::test]
-async fn without_the_store_requests_are_served_on_where_the_settings_say_so() {
+async fn without_the_store_requests_are_served_if_stale_keys_are_allowed() {
     let deployment = Deployment::start(2, 1).await;
     let settings = "keys_believed_ms = 1000\nrefuse_stale_keys = false";
     let node = TestNode::start("n-1", &deployment.store, settings);
@@ -213,35 +214,35 @@
         sent.unwrap().0.status().as_u16()
     };
     assert_eq!(send(node.callers, "r-1", "k1").await, 200);
-    assert_eq!(send(node.callers, "r-2", "k2").await, 401, "an unknown key stays unknown");
+    assert_eq!(send(node.callers, "r-2", "k2").await, 401, "an unknown key is still denied");
     assert!(caller::is_ready(node.readiness).await);
     let newcomer = TestNode::start("n-2", &deployment.store, settings);
     let starts = || async { caller::get(newcomer.control, "/state").await.is_some() };
     wait_for("a node that listens", starts).await;
-    assert_eq!(send(newcomer.callers, "r-3", "k1").await, 503, "it knows no configuration");
+    assert_eq!(send(newcomer.callers, "r-3", "k1").await, 503, "it has no configuration");
 }
 
 #[tokio::test]
-async fn nodes_find_each_other_and_name_each_other_to_callers() {
+async fn nodes_discover_each_other_and_list_each_other_in_the_directory() {
     let deployment = Deployment::start(2, 1).await;
-    let first = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
-    let second = TestNode::start("n-2", &deployment.store, MANY_REPEATS);
+    let first = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
+    let second = TestNode::start("n-2", &deployment.store, LARGE_RETRY_BUDGET);
     first.ready().await;
     second.ready().await;
     let addresses = || async {
         let (_, body) = caller::get(first.directory, "/v1/resolve?zone=a").await.unwrap();
-        let answer: serde_json::Value = serde_json::from_slice(&body).unwrap();
-        answer["addresses"].as_array().unwrap().len()
+        let response: serde_json::Value = serde_json::from_slice(&body).unwrap();
+        response["addresses"].as_array().unwrap().len()
     };
     wait_for("both addresses", || async { addresses().await == 2 }).await;
     drop(second);
-    wait_for("the other one's end", || async { addresses().await == 1 }).await;
+    wait_for("the stopped node to disappear", || async { addresses().await == 1 }).await;
 }
 
 #[tokio::test]
-async fn an_instance_that_is_leaving_gets_nothing_new() {
+async fn a_draining_instance_gets_no_new_requests() {
     let deployment = Deployment::start(2, 2).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     deployment.gates[0].drain();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -253,40 +254,40 @@
     assert_eq!(deployment.gates[1].ran().len(), 8);
 }
 
-async fn raw(node: &TestNode, text: &str) -> String {
+async fn send_raw(node: &TestNode, text: &str) -> String {
     let mut stream = TcpStream::connect(node.callers).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
-    let mut answer = vec![0; 4096];
-    let read = tokio::time::timeout(Duration::from_secs(5), stream.read(&mut answer)).await;
-    String::from_utf8_lossy(&answer[..read.unwrap().unwrap()]).into_owned()
+    let mut response = vec![0; 4096];
+    let read = tokio::time::timeout(Duration::from_secs(5), stream.read(&mut response)).await;
+    String::from_utf8_lossy(&response[..read.unwrap().unwrap()]).into_owned()
 }
 
 #[tokio::test]
-async fn bad_input_ends_with_its_own_answer_and_nobody_else_notices() {
+async fn malformed_requests_get_an_error_and_do_not_affect_others() {
     let deployment = Deployment::start(2, 1).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     let head =
         "POST /print/x HTTP/1.1\r\nhost: lot.example\r\napi-key: k1\r\nx-request-id: bad\r\n";
-    let too_long = raw(&node, &format!("{head}content-length: 100000\r\n\r\n")).await;
+    let too_long = send_raw(&node, &format!("{head}content-length: 100000\r\n\r\n")).await;
     assert!(too_long.starts_with("HTTP/1.1 413"), "{too_long}");
-    let never = raw(&node, &format!("{head}content-length: 10\r\n\r\nhalf")).await;
-    assert!(never.starts_with("HTTP/1.1 408"), "{never}");
-    let garbage = raw(&node, "\0\0nothing of the kind\r\n\r\n").await;
+    let incomplete = send_raw(&node, &format!("{head}content-length: 10\r\n\r\nhalf")).await;
+    assert!(incomplete.starts_with("HTTP/1.1 408"), "{incomplete}");
+    let garbage = send_raw(&node, "\0\0nothing of the kind\r\n\r\n").await;
     assert!(garbage.is_empty() || garbage.starts_with("HTTP/1.1 400"), "{garbage}");
     let text = format!("{head}content-length: 5\r\ncontent-length: 6\r\n\r\nabcdef");
-    let doubled = raw(&node, &text).await;
+    let doubled = send_raw(&node, &text).await;
     assert!(doubled.is_empty() || doubled.starts_with("HTTP/1.1 400"), "{doubled}");
-    assert!(deployment.gates[0].ran().is_empty(), "none of it reached an upstream");
+    assert!(deployment.gates[0].ran().is_empty(), "no bad request reached an upstream");
     let (res, _) =
         caller::send(node.callers, caller::request("r-1", "/print/x", "k1")).await.unwrap();
     assert_eq!(res.status(), 200);
 }
 
 #[tokio::test]
-async fn the_state_is_told_on_request() {
+async fn state_endpoint_reports_config_and_instances() {
     let deployment = Deployment::start(2, 1).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     let (status, body) = caller::get(node.control, "/state").await.unwrap();
     let state: serde_json::Value = serde_json::from_slice(&body).unwrap();
@@ -296,23 +297,23 @@
 }
 
 #[tokio::test]
-async fn silence_alone_does_not_end_a_request_that_cannot_go_elsewhere() {
+async fn a_slow_answer_without_alternative_is_awaited() {
     let deployment = Deployment::start(2, 1).await;
     let text = config(1, "k1")
         .replace("\"service\":\"gate\",\"attempts\":2", "\"service\":\"gate\",\"attempts\":1");
     deployment.store.configure(&text.replace("\"version\":1", "\"version\":2"));
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     deployment.gates[0].set_behaviour(InstanceBehaviour::Slow);
     let (res, _) =
         caller::send(node.callers, caller::request("r-1", "/plate/x", "k1")).await.unwrap();
-    assert_eq!(res.status(), 200, "three times the goal has passed, but not its time");
+    assert_eq!(res.status(), 200, "three times the latency goal has passed, but not the deadline");
 }
 
 #[tokio::test]
-async fn metrics_are_told_as_text() {
+async fn metrics_endpoint_serves_text() {
     let deployment = Deployment::start(2, 1).await;
-    let node = TestNode::start("n-1", &deployment.store, MANY_REPEATS);
+    let node = TestNode::start("n-1", &deployment.store, LARGE_RETRY_BUDGET);
     node.ready().await;
     caller::send(node.callers, caller::request("r-1", "/print/x", "k1")).await.unwrap();
     let (status, body) = caller::get(node.control, "/metrics").await.unwrap();
--- a/crates/workshold-gateway/tests/platform/store.rs
+++ b/crates/workshold-gateway/tests/platform/store.rs
@@ -1,4 +1,5 @@
-//! What the store does to nodes: pages, a lost history, and answers for some only.
+//! Nodes against a store that pages its lists, has dropped old log records, or does not answer
+//! some nodes.
 
 use std::time::Duration;
 
@@ -20,7 +21,7 @@
     serde_json::from_slice(&body).unwrap()
 }
 
-/// Ids of the instances that the node has as listed.
+/// Ids of the instances that the node holds as listed in the store.
 async fn listed(node: &TestNode) -> Vec<String> {
     let state = state(node).await;
     let listed = state["instances"].as_array().unwrap().iter().filter(|i| i["is_listed"] == true);
@@ -33,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn a_list_of_many_pages_is_read_whole() {
+async fn a_paged_list_is_read_completely() {
     let deployment = Deployment::start(4, 3).await;
     deployment.store.set_page_len(2);
     let node = TestNode::start("n-1", &deployment.store, "");
@@ -42,11 +43,11 @@
 }
 
 #[tokio::test]
-async fn when_the_history_is_gone_the_list_is_read_anew_and_who_left_meanwhile_is_missed() {
+async fn after_log_truncation_the_full_list_is_read_and_removed_instances_are_dropped() {
     let deployment = Deployment::start(2, 2).await;
     let node = TestNode::start("n-1", &deployment.store, "");
     node.serving().await;
-    // All of it is forgotten before the node can read on.
+    // The store drops its log before the node can read the next records.
     deployment.store.set_behaviour(StoreBehaviour::Down);
     tokio::time::sleep(Duration::from_millis(100)).await;
     deployment.gates[0].crash();
@@ -56,12 +57,12 @@
     deployment.store.configure(&config(9, "k2"));
     deployment.store.compact();
     deployment.store.set_behaviour(StoreBehaviour::Normal);
-    wait_for("the list as it is now", || async {
+    wait_for("the current list", || async {
         let listed = listed(&node).await;
         listed.contains(&newcomer.name().to_owned()) && !listed.contains(&"i-gate0".to_owned())
     })
     .await;
-    wait_for("the configuration as it is now", || async {
+    wait_for("the current configuration", || async {
         state(&node).await["config"]["version"] == 9
     })
     .await;
@@ -73,37 +74,37 @@
 #[case::silent(LinkState::Silent)]
 #[case::no_answers(LinkState::OneWay)]
 #[tokio::test]
-async fn a_node_that_the_store_turns_away_goes_by_what_the_others_read(#[case] way: LinkState) {
+async fn a_node_cut_off_from_the_store_follows_its_peers(#[case] link_state: LinkState) {
     let deployment = Deployment::start(2, 2).await;
-    let to_store = Proxy::start();
-    to_store.set_target(Some(deployment.store.address));
+    let store_proxy = Proxy::start();
+    store_proxy.set_target(Some(deployment.store.address));
     let bounds = "keys_believed_ms = 3000";
-    let turned_away = TestNode::start_at("n-1", to_store.address, bounds);
+    let cut_off_node = TestNode::start_at("n-1", store_proxy.address, bounds);
     let other = TestNode::start("n-2", &deployment.store, bounds);
-    turned_away.serving().await;
+    cut_off_node.serving().await;
     other.serving().await;
-    wait_for("one to hear the other", || async {
-        state(&turned_away).await["peers"].as_array().unwrap().len() == 1
+    wait_for("a heartbeat from the other node", || async {
+        state(&cut_off_node).await["peers"].as_array().unwrap().len() == 1
     })
     .await;
-    to_store.set_state(way).await;
+    store_proxy.set_state(link_state).await;
     tokio::time::sleep(Duration::from_millis(3_500)).await;
-    assert_eq!(status(&turned_away, "r-1", "k1").await, 200, "the other's reading is as good");
+    assert_eq!(status(&cut_off_node, "r-1", "k1").await, 200, "a peer's read keeps it current");
     deployment.store.configure(&config(9, "k2"));
     tokio::time::sleep(Duration::from_millis(2_000)).await;
-    assert_eq!(status(&turned_away, "r-2", "k1").await, 401, "a key that was taken away");
-    assert_eq!(status(&turned_away, "r-3", "k2").await, 200);
+    assert_eq!(status(&cut_off_node, "r-2", "k1").await, 401, "the key was revoked");
+    assert_eq!(status(&cut_off_node, "r-3", "k2").await, 200);
 }
 
 #[tokio::test]
-async fn answers_that_are_lost_leave_one_steward_and_whole_groups() {
+async fn lost_answers_of_the_store_violate_no_invariant() {
     let deployment = Deployment::start(4, 1).await;
     let node = TestNode::start("n-1", &deployment.store, "");
     node.serving().await;
     deployment.store.set_behaviour(StoreBehaviour::LosesAnswers);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     deployment.store.set_behaviour(StoreBehaviour::Normal);
-    wait_for("a node that serves again", || async { caller::is_ready(node.readiness).await }).await;
+    wait_for("a ready node", || async { caller::is_ready(node.readiness).await }).await;
     assert_eq!(status(&node, "r-1", "k1").await, 200);
     assert_eq!(deployment.store.monitor.breaches(), Vec::<String>::new());
 }
--- a/crates/workshold-gateway/tests/platform/support/mod.rs
+++ b/crates/workshold-gateway/tests/platform/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node that runs in the test's own process.
+//! Starts nodes in the test's own process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 use workshold_platform_standin::store::StandInStore;
 use workshold_platform_standin::wait_for;
 
-/// A node that runs in this process.
+/// A node that runs as a task of the test and is aborted when dropped.
 pub struct TestNode {
     pub callers: SocketAddr,
     pub directory: SocketAddr,
@@ -28,17 +28,17 @@
 }
 
 impl TestNode {
-    /// Starts a node on the store.
+    /// Starts a node of a new deployment. `bounds` are lines of the `[bounds]` section.
     pub fn start(name: &str, store: &StandInStore, bounds: &str) -> Self {
         Self::start_at(name, store.address, bounds)
     }
 
-    /// Starts a node that reaches its store at `store`.
+    /// Starts a node that reaches the store at `store`, such as through a proxy.
     pub fn start_at(name: &str, store: SocketAddr, bounds: &str) -> Self {
         Self::begin(name, store, bounds, true)
     }
 
-    /// Starts a node where the system ran before.
+    /// Starts a node in a deployment that has run before (`is_first_start = false`).
     pub fn start_again(name: &str, store: &StandInStore, bounds: &str) -> Self {
         Self::begin(name, store.address, bounds, false)
     }
@@ -59,7 +59,7 @@
         let signals = Signals::new().unwrap();
         let task = tokio::spawn(async move {
             let ended = daemon::run(settings, PathBuf::from("/nonexistent"), signals).await;
-            panic!("the node ended: {ended:?}");
+            panic!("the node stopped: {ended:?}");
         });
         Self {
             callers: addresses[0],
@@ -70,15 +70,15 @@
         }
     }
 
-    /// Waits until the node says that it serves.
+    /// Waits until the node reports that it is ready.
     pub async fn ready(&self) {
         wait_for("a ready node", || caller::is_ready(self.readiness)).await;
     }
 
-    /// Waits until a group serves as well.
+    /// Waits until the node is ready and sees a group in state `Open`.
     pub async fn serving(&self) {
         self.ready().await;
-        wait_for("a group that serves", || async {
+        wait_for("an open group", || async {
             let state = caller::get(self.control, "/state").await;
             state.is_some_and(|(_, body)| String::from_utf8_lossy(&body).contains("Open"))
         })
