--- a/crates/workshold-gateway/tests/soak.rs
+++ b/crates/workshold-gateway/tests/soak.rs
@@ -1,4 +1,5 @@
-//! Short runs of the fault soak: a fixed seed, and those that broke a promise once.
+//! Short runs of the soak test, which injects faults and checks guarantees: with a fixed seed, and
+//! with seeds that once found a violation.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,76 +9,78 @@
 use workshold_soak::run;
 use workshold_soak::run::Options;
 
-/// How soon all is served again is measured by hand, on a machine that is not busy:
-/// here it only has to come.
+/// The time to recovery is measured in runs by hand on an idle machine. Here, on a busy one, it
+/// only matters that all requests are served again at some time.
 const RECOVERS_WITHIN: Duration = Duration::from_secs(60);
 
 #[rstest]
-#[case::always(1)]
-#[case::a_part_taken_by_an_old_list(2)]
+#[case::fixed_seed(1)]
+#[case::a_partition_taken_with_an_outdated_list(2)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_promise_breaks_whatever_befalls(#[case] seed: u64) {
+async fn guarantees_hold_under_all_faults(#[case] seed: u64) {
     play("faults", seed, Duration::from_secs(8), Duration::ZERO, false).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_promise_breaks_while_engines_start_again_under_their_ids() {
+async fn guarantees_hold_while_engines_restart_under_their_ids() {
     play("lives", 3, Duration::from_secs(8), Duration::ZERO, true).await;
 }
 
-/// What the store acknowledged last is gone, again and again.
+/// The store is restored from backups and loses its last acknowledged writes, several times.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_promise_breaks_while_the_store_comes_back_from_copies() {
+async fn guarantees_hold_while_the_store_is_restored_from_backups() {
     let options = options("copies", Duration::from_secs(8), Duration::ZERO, true);
-    play_with(Options { copies: true, ..options }, 21).await;
+    run_and_check(Options { copies: true, ..options }, 21).await;
 }
 
-/// Members leave while the heads of their groups finish, and others refuse: a stream
-/// whose attempts are used up stays where it is written.
+/// Members leave while the heads of their groups finish their streams, and other instances refuse
+/// them: a stream without attempts left must stay at the instance that serves it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn planned_work_alone_cuts_nothing() {
+async fn planned_work_alone_cuts_no_stream() {
     play("planned", 302, Duration::ZERO, Duration::from_secs(8), false).await;
 }
 
-/// Nodes are killed, cut off and frozen beside it, and what they know with them.
+/// Nodes are killed, isolated and suspended meanwhile, so that what they know of the request is
+/// lost or late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_ends_whoever_runs_it_is_soon_kept_from_all() {
+async fn a_request_that_crashes_instances_is_soon_quarantined() {
     let options = options("ending", Duration::from_secs(8), Duration::ZERO, false);
-    play_with(Options { ends_instances: true, ..options }, 11).await;
+    run_and_check(Options { ends_instances: true, ..options }, 11).await;
 }
 
-/// Three processes ask the store in step, so that none can tell the others sooner.
+/// Three nodes poll the store in step, so that none learns of a change before the others.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_is_written_after_a_silence_is_in_force_in_time() {
+async fn changes_after_a_store_outage_take_effect_in_time() {
     let options = options("silences", Duration::ZERO, Duration::ZERO, false);
-    play_with(Options { silences: 2, ..options }, 1).await;
+    run_and_check(Options { silences: 2, ..options }, 1).await;
 }
 
-/// Fails where a word of an earlier life in a copy outlives the next life's: a member is taken
-/// while the head of its group serves.
+/// Fails if a record of an earlier incarnation that a restore brings back replaces that of the
+/// current incarnation: a member is then assigned to another group while the head of its group
+/// serves streams.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn three_copies_in_a_row_take_no_member_from_a_head_that_serves() {
     let options = options("three-copies", Duration::from_secs(12), Duration::ZERO, true);
     let size = Size { nodes: 3, domains: 3, engines: 6, group: 2, gates: 3 };
-    play_with(Options { copies: true, callers: 12, size, ..options }, 1121).await;
+    run_and_check(Options { copies: true, callers: 12, size, ..options }, 1121).await;
 }
 
-/// Three processes share limits of engines and plain instances, several at once.
+/// Three nodes share the announced limits of several engines and plain instances at once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn instances_that_name_limits_get_no_more() {
+async fn announced_rate_limits_are_kept() {
     let options = options("limits", Duration::ZERO, Duration::ZERO, false);
-    play_with(Options { limits: 8, callers: 24, ..options }, 42).await;
+    run_and_check(Options { limits: 8, callers: 24, ..options }, 42).await;
 }
 
-/// Beside limits: what an instance says in one way does not hide another.
+/// Limits, backoffs and departures together: one announcement must not hide another.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn instances_that_ask_for_rest_or_leave_are_left_alone() {
+async fn backoffs_and_departures_are_respected() {
     let options = options("rests", Duration::ZERO, Duration::ZERO, false);
-    play_with(Options { limits: 2, rests: 8, callers: 24, ..options }, 42).await;
+    run_and_check(Options { limits: 2, rests: 8, callers: 24, ..options }, 42).await;
 }
 
 async fn play(name: &str, seed: u64, length: Duration, planned: Duration, new_lives: bool) {
-    play_with(options(name, length, planned, new_lives), seed).await;
+    run_and_check(options(name, length, planned, new_lives), seed).await;
 }
 
 fn options(name: &str, length: Duration, planned: Duration, new_lives: bool) -> Options {
@@ -100,12 +103,12 @@
     }
 }
 
-async fn play_with(options: Options, seed: u64) {
+async fn run_and_check(options: Options, seed: u64) {
     let folder = options.folder.clone();
     let verdict = run::play(&options, seed).await.unwrap();
-    let told: Vec<String> = verdict.breaches.iter().map(ToString::to_string).collect();
-    assert_eq!(told, Vec::<String>::new(), "logs are in {}", folder.display());
+    let violations: Vec<String> = verdict.breaches.iter().map(ToString::to_string).collect();
+    assert_eq!(violations, Vec::<String>::new(), "logs are in {}", folder.display());
     assert!(verdict.served > 50, "{} of {} served", verdict.served, verdict.requests);
-    // What stays behind is only in the way.
+    // The folder is kept for inspection only if an assertion above has failed.
     let _ = std::fs::remove_dir_all(folder.join(format!("seed-{seed}")));
 }
