--- a/crates/workshold-gateway/tests/fleet/mod.rs
+++ b/crates/workshold-gateway/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Nodes that tell each other how they are, without sockets: messages come some milliseconds
-//! after they are said, or are lost.
+//! A simulation of gossip between many nodes, without sockets: messages arrive some milliseconds
+//! after they are sent, or are lost.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -28,69 +28,75 @@
 use workshold_protocol::Millis;
 
 pub const DATA_CENTRES: usize = 5;
-/// Heads of groups, and how many of them a node has requests at.
+/// Heads of groups, and at how many of them each node has requests.
 pub const HEADS: u32 = 110;
-pub const HEADS_EACH: u32 = 3;
-pub const PERIOD: Millis = Millis(300);
-/// However much is new, a node speaks no more often than this.
-pub const GAP: Millis = Millis(100);
+pub const HEADS_PER_NODE: u32 = 3;
+/// Time between two heartbeats of a node that has no news.
+pub const HEARTBEAT_INTERVAL: Millis = Millis(300);
+/// Least time between two heartbeats, however much is new.
+pub const MIN_HEARTBEAT_INTERVAL: Millis = Millis(100);
+/// Step of the simulated clock.
 pub const TICK: Millis = Millis(5);
+/// Time at which a simulation starts.
 pub const NOW: Millis = Millis(100_000);
-/// Requests that ended whoever ran them, in one pulse.
-pub const MOST_REQUESTS: usize = 16;
-/// All nodes hear of each other by then, from a start with one known address.
-pub const SETTLES: Millis = Millis(8_000);
-/// One datagram in so many is lost, usually.
-pub const LOST: u32 = 100;
+/// Most quarantine entries in one heartbeat.
+pub const MAX_QUARANTINE_ENTRIES: usize = 16;
+/// Time in which all nodes come to hear each other, starting with one known address.
+pub const SETTLE_TIME: Millis = Millis(8_000);
+/// By default one datagram in this many is lost.
+pub const ONE_LOST_IN: u32 = 100;
 
-/// A node.
-pub struct Sim {
+/// A simulated node.
+pub struct SimNode {
     pub peers: Peers,
     pub name: String,
     pub data_centre: String,
-    pub next: Millis,
-    pub spoke: Millis,
+    /// When it sends the next heartbeat, and when it sent the last one.
+    pub next_heartbeat_at: Millis,
+    pub last_heartbeat_at: Millis,
     pub is_up: bool,
-    /// How well it carries work for others, 0 best.
+    /// Class of its suitability as a relay; 0 is the best.
     pub class: u8,
-    /// Requests at head 0, the one that is looked at.
-    pub at_head: u32,
+    /// Its requests at head 0, the one whose load the tests examine.
+    pub requests_at_head: u32,
     pub quarantine: Quarantine,
+    /// Datagrams sent and received, and bytes received.
     pub sent: u64,
-    pub taken: u64,
-    pub taken_bytes: u64,
-    /// Where its list of instances ends.
+    pub received: u64,
+    pub received_bytes: u64,
+    /// Offset at which its instance list ends.
     pub list: u64,
-    /// What of it this node has passed on.
-    pub told: u64,
+    /// Offset up to which it has passed the list on.
+    pub list_sent: u64,
     pub gap: ListGap,
-    /// When it reads the store again, passes news on again, and may ask again.
-    pub reads: Millis,
-    pub tells: Millis,
-    pub asks: Millis,
-    /// Whether it has read something itself that it has not passed on.
-    pub has_read: bool,
+    /// Earliest times of its next read of the store, news to peers, and fetch from a peer.
+    pub next_read_at: Millis,
+    pub next_news_at: Millis,
+    pub next_fetch_at: Millis,
+    /// Whether it has itself read records from the store that it has not passed on.
+    pub has_unsent_reads: bool,
 }
 
-/// Bytes of an entry, and the least and most time between two readings.
-pub const ENTRY: usize = 400;
-pub const READ_LEAST: u64 = 600;
-pub const READ_MOST: u64 = 1_200;
-/// News is passed on no more often than this.
-pub const TELL_EVERY: Millis = Millis(40);
-/// A peer is asked no more often than this; one that is gone costs as much.
-pub const ASK_EVERY: Millis = Millis(200);
+/// Bytes of an entry, and the shortest and longest time between two reads of the store, in ms.
+pub const ENTRY_LEN: usize = 400;
+pub const READ_INTERVAL_MIN_MS: u64 = 600;
+pub const READ_INTERVAL_MAX_MS: u64 = 1_200;
+/// Least time between two batches of news from one node.
+pub const NEWS_INTERVAL: Millis = Millis(40);
+/// Least time between two fetches from peers; a fetch from a dead peer costs as much.
+pub const FETCH_INTERVAL: Millis = Millis(200);
 
-/// Nodes and what is on its way between them.
+/// The simulated nodes and the datagrams in flight between them.
 pub struct Fleet {
     pub now: Millis,
-    pub nodes: Vec<Sim>,
-    pub under_way: BTreeMap<Millis, Vec<(usize, SocketAddr, Vec<u8>)>>,
+    pub nodes: Vec<SimNode>,
+    /// By time of arrival: recipient, sender's address and bytes.
+    pub in_flight: BTreeMap<Millis, Vec<(usize, SocketAddr, Vec<u8>)>>,
     pub rng: ChaCha8Rng,
-    /// Where the store's list of instances ends.
+    /// Offset at which the store's instance list ends.
     pub end: u64,
-    /// One datagram in so many is lost.
-    pub lost: u32,
+    /// One datagram in this many is lost.
+    pub one_lost_in: u32,
 }
 
 pub fn address(i: usize) -> SocketAddr {
@@ -98,18 +104,18 @@
 }
 
 pub fn index(address: SocketAddr) -> usize {
-    let SocketAddr::V4(address) = address else { panic!("all are of one kind") };
+    let SocketAddr::V4(address) = address else { panic!("all addresses are IPv4") };
     let [_, _, high, low] = address.ip().octets();
     usize::from(high) * 250 + usize::from(low) - 1
 }
 
 impl Fleet {
-    /// All know of one node only, whom the store names.
+    /// Starts nodes that know only node 0, which the store names.
     pub fn start(nodes: usize) -> Self {
         Self::start_with(nodes, |_| 0)
     }
 
-    /// The same with nodes that carry work for others more or less well.
+    /// Like [`Self::start`], with a relay class for each node.
     pub fn start_with(nodes: usize, class: impl Fn(usize) -> u8) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(nodes as u64);
         let node = |i: usize| {
@@ -118,42 +124,43 @@
             if i > 0 {
                 peers.add(address(0), NOW);
             }
-            Sim {
+            SimNode {
                 peers,
                 name: format!("node-{i}"),
                 data_centre: format!("dc-{}", i % DATA_CENTRES),
-                next: NOW + Millis(rng.random_range(0..300)),
-                spoke: Millis::ZERO,
+                next_heartbeat_at: NOW + Millis(rng.random_range(0..300)),
+                last_heartbeat_at: Millis::ZERO,
                 is_up: true,
                 class,
-                at_head: 0,
+                requests_at_head: 0,
                 quarantine: Quarantine::default(),
                 sent: 0,
-                taken: 0,
-                taken_bytes: 0,
+                received: 0,
+                received_bytes: 0,
                 list: 12,
-                told: 12,
+                list_sent: 12,
                 gap: ListGap::default(),
-                reads: NOW,
-                tells: NOW,
-                asks: NOW,
-                has_read: false,
+                next_read_at: NOW,
+                next_news_at: NOW,
+                next_fetch_at: NOW,
+                has_unsent_reads: false,
             }
         };
         let nodes = (0..nodes).map(node).collect();
-        Self { now: NOW, nodes, under_way: BTreeMap::new(), rng, end: 12, lost: LOST }
+        Self { now: NOW, nodes, in_flight: BTreeMap::new(), rng, end: 12, one_lost_in: ONE_LOST_IN }
     }
 
     pub fn heartbeat(&self, i: usize) -> Heartbeat {
-        let told = |head: u32, requests| WireLoad::from_hash(head, Load { requests, unread: 0 }, 9);
+        let wire_load =
+            |head: u32, requests| WireLoad::from_hash(head, Load { requests, unread: 0 }, 9);
         let head = |k: u32| 1 + (i as u32 * 7 + k * 31) % (HEADS - 1);
-        let mut loads: Vec<_> = (0..HEADS_EACH).map(|k| told(head(k), 1)).collect();
-        loads.push(told(0, self.nodes[i].at_head));
+        let mut loads: Vec<_> = (0..HEADS_PER_NODE).map(|k| wire_load(head(k), 1)).collect();
+        loads.push(wire_load(0, self.nodes[i].requests_at_head));
         Heartbeat {
             callers: address(i),
             data_centre: SmolStr::new(&self.nodes[i].data_centre),
             class: self.nodes[i].class,
-            next_ms: PERIOD.0 as u16,
+            next_ms: HEARTBEAT_INTERVAL.0 as u16,
             is_ready: true,
             has_traffic: true,
             config: Some((7, 100)),
@@ -173,94 +180,97 @@
         }
     }
 
-    pub fn run(&mut self, lasts: Millis) {
-        let until = self.now + lasts;
+    pub fn run(&mut self, duration: Millis) {
+        let until = self.now + duration;
         while self.now < until {
             self.now = self.now + TICK;
-            let later = self.under_way.split_off(&(self.now + Millis(1)));
+            let later = self.in_flight.split_off(&(self.now + Millis(1)));
             for (to, from, bytes) in
-                std::mem::replace(&mut self.under_way, later).into_values().flatten()
+                std::mem::replace(&mut self.in_flight, later).into_values().flatten()
             {
                 self.take(to, from, &bytes);
             }
             for i in 0..self.nodes.len() {
-                if self.nodes[i].is_up && self.nodes[i].next <= self.now {
-                    self.speak(i);
+                if self.nodes[i].is_up && self.nodes[i].next_heartbeat_at <= self.now {
+                    self.send_heartbeat(i);
                 }
                 if self.nodes[i].is_up {
-                    self.follow_list(i);
+                    self.sync_list(i);
                 }
             }
         }
     }
 
-    fn speak(&mut self, i: usize) {
+    fn send_heartbeat(&mut self, i: usize) {
         let mut heartbeat = self.heartbeat(i);
-        let told = self.nodes[i].quarantine.next_to_gossip(MOST_REQUESTS, self.now);
+        let entries = self.nodes[i].quarantine.next_to_gossip(MAX_QUARANTINE_ENTRIES, self.now);
         heartbeat.requests =
-            told.iter().map(|known| WireQuarantineEntry::new(known, self.now)).collect();
+            entries.iter().map(|entry| WireQuarantineEntry::new(entry, self.now)).collect();
         let draw = self.rng.random();
         let now = self.now;
         let node = &mut self.nodes[i];
         let own =
             LocalNode { address: address(i), name: &node.name, data_centre: &node.data_centre };
-        let said = node.peers.outgoing(&own, &heartbeat, now, draw);
+        let to_send = node.peers.outgoing(&own, &heartbeat, now, draw);
         node.peers.forget(now);
-        node.spoke = now;
-        node.next = now + PERIOD;
-        said.into_iter().for_each(|outgoing| self.send(i, outgoing));
+        node.last_heartbeat_at = now;
+        node.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
+        to_send.into_iter().for_each(|outgoing| self.send(i, outgoing));
     }
 
-    /// Reads the list if it is this node's part, passes on what is new, asks for what is
-    /// missing.
-    fn follow_list(&mut self, i: usize) {
+    /// Reads the store if the node is one of its readers, fetches missing records from a peer, and
+    /// passes on new ones.
+    fn sync_list(&mut self, i: usize) {
         let now = self.now;
         let own_address = address(i);
         let node = &mut self.nodes[i];
-        let reads = node.peers.ranks_among_first(&node.name, &node.data_centre, STORE_READERS, now);
-        if reads && node.list < self.end && node.reads <= now {
+        let is_reader =
+            node.peers.ranks_among_first(&node.name, &node.data_centre, STORE_READERS, now);
+        if is_reader && node.list < self.end && node.next_read_at <= now {
             node.list = self.end;
-            node.has_read = true;
+            node.has_unsent_reads = true;
             node.gap.on_own_list_end(node.list.into());
-            node.reads = now + Millis(self.rng.random_range(READ_LEAST..READ_MOST));
+            node.next_read_at =
+                now + Millis(self.rng.random_range(READ_INTERVAL_MIN_MS..READ_INTERVAL_MAX_MS));
         }
         let own =
             LocalNode { address: own_address, name: &node.name, data_centre: &node.data_centre };
-        if node.gap.time_until_fetch(now) == Some(Millis::ZERO) && node.asks <= now {
+        if node.gap.time_until_fetch(now) == Some(Millis::ZERO) && node.next_fetch_at <= now {
             let draw = self.rng.random::<u32>() as usize;
             let asked = node.peers.fetch_source(&own, Some(node.list.into()), draw, now);
-            node.asks = now + ASK_EVERY;
+            node.next_fetch_at = now + FETCH_INTERVAL;
             if let Some(other) = asked.map(index).filter(|other| self.nodes[*other].is_up) {
                 let list = self.nodes[other].list;
-                self.take_list(i, list);
+                self.advance_list(i, list);
             }
         }
         let node = &mut self.nodes[i];
-        if node.told < node.list && node.tells <= now {
+        if node.list_sent < node.list && node.next_news_at <= now {
             let own = LocalNode {
                 address: own_address,
                 name: &node.name,
                 data_centre: &node.data_centre,
             };
-            let to = node.peers.news_recipients(&own, std::mem::take(&mut node.has_read), now);
-            let news = news(node.told, node.list);
-            node.told = node.list;
-            node.tells = now + TELL_EVERY;
+            let to =
+                node.peers.news_recipients(&own, std::mem::take(&mut node.has_unsent_reads), now);
+            let news = news(node.list_sent, node.list);
+            node.list_sent = node.list;
+            node.next_news_at = now + NEWS_INTERVAL;
             for piece in news.into_datagrams() {
                 self.send(i, Outgoing { to: to.clone(), message: Message::News(piece) });
             }
         }
     }
 
-    /// A node's list goes on to `list` now.
-    fn take_list(&mut self, i: usize, list: u64) {
+    /// Advances a node's list to offset `list`.
+    fn advance_list(&mut self, i: usize, list: u64) {
         let node = &mut self.nodes[i];
         node.list = node.list.max(list);
         node.gap.on_own_list_end(node.list.into());
     }
 
-    /// How many of those that are up lack the newest of the list.
-    pub fn behind(&self) -> usize {
+    /// How many running nodes lack the newest record of the list.
+    pub fn count_behind(&self) -> usize {
         self.nodes.iter().filter(|node| node.is_up && node.list < self.end).count()
     }
 
@@ -268,26 +278,26 @@
         let from = SmolStr::new(&self.nodes[i].name);
         let datagram = Datagram { version: VERSION, from, message: outgoing.message };
         let bytes = postcard::to_stdvec(&datagram).unwrap();
-        assert!(bytes.len() < 8 * 1024, "a datagram of {} bytes", bytes.len());
+        assert!(bytes.len() < 8 * 1024, "a datagram has {} bytes", bytes.len());
         for to in outgoing.to {
             self.nodes[i].sent += 1;
-            if self.rng.random_range(0..self.lost) > 0 {
-                let comes = self.now + Millis(self.rng.random_range(1..8));
+            if self.rng.random_range(0..self.one_lost_in) > 0 {
+                let arrives_at = self.now + Millis(self.rng.random_range(1..8));
                 let message = (index(to), address(i), bytes.clone());
-                self.under_way.entry(comes).or_default().push(message);
+                self.in_flight.entry(arrives_at).or_default().push(message);
             }
         }
     }
 
     pub fn take(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.now;
-        let own_pulse = self.heartbeat(to);
+        let own_heartbeat = self.heartbeat(to);
         let node = &mut self.nodes[to];
         if !node.is_up {
             return;
         }
-        node.taken += 1;
-        node.taken_bytes += bytes.len() as u64;
+        node.received += 1;
+        node.received_bytes += bytes.len() as u64;
         let datagram: Datagram = postcard::from_bytes(bytes).unwrap();
         let name = datagram.from;
         let own =
@@ -295,7 +305,7 @@
         match &datagram.message {
             Message::News(news) if node.list >= news.from.offset => {
                 let list = news.next.offset;
-                self.take_list(to, list);
+                self.advance_list(to, list);
                 return;
             }
             Message::News(news) => {
@@ -314,28 +324,31 @@
             _ => {}
         }
         let mut answer = None;
-        let told = match &datagram.message {
+        let entries = match &datagram.message {
             Message::Heartbeat(heartbeat) => &heartbeat.requests[..],
             Message::Digest(digest) => &digest.own.requests,
             _ => &[],
         };
-        let passes_on = node.peers.is_relay(&own, now);
-        told.iter().for_each(|told| {
-            node.quarantine.take(&told.known(now), passes_on);
+        let is_relay_now = node.peers.is_relay(&own, now);
+        entries.iter().for_each(|entry| {
+            node.quarantine.take(&entry.known(now), is_relay_now);
         });
-        let is_telling = node.quarantine.has_news();
+        let has_quarantine_news = node.quarantine.has_news();
         let is_news = match datagram.message {
             Message::Heartbeat(heartbeat) => {
                 let seeks = heartbeat.seeks.then(|| heartbeat.data_centre.clone());
                 let is_news = node.peers.on_heartbeat(own.address, from, name, *heartbeat, now);
-                answer = seeks.map(|place| node.peers.answer(&own, &own_pulse, &place, now));
+                answer = seeks.map(|place| node.peers.answer(&own, &own_heartbeat, &place, now));
                 is_news
             }
             Message::Digest(digest) => node.peers.on_digest(&own, from, name, *digest, now),
             _ => false,
         };
-        if is_telling || (is_news && node.peers.is_relay(&own, now)) {
-            node.next = node.next.min(node.spoke + GAP).max(now);
+        if has_quarantine_news || (is_news && node.peers.is_relay(&own, now)) {
+            node.next_heartbeat_at = node
+                .next_heartbeat_at
+                .min(node.last_heartbeat_at + MIN_HEARTBEAT_INTERVAL)
+                .max(now);
         }
         if let Some(message) = answer {
             self.send(to, Outgoing { to: vec![from], message });
@@ -353,7 +366,7 @@
         (0..self.nodes.len()).filter(|i| self.nodes[*i].is_up && self.is_relay(*i)).collect()
     }
 
-    /// How many of those that are up each node hears, the least and the most.
+    /// How many peers the running nodes hear: the fewest and the most of any node.
     pub fn heard(&self) -> (usize, usize) {
         let up = self.nodes.iter().filter(|node| node.is_up);
         let heard = up.map(|node| node.peers.heard(self.now).count());
@@ -361,32 +374,34 @@
         (*heard.iter().min().unwrap(), *heard.iter().max().unwrap())
     }
 
-    pub fn set_at_head(&mut self, requests: u32) {
-        self.nodes.iter_mut().for_each(|node| node.at_head = requests);
+    pub fn set_requests_at_head(&mut self, requests: u32) {
+        self.nodes.iter_mut().for_each(|node| node.requests_at_head = requests);
     }
 
-    /// Part of what all others have at the first head that the worst informed node sees.
-    pub fn least_seen(&self) -> f64 {
-        let all: u32 = self.nodes.iter().filter(|node| node.is_up).map(|node| node.at_head).sum();
+    /// The share of its peers' requests at head 0 that a node knows of, at the node where it is
+    /// lowest.
+    pub fn min_observed_share(&self) -> f64 {
+        let all: u32 =
+            self.nodes.iter().filter(|node| node.is_up).map(|node| node.requests_at_head).sum();
         let up = self.nodes.iter().filter(|node| node.is_up);
         let seen = up.map(|node| {
             let seen = node.peers.loads(self.now).get(&0).map_or(0, |load| load.requests);
-            f64::from(seen) / f64::from(all - node.at_head)
+            f64::from(seen) / f64::from(all - node.requests_at_head)
         });
         seen.fold(f64::MAX, f64::min)
     }
 
-    /// Messages and bytes a second, of those that are no relays: the most, and the mean
-    /// over all of messages.
+    /// Messages per second and bytes per second of the busiest node that is not a relay, and the
+    /// mean messages per second of all nodes.
     pub fn traffic(&mut self, over: Millis) -> (f64, f64, f64) {
         for node in &mut self.nodes {
-            (node.sent, node.taken, node.taken_bytes) = (0, 0, 0);
+            (node.sent, node.received, node.received_bytes) = (0, 0, 0);
         }
         self.run(over);
         let seconds = over.as_secs_f64();
         let followers: Vec<usize> = (0..self.nodes.len()).filter(|i| !self.is_relay(*i)).collect();
-        let messages = |i: &usize| (self.nodes[*i].sent + self.nodes[*i].taken) as f64 / seconds;
-        let bytes = |i: &usize| self.nodes[*i].taken_bytes as f64 / seconds;
+        let messages = |i: &usize| (self.nodes[*i].sent + self.nodes[*i].received) as f64 / seconds;
+        let bytes = |i: &usize| self.nodes[*i].received_bytes as f64 / seconds;
         let most_messages = followers.iter().map(messages).fold(0.0, f64::max);
         let most_bytes = followers.iter().map(bytes).fold(0.0, f64::max);
         let all: f64 = (0..self.nodes.len()).map(|i| messages(&i)).sum();
@@ -394,12 +409,12 @@
     }
 }
 
-/// An entry for each place of the list.
+/// News with one entry for each offset from `from` up to `next`.
 fn news(from: u64, next: u64) -> ListNews {
     let record = |offset: u64| ListRecord {
         place: offset.into(),
         key: SmolStr::new(format!("i-{offset}")),
-        value: vec![b'x'; ENTRY],
+        value: vec![b'x'; ENTRY_LEN],
     };
     ListNews {
         from: from.into(),
--- a/crates/workshold-gateway/tests/exchange.rs
+++ b/crates/workshold-gateway/tests/gossip.rs
@@ -1,9 +1,8 @@
-//! What nodes tell each other: how much of it there is, how old it gets, and who is missed
-//! when relays fall silent. No sockets: messages come some milliseconds after they are
-//! said, or are lost.
+//! Gossip between nodes, in a simulated network without sockets: how many messages it takes, how
+//! old its contents get, and which nodes are missed when relays fail.
 //!
-//! The load that this answers: several hundred nodes of which each told all others how it
-//! was, 460 datagrams a second each, so that telling cost more than serving.
+//! Guards against the cost of gossip without relays: with several hundred nodes, each of which sent
+//! its state to all others (460 datagrams per second each), gossip cost more than serving requests.
 
 mod fleet;
 
@@ -19,17 +18,17 @@
 
 use crate::fleet::DATA_CENTRES;
 use crate::fleet::Fleet;
-use crate::fleet::SETTLES;
-use crate::fleet::Sim;
+use crate::fleet::SETTLE_TIME;
+use crate::fleet::SimNode;
 use crate::fleet::address;
 
 #[rstest]
 #[case(10)]
 #[case(100)]
 #[case(372)]
-fn all_come_to_hear_of_each_other_although_the_store_names_one_only(#[case] nodes: usize) {
+fn all_nodes_discover_each_other_from_one_known_node(#[case] nodes: usize) {
     let mut fleet = Fleet::start(nodes);
-    fleet.run(SETTLES);
+    fleet.run(SETTLE_TIME);
     let all = (nodes - 1, nodes - 1);
     for _ in 0..10 {
         if fleet.heard() == all {
@@ -39,17 +38,17 @@
     }
     assert_eq!(fleet.heard(), all);
     let expected = nodes.min(RELAYS_PER_DATA_CENTRE * DATA_CENTRES);
-    assert_eq!(fleet.relays().len(), expected, "all agree who the relays are");
+    assert_eq!(fleet.relays().len(), expected, "all nodes agree on the relays");
 }
 
-/// A node's messages do not grow with the number of nodes, nor do its bytes beyond what
-/// there is to tell of heads and, in turn, of nodes.
+/// Neither a node's messages nor its bytes grow with the number of nodes, beyond the report on
+/// group heads and the rotating one on nodes.
 #[test]
-fn what_a_node_says_and_takes_does_not_grow_with_the_number_of_nodes() {
+fn gossip_traffic_of_a_node_does_not_grow_with_the_number_of_nodes() {
     let mut means = Vec::new();
     for nodes in [30, 100, 372] {
         let mut fleet = Fleet::start(nodes);
-        fleet.run(SETTLES);
+        fleet.run(SETTLE_TIME);
         let (messages, bytes, mean) = fleet.traffic(Millis(6_000));
         assert!(messages < 26.0, "{nodes} nodes: {messages} messages a second");
         assert!(bytes < 26_000.0, "{nodes} nodes: {bytes} bytes a second");
@@ -62,72 +61,72 @@
 #[case(10)]
 #[case(100)]
 #[case(372)]
-fn what_all_have_at_a_head_is_known_everywhere_within_a_second(#[case] nodes: usize) {
+fn the_load_of_a_head_is_known_everywhere_within_a_second(#[case] nodes: usize) {
     let mut fleet = Fleet::start(nodes);
-    fleet.run(SETTLES);
-    fleet.set_at_head(3);
+    fleet.run(SETTLE_TIME);
+    fleet.set_requests_at_head(3);
     fleet.run(Millis(1_000));
-    assert!(fleet.least_seen() > 0.97, "{}", fleet.least_seen());
+    assert!(fleet.min_observed_share() > 0.97, "{}", fleet.min_observed_share());
 }
 
-/// Two in three nodes have a link or a processor that relaying would fill. With few others
-/// in a data centre, those that are next best relay beside them.
+/// Two in three nodes have a link or a processor that relaying would saturate. Where a data centre
+/// has too few others, those of the next best class relay as well.
 #[rstest]
 #[case(100, 0)]
 #[case(30, 1)]
-fn relays_are_nodes_that_carry_it_well(#[case] nodes: usize, #[case] most: u8) {
+fn nodes_of_the_best_class_become_relays(#[case] nodes: usize, #[case] expected_class: u8) {
     let mut fleet = Fleet::start_with(nodes, |i| (i / DATA_CENTRES % 3) as u8);
-    fleet.run(SETTLES);
+    fleet.run(SETTLE_TIME);
     let relays = fleet.relays();
     assert_eq!(relays.len(), RELAYS_PER_DATA_CENTRE * DATA_CENTRES);
     let worst = relays.into_iter().map(|i| fleet.nodes[i].class).max();
-    assert_eq!(worst, Some(most));
+    assert_eq!(worst, Some(expected_class));
 }
 
-/// One relay of each data centre dies at the same moment.
+/// One relay of each data centre fails at the same moment.
 #[rstest]
 #[case(100)]
 #[case(372)]
-fn nobody_misses_a_relay_while_others_are_there(#[case] nodes: usize) {
+fn failure_of_one_relay_per_data_centre_hides_no_load(#[case] nodes: usize) {
     let mut fleet = Fleet::start(nodes);
-    fleet.run(SETTLES);
+    fleet.run(SETTLE_TIME);
     for data_centre in 0..DATA_CENTRES {
         let relays = fleet.relays();
         let first = relays.into_iter().find(|i| i % DATA_CENTRES == data_centre).unwrap();
         fleet.nodes[first].is_up = false;
     }
-    fleet.set_at_head(3);
+    fleet.set_requests_at_head(3);
     fleet.run(Millis(1_000));
-    assert!(fleet.least_seen() > 0.9, "{}", fleet.least_seen());
+    assert!(fleet.min_observed_share() > 0.9, "{}", fleet.min_observed_share());
     fleet.run(Millis(6_000));
     let left = nodes - DATA_CENTRES;
-    assert_eq!(fleet.heard(), (left - 1, left - 1), "who is gone is not counted on");
+    assert_eq!(fleet.heard(), (left - 1, left - 1), "the dead nodes are no longer heard");
     assert_eq!(
         fleet.relays().len(),
         RELAYS_PER_DATA_CENTRE * DATA_CENTRES,
-        "others have taken their place"
+        "other nodes have become relays"
     );
 }
 
-/// All relays of a data centre die at once, as when many nodes are killed.
+/// All relays of a data centre fail at once, as when many nodes are killed.
 #[test]
-fn a_data_centre_that_loses_all_its_relays_has_others_within_two_seconds() {
+fn a_data_centre_replaces_all_its_relays_within_two_seconds() {
     let mut fleet = Fleet::start(100);
-    fleet.run(SETTLES);
+    fleet.run(SETTLE_TIME);
     for i in fleet.relays().into_iter().filter(|i| i % DATA_CENTRES == 2) {
         fleet.nodes[i].is_up = false;
     }
     fleet.run(Millis(2_000));
-    fleet.set_at_head(3);
+    fleet.set_requests_at_head(3);
     fleet.run(Millis(1_000));
-    assert!(fleet.least_seen() > 0.95, "{}", fleet.least_seen());
+    assert!(fleet.min_observed_share() > 0.95, "{}", fleet.min_observed_share());
 }
 
-/// Nine in ten are killed and start again, knowing of nobody but whom the store names.
+/// Nine in ten nodes are killed and restart, knowing only the node that the store names.
 #[test]
-fn those_who_start_again_together_find_the_others() {
+fn nodes_that_restart_together_find_the_others() {
     let mut fleet = Fleet::start(100);
-    fleet.run(SETTLES);
+    fleet.run(SETTLE_TIME);
     for node in &mut fleet.nodes[..90] {
         node.peers = Peers::default();
         node.peers.add(address(95), fleet.now);
@@ -136,54 +135,54 @@
     assert_eq!(fleet.heard(), (99, 99));
 }
 
-/// A planned stop is in all directories' answers at once.
+/// A planned stop must soon show in the directory answers of all nodes.
 #[test]
-fn that_a_node_stops_serving_is_known_everywhere_soon() {
+fn a_planned_stop_is_known_everywhere_within_half_a_second() {
     let mut fleet = Fleet::start(372);
-    fleet.run(SETTLES);
+    fleet.run(SETTLE_TIME);
     let leaving = (0..372).find(|i| !fleet.is_relay(*i)).unwrap();
     let mut heartbeat = fleet.heartbeat(leaving);
     heartbeat.is_ready = false;
     let (now, node) = (fleet.now, &mut fleet.nodes[leaving]);
     let own =
         LocalNode { address: address(leaving), name: &node.name, data_centre: &node.data_centre };
-    let said = node.peers.outgoing(&own, &heartbeat, now, 1);
-    node.next = now + Millis(10_000);
-    said.into_iter().for_each(|outgoing| fleet.send(leaving, outgoing));
+    let to_send = node.peers.outgoing(&own, &heartbeat, now, 1);
+    node.next_heartbeat_at = now + Millis(10_000);
+    to_send.into_iter().for_each(|outgoing| fleet.send(leaving, outgoing));
     fleet.run(Millis(500));
-    let sees = |node: &Sim| {
+    let sees_ready = |node: &SimNode| {
         let mut heard = node.peers.heard(fleet.now);
         heard.any(|(at, peer)| *at == address(leaving) && peer.heartbeat.is_ready)
     };
-    let still = fleet.nodes.iter().filter(|node| sees(node)).count();
-    assert_eq!(still, 0, "half a second later");
+    let still_ready = fleet.nodes.iter().filter(|node| sees_ready(node)).count();
+    assert_eq!(still_ready, 0, "half a second later");
 }
 
-/// Three instances end under one request, each seen by another node, of hundreds.
+/// Three instances end while they run one request, each seen by a different node.
 #[rstest]
 #[case(9)]
 #[case(100)]
 #[case(300)]
-fn all_nodes_hear_within_a_second_which_request_ends_whoever_runs_it(#[case] nodes: usize) {
+fn a_quarantined_request_is_known_everywhere_within_a_second(#[case] nodes: usize) {
     let mut fleet = Fleet::start(nodes);
-    fleet.run(SETTLES);
+    fleet.run(SETTLE_TIME);
     let fingerprint = Fingerprint::of(Some("a"), "/x", b"body");
     let before: u64 = fleet.nodes.iter().map(|node| node.sent).sum();
     for (incarnation, at) in [(1, nodes / 3), (2, nodes / 2), (3, nodes - 1)] {
         let now = fleet.now;
-        let knows = &mut fleet.nodes[at].quarantine;
-        knows.on_connection_broken(
+        let quarantine = &mut fleet.nodes[at].quarantine;
+        quarantine.on_connection_broken(
             RequestKey { fingerprint, caller: 7 },
             incarnation,
             incarnation as u32,
             now,
         );
-        knows.on_process_ended(incarnation, now);
-        fleet.nodes[at].next = now;
+        quarantine.on_process_ended(incarnation, now);
+        fleet.nodes[at].next_heartbeat_at = now;
         fleet.run(Millis(200));
     }
-    let held = |fleet: &Fleet| {
-        let is_held = |node: &&Sim| {
+    let quarantined = |fleet: &Fleet| {
+        let is_held = |node: &&SimNode| {
             matches!(
                 node.quarantine.status(fingerprint, fleet.now),
                 QuarantineStatus::Quarantined(_)
@@ -192,12 +191,13 @@
         fleet.nodes.iter().filter(is_held).count()
     };
     fleet.run(Millis(800));
-    assert_eq!(held(&fleet), nodes, "a second after the third end");
-    // What is said for it beside what is said anyway: by those who saw it, and relays.
+    assert_eq!(quarantined(&fleet), nodes, "a second after the third end");
+    // The datagrams that the ends cost, beyond the usual ones: of the nodes that saw them, and of
+    // relays.
     let sent: u64 = fleet.nodes.iter().map(|node| node.sent).sum::<u64>() - before;
     fleet.nodes.iter_mut().for_each(|node| node.quarantine = Quarantine::default());
     let before: u64 = fleet.nodes.iter().map(|node| node.sent).sum();
     fleet.run(Millis(1_400));
     let quiet: u64 = fleet.nodes.iter().map(|node| node.sent).sum::<u64>() - before;
-    assert!(sent <= quiet * 2, "{sent} datagrams, {quiet} in as long without it");
+    assert!(sent <= quiet * 2, "{sent} datagrams, and {quiet} in the same time without the ends");
 }
--- a/crates/workshold-gateway/tests/peers.rs
+++ b/crates/workshold-gateway/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Who is heard, what they say together, and who reads the store for all.
+//! The state of a node's peers: which of them are heard, the sum of their loads, and which nodes
+//! read the store for all.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -40,7 +41,7 @@
         past: None,
         store_age_ms: 100,
         list_trouble_ms: None,
-        work: vec![WireWorkload::new("m0", WORK)],
+        work: vec![WireWorkload::new("m0", WORKLOAD)],
         seen_percent: 100,
         loads,
         requests: Vec::new(),
@@ -49,13 +50,13 @@
     }
 }
 
-const WORK: Workload =
+const WORKLOAD: Workload =
     Workload { requests: 12.5, prompt_tokens: 8_420.0, events: 335.0, pause_goal: Millis(200) };
 fn id(name: &str) -> Identity {
     InstanceId::new(name).unwrap().into()
 }
 
-fn told(name: &str, requests: u32, unread: u32) -> WireLoad {
+fn wire_load(name: &str, requests: u32, unread: u32) -> WireLoad {
     WireLoad::new(&id(name), Load { requests, unread }, 0.0)
 }
 
@@ -67,39 +68,40 @@
 }
 
 #[test]
-fn loads_of_all_who_are_heard_are_summed() {
+fn loads_of_all_heard_peers_are_summed() {
     let mut peers = Peers::default();
     peers.on_heartbeat(
         OWN,
         address(1),
         name(1),
-        heartbeat(vec![told("i-5", 3, 100), told("i-6", 1, 0)]),
+        heartbeat(vec![wire_load("i-5", 3, 100), wire_load("i-6", 1, 0)]),
         NOW,
     );
-    peers.on_heartbeat(OWN, address(2), name(2), heartbeat(vec![told("i-5", 4, 1_000)]), NOW);
+    peers.on_heartbeat(OWN, address(2), name(2), heartbeat(vec![wire_load("i-5", 4, 1_000)]), NOW);
     let load = peers.loads(NOW)[&instance_hash(&id("i-5"))];
     assert_eq!((load.requests, load.unread), (7, 128 + 1_024), "in units of 64 tokens, rounded up");
-    let told: Vec<Workload> =
+    let workloads: Vec<Workload> =
         peers.heard(NOW).map(|(_, peer)| peer.heartbeat.work[0].work()).collect();
-    assert_eq!(told, [WORK, WORK], "what is asked comes over as it was told");
+    assert_eq!(workloads, [WORKLOAD, WORKLOAD], "workloads arrive unchanged");
     let later = NOW + Millis(1_100);
-    assert!(peers.loads(later).is_empty(), "who is silent counts no more");
-    assert_eq!(peers.addresses().len(), 2, "but is told things all the same");
+    assert!(peers.loads(later).is_empty(), "loads of silent peers no longer count");
+    assert_eq!(peers.addresses().len(), 2, "silent peers are still sent messages");
     peers.forget(NOW + Millis::from_secs(30));
     assert!(peers.addresses().is_empty());
 }
 
-/// What node `own` has heard of nodes spread over `data_centres`.
-fn spread(own: usize, nodes: usize, data_centres: usize) -> Peers {
+/// The peers that node `own` hears, of `nodes` spread evenly over `data_centres`.
+fn peers_spread_over(own: usize, nodes: usize, data_centres: usize) -> Peers {
     let mut peers = Peers::default();
     for i in (0..nodes).filter(|i| *i != own) {
-        let said = Heartbeat { data_centre: place(i, data_centres), ..heartbeat(Vec::new()) };
-        peers.on_heartbeat(OWN, address(i), name(i), said, NOW);
+        let peer_heartbeat =
+            Heartbeat { data_centre: data_centre_name(i, data_centres), ..heartbeat(Vec::new()) };
+        peers.on_heartbeat(OWN, address(i), name(i), peer_heartbeat, NOW);
     }
     peers
 }
 
-fn place(i: usize, data_centres: usize) -> SmolStr {
+fn data_centre_name(i: usize, data_centres: usize) -> SmolStr {
     SmolStr::new(format!("dc-{}", i % data_centres))
 }
 
@@ -109,55 +111,60 @@
 #[case::three(61, 3, 12)]
 #[case::twelve(350, 12, 48)]
 #[case::as_few_as_there_are(6, 3, 6)]
-fn exactly_so_many_of_each_data_centre_read_for_all_of_it(
+fn each_data_centre_has_a_fixed_number_of_store_readers(
     #[case] nodes: usize,
     #[case] data_centres: usize,
     #[case] readers: usize,
 ) {
     let reads = |i: &usize| {
-        let own = place(*i, data_centres);
-        spread(*i, nodes, data_centres).ranks_among_first(&name(*i), own.as_str(), 4, NOW)
+        let own = data_centre_name(*i, data_centres);
+        peers_spread_over(*i, nodes, data_centres).ranks_among_first(
+            &name(*i),
+            own.as_str(),
+            4,
+            NOW,
+        )
     };
     assert_eq!((0..nodes).filter(reads).count(), readers);
 }
 
 #[test]
-fn a_node_that_hears_nobody_reads_for_itself() {
-    let mut peers = spread(0, 61, 3);
+fn a_node_that_hears_no_peers_reads_the_store() {
+    let mut peers = peers_spread_over(0, 61, 3);
     peers.forget(NOW + Millis::from_secs(30));
     assert!(peers.ranks_among_first("n-0", "dc-0", 4, NOW + Millis::from_secs(30)));
 }
 
 #[test]
-fn who_is_told_less_often_is_believed_for_longer() {
+fn peers_with_longer_heartbeat_intervals_count_as_heard_for_longer() {
     let mut peers = Peers::default();
     peers.on_heartbeat(OWN, address(1), name(1), heartbeat(Vec::new()), NOW);
-    let rare = Heartbeat { next_ms: 900, ..heartbeat(Vec::new()) };
-    peers.on_heartbeat(OWN, address(2), name(2), rare, NOW);
+    let infrequent = Heartbeat { next_ms: 900, ..heartbeat(Vec::new()) };
+    peers.on_heartbeat(OWN, address(2), name(2), infrequent, NOW);
     let heard = |after: u64| peers.heard(NOW + Millis(after)).count();
     assert_eq!((heard(1_099), heard(1_100), heard(2_899), heard(2_900)), (2, 1, 1, 0));
 }
 
 #[test]
-fn news_goes_to_near_nodes_that_are_heard_and_of_what_was_read_to_one_of_each_other_place() {
-    let mut peers = spread(0, 7, 3);
+fn news_goes_to_heard_peers_of_the_data_centre_and_new_reads_to_one_of_each_other() {
+    let mut peers = peers_spread_over(0, 7, 3);
     peers.add(address(99), NOW);
     let own_name = name(0);
     let own = LocalNode { address: address(0), name: &own_name, data_centre: "dc-0" };
-    let told = |is_first| {
-        let told: BTreeSet<SocketAddr> =
+    let recipients = |is_first| {
+        let addresses: BTreeSet<SocketAddr> =
             peers.news_recipients(&own, is_first, NOW).into_iter().collect();
-        told
+        addresses
     };
-    assert_eq!(told(false), BTreeSet::from([address(3), address(6)]));
+    assert_eq!(recipients(false), BTreeSet::from([address(3), address(6)]));
     let first = |of: [usize; 2]| of.into_iter().min_by_key(|i| rank(&name(*i), 0)).map(address);
     let far: BTreeSet<SocketAddr> = [first([1, 4]), first([2, 5])].into_iter().flatten().collect();
-    assert_eq!(&told(true) - &told(false), far);
+    assert_eq!(&recipients(true) - &recipients(false), far);
 }
 
-/// At a start the store names whoever was first; it names no node without a part at all.
+/// The store names only nodes that hold a partition. At a first start that is the first node alone.
 #[test]
-fn all_come_to_hear_of_each_other_although_the_store_names_one_only() {
+fn all_nodes_discover_each_other_from_one_known_node() {
     const NODES: usize = 90;
     let mut all: Vec<Peers> = (0..NODES).map(|_| Peers::default()).collect();
     all[1..].iter_mut().for_each(|peers| peers.add(address(0), NOW));
@@ -168,11 +175,11 @@
             let hears = all[i].sample(round * 31 + i as u64 * 7, now);
             for to in all[i].addresses() {
                 let to = usize::from(to.port() - 7_000);
-                let said = Heartbeat { hears: hears.clone(), ..heartbeat(Vec::new()) };
-                all[to].on_heartbeat(address(to), address(i), name(i), said, now);
+                let peer_heartbeat = Heartbeat { hears: hears.clone(), ..heartbeat(Vec::new()) };
+                all[to].on_heartbeat(address(to), address(i), name(i), peer_heartbeat, now);
             }
         }
     }
     let fewest = all.iter().map(|peers| peers.heard(now).count()).min();
-    assert_eq!(fewest, Some(NODES - 1), "six seconds after the start");
+    assert_eq!(fewest, Some(NODES - 1), "peers heard by a node six seconds after the start");
 }
