--- a/crates/workshold-gateway/tests/catalogues.rs
+++ b/crates/workshold-gateway/tests/catalogues.rs
@@ -1,4 +1,4 @@
-//! Pages, examples and templates say what the code says.
+//! Checks that the reference pages and the settings template agree with the code.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -14,35 +14,35 @@
 }
 
 #[test]
-fn the_page_of_events_is_what_the_code_says() {
+fn events_page_is_up_to_date() {
     let path = root().join("docs/EVENTS-PLATFORM.md");
     if std::env::var_os("WRITE_PAGES").is_some() {
         std::fs::write(&path, events::reference_page()).unwrap();
     }
     let page = std::fs::read_to_string(path).unwrap();
-    assert_eq!(page, events::reference_page(), "write it anew with WRITE_PAGES=1");
+    assert_eq!(page, events::reference_page(), "regenerate it with WRITE_PAGES=1");
 }
 
 #[test]
-fn the_page_of_metrics_is_what_the_code_says() {
+fn metrics_page_is_up_to_date() {
     let path = root().join("docs/METRICS-PLATFORM.md");
     if std::env::var_os("WRITE_PAGES").is_some() {
         std::fs::write(&path, metrics::reference_page()).unwrap();
     }
     let page = std::fs::read_to_string(path).unwrap();
-    assert_eq!(page, metrics::reference_page(), "write it anew with WRITE_PAGES=1");
+    assert_eq!(page, metrics::reference_page(), "regenerate it with WRITE_PAGES=1");
 }
 
 #[test]
-fn every_event_has_a_number_of_its_own() {
+fn event_numbers_are_unique() {
     let numbers: BTreeSet<_> = Event::ALL.iter().map(|event| event.number()).collect();
     assert_eq!(numbers.len(), Event::ALL.len());
 }
 
-/// The template with every gap filled, as the platform would.
-fn filled() -> String {
+/// The settings template with all placeholders filled as the platform does.
+fn filled_template() -> String {
     let text = std::fs::read_to_string(root().join("deploy/entry.toml")).unwrap();
-    let gaps = [
+    let placeholders = [
         ("{{node|json}}", "\"front-a-1\""),
         ("{{zone|json}}", "\"hala-a\""),
         ("{{first_start|json}}", "true"),
@@ -53,7 +53,9 @@
         ("{{inner_port_range.0}}", "7340"),
         ("{{platform.address|json}}", "\"10.200.1.7:8223\""),
     ];
-    let text = gaps.iter().fold(text, |text, (gap, value)| text.replace(gap, value));
+    let text = placeholders
+        .iter()
+        .fold(text, |text, (placeholder, value)| text.replace(placeholder, value));
     let line = |line: &str| match line.split_once("}}").filter(|_| line.starts_with("{{#")) {
         Some((_, rest)) => rest.split("{{/").next().unwrap().replace("{{.}}", "7"),
         None => line.to_owned(),
@@ -62,8 +64,8 @@
 }
 
 #[test]
-fn the_template_fills_in_to_valid_settings() {
-    let text = filled();
+fn filled_template_is_valid() {
+    let text = filled_template();
     assert!(!text.contains("{{"), "{text}");
     let settings = settings::parse(&text).unwrap();
     assert_eq!(settings.bounds.stop_within_s, 7.0);
@@ -72,13 +74,12 @@
     assert_eq!(settings.control().to_string(), "10.1.0.40:7340");
 }
 
-/// Just before the next answer a configuration is as old as two waits.
-/// The store is asked soon enough after any moment at which it answers again, and what it
-/// says then has 300 ms to come and to be in force.
+/// However the store comes back, a poll that it answers must be sent early enough to leave 300 ms
+/// of the bound for the answer to arrive and take effect.
 #[test]
-fn a_question_that_is_lost_makes_nothing_late_whatever_the_bound() {
+fn a_lost_poll_delays_no_change_beyond_the_bound() {
     for bound in [1_000, 2_000, 3_000, 10_000] {
-        let text = filled()
+        let text = filled_template()
             .replace("config_in_force_ms = 7", &format!("config_in_force_ms = {bound}"))
             .replace("undisturbed_after_ms = 7", &format!("undisturbed_after_ms = {bound}"));
         let settings = settings::parse(&text).unwrap();
@@ -95,10 +96,12 @@
     }
 }
 
+/// Just before the answer to a poll a configuration is as old as two waits.
 #[test]
-fn keys_are_believed_between_two_readings_whatever_the_bound() {
+fn keys_stay_trusted_between_two_polls_at_any_bound() {
     for (bound, most) in [(800, 1_500), (2_000, 1_500), (3_000, 1_500), (5_000, 1_500)] {
-        let text = filled().replace("keys_believed_ms = 7", &format!("keys_believed_ms = {bound}"));
+        let text = filled_template()
+            .replace("keys_believed_ms = 7", &format!("keys_believed_ms = {bound}"));
         let settings = settings::parse(&text).unwrap();
         let wait = settings.config_poll_rules(true).wait;
         assert!(wait + wait < settings.max_key_age(), "{bound}: {wait}");
@@ -109,8 +112,8 @@
 }
 
 #[test]
-fn bad_settings_are_named() {
-    let good = filled();
+fn errors_name_the_invalid_setting() {
+    let good = filled_template();
     for (from, to, named) in [
         ("name = ", "nam = ", "nam"),
         ("\"10.1.0.40:8227\"", "\"nowhere\"", "callers"),
--- a/crates/workshold-gateway/tests/decoders.rs
+++ b/crates/workshold-gateway/tests/decoders.rs
@@ -1,7 +1,7 @@
-//! Whatever bytes stand in the store or come from peers: no decoder ends the process, none
-//! takes memory beyond what came, and one bad entry costs no other anything.
+//! Fuzzing of the decoders of what the store and peers send: no input ends the process or takes
+//! memory beyond its own size, and one bad entry does not affect others.
 //!
-//! `FUZZ_SECONDS=600 cargo test -p workshold-gateway --test decoders` goes on for longer.
+//! `FUZZ_SECONDS=600 cargo test -p workshold-gateway --test decoders` runs for longer.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,8 +22,8 @@
 use workshold_platform_standin::deployment;
 use workshold_protocol::ids::InstanceId;
 
-/// Seconds of drawn mutations, if nothing else is asked for.
-const USUAL_SECONDS: u64 = 2;
+/// Seconds of random mutations unless `FUZZ_SECONDS` is set.
+const DEFAULT_SECONDS: u64 = 2;
 
 fn id() -> InstanceId {
     InstanceId::new("i-1").unwrap()
@@ -38,7 +38,7 @@
     })
 }
 
-fn any_value(rng: &mut ChaCha8Rng) -> Value {
+fn random_value(rng: &mut ChaCha8Rng) -> Value {
     match rng.random_range(0..12) {
         0 => Value::Null,
         1 => json!(rng.random::<bool>()),
@@ -55,20 +55,20 @@
     }
 }
 
-/// Puts something else in a place of `value`, or takes it away.
+/// Replaces or removes a random part of `value`.
 fn mutate(value: &mut Value, rng: &mut ChaCha8Rng) {
-    let goes_on = rng.random_bool(0.4);
+    let descends = rng.random_bool(0.4);
     match value {
         Value::Object(fields) if !fields.is_empty() => {
             let at = rng.random_range(0..fields.len());
             let name = fields.keys().nth(at).cloned().unwrap_or_default();
             match fields.get_mut(&name) {
-                Some(inner) if goes_on => mutate(inner, rng),
+                Some(inner) if descends => mutate(inner, rng),
                 _ if rng.random() => {
                     fields.remove(&name);
                 }
                 _ => {
-                    fields.insert(name, any_value(rng));
+                    fields.insert(name, random_value(rng));
                 }
             }
         }
@@ -76,12 +76,12 @@
             let at = rng.random_range(0..items.len());
             mutate(&mut items[at], rng);
         }
-        other => *other = any_value(rng),
+        other => *other = random_value(rng),
     }
 }
 
-/// Flips, cuts and repeats bytes.
-fn spoil(bytes: &mut Vec<u8>, rng: &mut ChaCha8Rng) {
+/// Overwrites, cuts, inserts and repeats random bytes.
+fn corrupt(bytes: &mut Vec<u8>, rng: &mut ChaCha8Rng) {
     for _ in 0..rng.random_range(0..6) {
         if bytes.is_empty() {
             return;
@@ -105,41 +105,42 @@
 }
 
 #[test]
-fn what_is_drawn_from_good_records_ends_nothing() {
+fn mutated_valid_records_do_not_panic() {
     let seconds = std::env::var("FUZZ_SECONDS").ok().and_then(|text| text.parse().ok());
-    let lasts = Duration::from_secs(seconds.unwrap_or(USUAL_SECONDS));
+    let duration = Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS));
     let began = Instant::now();
     let config: Value = serde_json::from_str(&deployment::config(1, "k1")).unwrap();
-    let (mut seed, mut good) = (0, 0);
-    while began.elapsed() < lasts {
+    let (mut seed, mut valid) = (0, 0);
+    while began.elapsed() < duration {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut value = if rng.random() { entry() } else { config.clone() };
         for _ in 0..rng.random_range(1..4) {
             mutate(&mut value, &mut rng);
         }
         let mut bytes = value.to_string().into_bytes();
-        good += u32::from(entries::decode(&id(), &bytes).is_ok());
-        good += u32::from(config::decode(&bytes).is_ok());
-        spoil(&mut bytes, &mut rng);
+        valid += u32::from(entries::decode(&id(), &bytes).is_ok());
+        valid += u32::from(config::decode(&bytes).is_ok());
+        corrupt(&mut bytes, &mut rng);
         decode_all(&bytes);
         seed += 1;
     }
-    assert!(good > 0, "none of {seed} was good: they are too far off to prove much");
+    assert!(valid > 0, "none of {seed} inputs was valid, so the mutations are too coarse");
 }
 
 proptest! {
     #[test]
-    fn no_bytes_end_a_decoder(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
+    fn random_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         decode_all(&bytes);
     }
 
-    /// How often the store has come back: a number, or nothing that counts.
+    /// The header with the store's era is a number, or it is an error.
     #[test]
-    fn no_header_of_the_store_is_taken_for_another_past(
-        said in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..24), 0..3),
+    fn an_invalid_era_header_is_an_error(
+        header_values in
+            proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..24), 0..3),
     ) {
         let mut headers = HeaderMap::new();
-        let values = said.iter().filter_map(|value| HeaderValue::from_bytes(value).ok());
+        let values = header_values.iter().filter_map(|value| HeaderValue::from_bytes(value).ok());
         values.for_each(|value| {
             headers.append(store::ERA_HEADER, value);
         });
@@ -156,15 +157,15 @@
     }
 
     #[test]
-    fn a_header_that_is_a_number_is_that_past(era in any::<u64>()) {
+    fn a_numeric_era_header_is_that_era(era in any::<u64>()) {
         let mut headers = HeaderMap::new();
         headers.append(store::ERA_HEADER, era.into());
         prop_assert_eq!(store::decode_era(&headers).unwrap().0, era);
     }
 
-    /// Lengths that a datagram claims are no reason to make room for them.
+    /// A length that a datagram claims must not make the decoder allocate that much.
     #[test]
-    fn a_datagram_that_claims_much_brings_no_more_than_came(
+    fn a_claimed_length_allocates_no_memory(
         mut bytes in proptest::collection::vec(any::<u8>(), 2..200),
         claimed in any::<u32>(),
     ) {
@@ -173,7 +174,7 @@
     }
 
     #[test]
-    fn a_cut_answer_of_the_store_is_an_error(cut in 1_usize..60) {
+    fn a_truncated_store_answer_is_an_error(cut in 1_usize..60) {
         let mut raw = Vec::new();
         raw.extend(9_u64.to_be_bytes());
         raw.extend(3_u64.to_be_bytes());
--- a/crates/workshold-gateway/tests/framing.rs
+++ b/crates/workshold-gateway/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Streams cut into events, however they come.
+//! Splitting of a byte stream into server-sent events, whatever the pieces in which it arrives.
 
 use proptest::prelude::*;
 use workshold_gateway::proxy::framing::Framer;
@@ -9,7 +9,7 @@
 
 proptest! {
     #[test]
-    fn whole_events_pass_unchanged_however_they_are_cut(cuts in prop::collection::vec(1_usize..40, 1..60)) {
+    fn complete_events_pass_unchanged_in_any_pieces(cuts in prop::collection::vec(1_usize..40, 1..60)) {
         let text: String = (1..=20).map(event).collect();
         let mut framer = Framer::after(None);
         let mut out = Vec::new();
@@ -28,11 +28,11 @@
     }
 
     #[test]
-    fn any_bytes_are_kept_in_order_and_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..500)) {
+    fn any_bytes_keep_their_order_and_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..500)) {
         let mut framer = Framer::after(None);
         let out = framer.push(&bytes).unwrap();
-        // Without numbers nothing is dropped but what is no whole event yet; with them,
-        // also what does not rise.
+        // Without ids only an incomplete event is held back; with ids, events whose ids do not rise
+        // are dropped as well.
         prop_assert!(out.len() <= bytes.len());
         let has_numbers = bytes.windows(3).any(|three| three == b"id:");
         prop_assert!(has_numbers || bytes.starts_with(&out));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn events_that_the_caller_has_are_dropped() {
+fn events_the_caller_already_has_are_dropped() {
     let mut framer = Framer::after(Some(3));
     let text: String = (2..=5).map(event).collect();
     let out = framer.push(text.as_bytes()).unwrap();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_torn_event_is_not_passed_on() {
+fn a_partial_event_is_held_back() {
     let mut framer = Framer::after(None);
     let out = framer.push((event(1) + "id: 2\ndata: tok").as_bytes()).unwrap();
     assert_eq!(out, event(1).as_bytes());
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_never_ends_is_no_event() {
+fn an_endless_event_is_an_error() {
     let mut framer = Framer::after(None);
     let piece = vec![b'x'; 300_000];
     assert!((0..10).any(|_| framer.push(&piece).is_none()));
