--- a/crates/workshold-gateway/tests/common/mod.rs
+++ b/crates/workshold-gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests need: a node that nothing runs in, and what others say to it.
+//! Shared by several tests: a node without background tasks, and heartbeats for it to receive.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -19,7 +19,7 @@
 use workshold_protocol::Clock;
 use workshold_protocol::Millis;
 
-/// A node in data centre `a`.
+/// Settings of a node in data centre `a`.
 pub const SETTINGS: &str = r#"
 [node]
 name = "n-1"
@@ -33,24 +33,24 @@
 address = "127.0.0.1:7005"
 "#;
 
-/// A clock that goes on when it is told to.
+/// A clock that only the test advances.
 #[derive(Debug, Clone)]
-pub struct HandClock(pub Arc<Mutex<Millis>>);
+pub struct ManualClock(pub Arc<Mutex<Millis>>);
 
-impl HandClock {
-    /// One that shows `now`.
+impl ManualClock {
+    /// A clock that stands at `now`.
     pub fn at(now: Millis) -> Self {
         Self(Arc::new(Mutex::new(now)))
     }
 
-    /// Lets time pass.
-    pub fn go_on(&self, by: Millis) {
+    /// Advances the clock.
+    pub fn advance(&self, by: Millis) {
         let mut now = self.0.lock();
         *now = *now + by;
     }
 }
 
-impl Clock for HandClock {
+impl Clock for ManualClock {
     fn now(&self) -> Millis {
         *self.0.lock()
     }
@@ -60,20 +60,21 @@
     }
 }
 
-/// A node by [`SETTINGS`] that nothing runs in, at second ten, and what it wants tried.
-pub fn node() -> (Node, HandClock, UnboundedReceiver<Probe>) {
+/// A node with [`SETTINGS`], without background tasks and with its clock at ten seconds. Also
+/// returns the receiver of the probes that it asks for.
+pub fn node() -> (Node, ManualClock, UnboundedReceiver<Probe>) {
     node_with(SETTINGS)
 }
 
-/// The same by other settings.
-pub fn node_with(text: &str) -> (Node, HandClock, UnboundedReceiver<Probe>) {
-    let clock = HandClock::at(Millis(10_000));
-    let (doubts, rx) = mpsc::unbounded_channel();
+/// Like [`node`], with other settings.
+pub fn node_with(text: &str) -> (Node, ManualClock, UnboundedReceiver<Probe>) {
+    let clock = ManualClock::at(Millis(10_000));
+    let (probes, rx) = mpsc::unbounded_channel();
     let settings = settings::parse(text).unwrap();
-    (Node::new(settings, Box::new(clock.clone()), doubts), clock, rx)
+    (Node::new(settings, Box::new(clock.clone()), probes), clock, rx)
 }
 
-/// A pulse of a node that serves at `callers` and has nothing else to tell.
+/// A heartbeat of a ready node that serves callers at `callers` and reports nothing else.
 pub fn heartbeat(callers: SocketAddr) -> Heartbeat {
     Heartbeat {
         callers,
@@ -99,8 +100,8 @@
     }
 }
 
-/// Counts who comes to a peer.
-pub async fn peer() -> (SocketAddr, Arc<AtomicUsize>) {
+/// Listens as a peer and counts the connections that it accepts.
+pub async fn listen_as_peer() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let count = Arc::new(AtomicUsize::new(0));
--- a/crates/workshold-gateway/tests/catching_up.rs
+++ b/crates/workshold-gateway/tests/config_fetch.rs
@@ -1,10 +1,10 @@
-//! When a node asks a peer for what the store has not given.
+//! When a node fetches a configuration from a peer because the store has not delivered it.
 //!
-//! Seen: a configuration of 820 KB came twice to 28 of 61 nodes within a second, from the
-//! store and from a peer, and filled their links twice as long. How: a peer is asked if
-//! the store has not given a newer one within half a second, and the store was giving it
-//! all the while. Cause: slow was taken for silent. Proof: the nodes' own figures of bytes
-//! that came in, and of those that the asked peers sent.
+//! Guards against this failure: 28 of 61 nodes received a configuration of 820 KB twice within a
+//! second, from the store and from a peer, which kept their links full for twice as long, as the
+//! bytes that they counted in, and those that the peers counted out, showed. A node asks a peer if
+//! the store has not delivered a newer configuration within half a second, but the store was still
+//! sending it: a slow answer was taken for none.
 
 mod common;
 
@@ -26,7 +26,7 @@
 use workshold_gateway::tasks::store_sync;
 use workshold_protocol::clock::SystemClock;
 
-/// A store whose answers come in pieces, so many of them.
+/// A store that sends its answer in `pieces` of 1,000 bytes and then stalls.
 async fn store(pieces: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -49,7 +49,7 @@
     address
 }
 
-/// A store that turns this node away, with a few words.
+/// A store that refuses every request with a short body.
 async fn refusing_store() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -66,24 +66,25 @@
 }
 
 #[rstest]
-#[case::while_the_store_is_giving_it(18, false)]
-#[case::if_the_store_has_stopped(2, true)]
+#[case::store_is_sending(18, false)]
+#[case::store_has_stalled(2, true)]
 #[tokio::test]
-async fn a_peer_is_asked_for_the_configuration(#[case] pieces: usize, #[case] expected: bool) {
-    let asked = is_asked(store(pieces).await, Duration::from_millis(1_150)).await;
+async fn a_peer_is_asked_only_if_the_store_stalls(#[case] pieces: usize, #[case] expected: bool) {
+    let asked = is_peer_asked(store(pieces).await, Duration::from_millis(1_150)).await;
     assert_eq!(asked, expected);
 }
 
-/// Whether a peer that holds a newer configuration is asked within `within`.
-async fn is_asked(store: SocketAddr, within: Duration) -> bool {
+/// Returns whether the node connects within `within` to a peer that has a newer configuration.
+async fn is_peer_asked(store: SocketAddr, within: Duration) -> bool {
     let text = common::SETTINGS.replace("127.0.0.1:7005", &store.to_string());
-    let (doubts, _rx) = mpsc::unbounded_channel();
+    let (probes, _rx) = mpsc::unbounded_channel();
     let settings = settings::parse(&text).unwrap();
     let own = settings.control();
-    let node = Arc::new(Node::new(settings, Box::new(SystemClock::default()), doubts));
-    let (address, count) = common::peer().await;
-    let said = Heartbeat { next_ms: 20_000, config: Some((7, 0)), ..common::heartbeat(address) };
-    node.peers.lock().on_heartbeat(own, address, SmolStr::new("n-2"), said, node.now());
+    let node = Arc::new(Node::new(settings, Box::new(SystemClock::default()), probes));
+    let (address, count) = common::listen_as_peer().await;
+    let heartbeat =
+        Heartbeat { next_ms: 20_000, config: Some((7, 0)), ..common::heartbeat(address) };
+    node.peers.lock().on_heartbeat(own, address, SmolStr::new("n-2"), heartbeat, node.now());
     let store_sync = tokio::spawn(store_sync::config(Arc::clone(&node)));
     let catching_up = tokio::spawn(gossip::catch_up(Arc::clone(&node)));
     tokio::time::sleep(within).await;
@@ -92,16 +93,16 @@
     count.load(Ordering::Relaxed) > 0
 }
 
-/// A refusal is no part of a configuration, however many bytes it has: a store may turn
-/// one node away for long while it serves the others.
+/// The bytes of a refusal must not count as progress: a store may refuse one node for long while it
+/// serves the others.
 #[tokio::test]
-async fn a_peer_is_asked_if_the_store_turns_this_node_away() {
-    assert!(is_asked(refusing_store().await, Duration::from_secs(4)).await);
+async fn a_peer_is_asked_if_the_store_refuses_this_node() {
+    assert!(is_peer_asked(refusing_store().await, Duration::from_secs(4)).await);
 }
 
-/// What comes too slowly to be whole in time is given up, and begins anew: so it may never
-/// come from there, though bytes do.
+/// An answer that is too slow to be complete before its timeout is aborted and requested again, so
+/// the store may never deliver it although bytes arrive.
 #[tokio::test]
-async fn a_peer_is_asked_if_the_store_is_too_slow_ever_to_give_the_whole() {
-    assert!(is_asked(store(1_000).await, Duration::from_secs(6)).await);
+async fn a_peer_is_asked_if_the_store_is_too_slow_to_finish() {
+    assert!(is_peer_asked(store(1_000).await, Duration::from_secs(6)).await);
 }
--- a/crates/workshold-gateway/tests/locks.rs
+++ b/crates/workshold-gateway/tests/deadlock.rs
@@ -1,4 +1,4 @@
-//! Parts of a node that run at the same time do not wait for each other for ever.
+//! Concurrent tasks of a node must not deadlock on its locks.
 
 mod common;
 
@@ -21,11 +21,11 @@
 use workshold_protocol::ids::InstanceId;
 
 fn datagram() -> Vec<u8> {
-    let told = |i: u32| {
+    let wire_load = |i: u32| {
         let id = InstanceId::new(&format!("i-{i}")).unwrap().into();
         WireLoad::new(&id, Load { requests: 1, unread: 0 }, 40.0)
     };
-    let loads = (0..100).map(told).collect();
+    let loads = (0..100).map(wire_load).collect();
     let heartbeat = Heartbeat { loads, ..common::heartbeat("127.0.0.1:7011".parse().unwrap()) };
     let from = SmolStr::new("n-2");
     let datagram =
@@ -34,19 +34,19 @@
 }
 
 #[test]
-fn pulses_are_sent_while_others_come() {
+fn sending_and_receiving_heartbeats_do_not_deadlock() {
     let mut runtime = tokio::runtime::Builder::new_multi_thread();
     let runtime = runtime.worker_threads(4).enable_all().build().unwrap();
-    let is_free = runtime.block_on(both_are_free());
-    // What waits for ever would hold its end up.
+    let is_free = runtime.block_on(are_locks_free());
+    // A plain shutdown would wait for ever for deadlocked tasks.
     runtime.shutdown_background();
-    assert!(is_free, "two parts wait for each other");
+    assert!(is_free, "tasks have deadlocked on the locks of a node");
 }
 
-async fn both_are_free() -> bool {
-    let (doubts, _) = mpsc::unbounded_channel();
+async fn are_locks_free() -> bool {
+    let (probes, _) = mpsc::unbounded_channel();
     let settings = settings::parse(common::SETTINGS).unwrap();
-    let node = Arc::new(Node::new(settings, Box::new(SystemClock::default()), doubts));
+    let node = Arc::new(Node::new(settings, Box::new(SystemClock::default()), probes));
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
     let to = socket.local_addr().unwrap();
     tokio::spawn(gossip::receive(Arc::clone(&node), Arc::clone(&socket)));
--- a/crates/workshold-gateway/tests/relay.rs
+++ b/crates/workshold-gateway/tests/failover.rs
@@ -1,15 +1,13 @@
-//! What ends an answer that is under way, and what does not.
+//! When an answer that is being streamed moves to another instance, and when it must not end.
 //!
-//! Seen: beside planned work alone, streams were closed in the middle of their answers.
-//! How: the node's own link was full for a moment, tries to reach members of their
-//! groups were not answered in time, and that doubt ended the attempt. One stream had
-//! no attempt left, since its first instance had refused it; the other was moved, and
-//! ended with the instance that could not take it. Cause: an answer under way was ended
-//! by an inference about its upstream, and what was there was given up before its
-//! replacement worked. What speaks for it: the first upstream of the second stream was
-//! still at work when the caller's connection closed; the same planned work, played with
-//! logs, cut streams by just these two ways, and cuts none since. The first and the third
-//! case of `an_answer_is_not_ended_by_a_doubt` play them.
+//! Guards against this failure: during planned work, without any fault, streams were closed in the
+//! middle of their answers. The node's own link was full for a moment, probes of members of their
+//! groups were not answered in time, and that suspicion ended the attempt. One stream had no
+//! attempt left, because its first instance had refused it. The other was moved and ended with the
+//! instance that could not take it, while its first upstream was still at work. A suspicion is only
+//! an inference, so an attempt that may still work must not be given up before its replacement
+//! works. The first and the third case of `an_answer_is_not_ended_by_a_suspicion` reproduce the two
+//! streams, the only two ways in which planned work cut streams.
 
 mod common;
 
@@ -51,45 +49,45 @@
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::ids::ServiceName;
 
-/// One thing that an upstream does.
+/// One step of an upstream's scripted answer.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// It sends this event.
+    /// Sends the event with this id.
     Event(u64),
-    /// It says nothing for so long, in ms.
-    Rest(u64),
-    /// It ends the answer as whole.
+    /// Sends nothing for this many ms.
+    Pause(u64),
+    /// Ends the answer properly.
     End,
-    /// It breaks the connection.
+    /// Closes the connection in the middle of the answer.
     Break,
 }
 
 use Step::Break;
 use Step::End;
 use Step::Event;
-use Step::Rest;
+use Step::Pause;
 
-/// What the n-th request that arrives anywhere meets.
+/// How an upstream answers a request.
 #[derive(Debug, Clone)]
 enum Reply {
-    /// The word that it has not run.
+    /// 503 with the header that says that the request was not executed.
     Refuse,
-    /// A stream.
+    /// A stream of events.
     Stream(Vec<Step>),
 }
 
-/// Longer than silence that is looked into, and than any silence of these tests: a
-/// doubt counts at once behind it.
-const LONG: u64 = 450;
-/// As long as a stream that is not moved may rest for: under three times its goal.
-const SHORT: u64 = 100;
+/// A silence, in ms, longer than the one after which an upstream is probed and longer than other
+/// pauses of the same stream, so that a suspicion takes effect at once.
+const LONG_PAUSE_MS: u64 = 450;
+/// A silence, in ms, of less than three times the latency goal, in which a stream is not moved.
+const SHORT_PAUSE_MS: u64 = 100;
 
-/// Upstreams that answer one after the other as they were told.
+/// Upstreams that answer by a common script: the n-th request at any of them gets the n-th reply.
 #[derive(Debug, Default)]
 struct Script {
     replies: Mutex<Vec<Reply>>,
-    /// Replies whose asker closed before the end, by their place.
-    left: Mutex<Vec<usize>>,
+    /// Indices of the replies whose connection the node closed before their end.
+    cancelled: Mutex<Vec<usize>>,
     arrived: Mutex<Vec<SocketAddr>>,
     listeners: Mutex<Vec<(SocketAddr, tokio::task::JoinHandle<()>)>>,
 }
@@ -98,33 +96,33 @@
     fn next(&self, at: SocketAddr) -> (usize, Option<Reply>) {
         let mut arrived = self.arrived.lock();
         arrived.push(at);
-        let place = arrived.len() - 1;
-        (place, self.replies.lock().get(place).cloned())
+        let index = arrived.len() - 1;
+        (index, self.replies.lock().get(index).cloned())
     }
 }
 
 async fn upstream(script: Arc<Script>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let of_all = Arc::clone(&script);
+    let shared_script = Arc::clone(&script);
     let task = tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
             tokio::spawn(serve(stream, address, Arc::clone(&script)));
         }
     });
-    of_all.listeners.lock().push((address, task));
+    shared_script.listeners.lock().push((address, task));
     address
 }
 
 async fn serve(mut stream: TcpStream, address: SocketAddr, script: Arc<Script>) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
-        // A try to connect brings nothing.
+        // A probe connects and sends nothing.
         let Ok(byte) = stream.read_u8().await else { return };
         head.push(byte);
     }
-    let (place, reply) = script.next(address);
+    let (index, reply) = script.next(address);
     let steps = match reply {
         None | Some(Reply::Refuse) => {
             let refusal = "HTTP/1.1 503 Full\r\nx-not-executed: 1\r\ncontent-length: 0\r\n\r\n";
@@ -134,22 +132,23 @@
         Some(Reply::Stream(steps)) => steps,
     };
     if !play(&mut stream, &steps).await {
-        script.left.lock().push(place);
+        script.cancelled.lock().push(index);
     }
 }
 
-/// Whether the asker stayed for all of it.
+/// Sends the steps. Returns whether the node kept the connection open to the end.
 async fn play(stream: &mut TcpStream, steps: &[Step]) -> bool {
     let mut head =
         Some("HTTP/1.1 200 OK\r\nx-response-stamp: s\r\ntransfer-encoding: chunked\r\n\r\n");
     for step in steps {
         let text = match *step {
             Break => return true,
-            Rest(ms) => {
-                // Whoever leaves is noticed at once.
+            Pause(ms) => {
+                // The read returns at once if the node closes the connection.
                 let mut byte = [0];
-                let gone = tokio::time::timeout(Duration::from_millis(ms), stream.read(&mut byte));
-                if gone.await.is_ok() {
+                let closed =
+                    tokio::time::timeout(Duration::from_millis(ms), stream.read(&mut byte));
+                if closed.await.is_ok() {
                     return false;
                 }
                 continue;
@@ -168,20 +167,20 @@
     true
 }
 
-/// A node without anybody that acts beside requests, before `groups` of two members.
-struct Scene {
+/// A node without background tasks that routes to groups of two members each.
+struct Fixture {
     node: Arc<Node>,
     script: Arc<Script>,
     members: Vec<Identity>,
 }
 
-impl Scene {
+impl Fixture {
     async fn start(groups: usize, replies: Vec<Reply>, slack: f64) -> Self {
-        let (doubts, _) = mpsc::unbounded_channel();
-        let first = common::SETTINGS.replace("[listen]", "is_first_start = true\n[listen]");
-        let text = format!("{first}[bounds]\nrepeat_slack = {slack:.1}\n");
+        let (probes, _) = mpsc::unbounded_channel();
+        let first_start = common::SETTINGS.replace("[listen]", "is_first_start = true\n[listen]");
+        let text = format!("{first_start}[bounds]\nrepeat_slack = {slack:.1}\n");
         let settings = settings::parse(&text).unwrap();
-        let node = Node::new(settings, Box::new(SystemClock::default()), doubts);
+        let node = Node::new(settings, Box::new(SystemClock::default()), probes);
         let script = Arc::new(Script::default());
         *script.replies.lock() = replies;
         let mut members = Vec::new();
@@ -200,12 +199,12 @@
         Self { node: Arc::new(node), script, members }
     }
 
-    /// Sends a request; its answer begins.
-    async fn ask(&self) -> Response<ResponseBody> {
+    /// Runs a request until its answer begins.
+    async fn run_request(&self) -> Response<ResponseBody> {
         let serving_config = self.node.serving_config().unwrap();
         let route = Arc::clone(serving_config.route("lot.example", "/chat/x").unwrap());
         let received_at = self.node.now();
-        let job = AdmittedRequest {
+        let request = AdmittedRequest {
             id: SmolStr::new("r-1"),
             service: ServiceName::new("llm").unwrap(),
             method: Method::POST,
@@ -221,18 +220,18 @@
             deadline: received_at + Millis(6_000),
             route,
         };
-        proxy::run(&self.node, job, self.node.begin_request()).await
+        proxy::run(&self.node, request, self.node.begin_request()).await
     }
 
-    /// From here on no member of any group can be reached, as far as this node sees.
-    fn doubt_all(&self) {
+    /// Makes the node suspect all members of all groups.
+    fn suspect_all(&self) {
         for id in &self.members {
             self.node.record_probe_result(id, ProbeResult::Silent);
         }
     }
 
-    /// The same for those of the group that the last request went to.
-    fn doubt_serving(&self) {
+    /// Makes the node suspect the instance that got the last request.
+    fn suspect_serving(&self) {
         let at = *self.script.arrived.lock().last().unwrap();
         let list = self.node.list.lock();
         let serving = list.roster.iter().find(|entry| entry.instance.address == at.to_string());
@@ -241,7 +240,8 @@
         self.node.record_probe_result(&id, ProbeResult::Silent);
     }
 
-    /// From here on only the instance that serves takes connections; the list lacks that.
+    /// Stops the listeners of all instances but the one that got the last request. Their entries
+    /// stay in the list.
     fn stop_others(&self) {
         let at = *self.script.arrived.lock().last().unwrap();
         let listeners = self.script.listeners.lock();
@@ -274,130 +274,133 @@
     }
 }
 
-/// The events of an answer that ends as whole.
+/// The event ids of an answer, or the error if it was cut.
 async fn events(res: Response<ResponseBody>) -> Result<Vec<u64>, String> {
     assert_eq!(res.status(), 200);
     let whole = res.into_body().collect().await.map_err(|cut| cut.to_string())?;
     Ok(caller::event_ids(&String::from_utf8_lossy(&whole.to_bytes())))
 }
 
-fn rests_and_ends(rest: u64) -> Reply {
-    Reply::Stream(vec![Event(1), Rest(rest), Event(2), Event(3), End])
+fn pauses_and_ends(pause: u64) -> Reply {
+    Reply::Stream(vec![Event(1), Pause(pause), Event(2), Event(3), End])
 }
 
-const MANY: f64 = 100.0;
-const NONE: f64 = 0.0;
+const LARGE_SLACK: f64 = 100.0;
+const NO_SLACK: f64 = 0.0;
 
 #[rstest]
-#[case::its_attempts_are_used_up(2, vec![Reply::Refuse, rests_and_ends(LONG)], MANY)]
-#[case::the_next_one_refuses(2, vec![rests_and_ends(LONG), Reply::Refuse], MANY)]
-#[case::the_next_one_breaks(
+#[case::no_attempts_left(2, vec![Reply::Refuse, pauses_and_ends(LONG_PAUSE_MS)], LARGE_SLACK)]
+#[case::replacement_refuses(2, vec![pauses_and_ends(LONG_PAUSE_MS), Reply::Refuse], LARGE_SLACK)]
+#[case::replacement_breaks(
     2,
-    vec![rests_and_ends(LONG), Reply::Stream(vec![Rest(SHORT), Break])],
-    MANY
+    vec![pauses_and_ends(LONG_PAUSE_MS), Reply::Stream(vec![Pause(SHORT_PAUSE_MS), Break])],
+    LARGE_SLACK
 )]
-#[case::there_is_no_other_place(1, vec![rests_and_ends(LONG)], MANY)]
-#[case::there_is_no_budget(2, vec![rests_and_ends(LONG)], NONE)]
+#[case::no_other_instance(1, vec![pauses_and_ends(LONG_PAUSE_MS)], LARGE_SLACK)]
+#[case::no_retry_budget(2, vec![pauses_and_ends(LONG_PAUSE_MS)], NO_SLACK)]
 #[tokio::test]
-async fn an_answer_is_not_ended_by_a_doubt(
+async fn an_answer_is_not_ended_by_a_suspicion(
     #[case] groups: usize,
     #[case] replies: Vec<Reply>,
     #[case] slack: f64,
 ) {
-    let scene = Scene::start(groups, replies, slack).await;
-    let res = scene.ask().await;
-    scene.doubt_serving();
+    let fixture = Fixture::start(groups, replies, slack).await;
+    let res = fixture.run_request().await;
+    fixture.suspect_serving();
     assert_eq!(events(res).await, Ok(vec![1, 2, 3]));
 }
 
 #[tokio::test]
-async fn an_answer_goes_on_where_it_speaks_first() {
-    let slow = Reply::Stream(vec![Rest(2_000), Event(2), End]);
-    let scene = Scene::start(2, vec![rests_and_ends(LONG), slow], MANY).await;
-    let res = scene.ask().await;
-    scene.doubt_serving();
+async fn an_answer_continues_at_the_attempt_that_sends_first() {
+    let slow = Reply::Stream(vec![Pause(2_000), Event(2), End]);
+    let fixture = Fixture::start(2, vec![pauses_and_ends(LONG_PAUSE_MS), slow], LARGE_SLACK).await;
+    let res = fixture.run_request().await;
+    fixture.suspect_serving();
     assert_eq!(events(res).await, Ok(vec![1, 2, 3]));
-    assert_eq!(scene.arrived(), 2);
-    tokio::time::sleep(Duration::from_millis(SHORT)).await;
-    assert_eq!(*scene.script.left.lock(), [1], "who was not needed is told");
+    assert_eq!(fixture.arrived(), 2);
+    tokio::time::sleep(Duration::from_millis(SHORT_PAUSE_MS)).await;
+    assert_eq!(*fixture.script.cancelled.lock(), [1], "the attempt that lost must be cancelled");
 }
 
 #[tokio::test]
-async fn whoever_was_not_needed_has_used_up_an_attempt() {
-    let twice = vec![Event(1), Rest(LONG), Event(2), Rest(LONG), Event(3), End];
-    let slow = Reply::Stream(vec![Rest(2_000), Event(2), End]);
-    let replies = vec![Reply::Stream(twice), slow.clone(), slow];
-    let scene = Scene::start(3, replies, MANY).await;
-    let mut body = scene.ask().await.into_body();
-    // Its events until the second one, before which the next instance was begun.
+async fn a_cancelled_hedge_counts_as_an_attempt() {
+    let two_pauses =
+        vec![Event(1), Pause(LONG_PAUSE_MS), Event(2), Pause(LONG_PAUSE_MS), Event(3), End];
+    let slow = Reply::Stream(vec![Pause(2_000), Event(2), End]);
+    let replies = vec![Reply::Stream(two_pauses), slow.clone(), slow];
+    let fixture = Fixture::start(3, replies, LARGE_SLACK).await;
+    let mut body = fixture.run_request().await.into_body();
+    // Read up to the second event, before which the next attempt has begun.
     for _ in 0..2 {
-        scene.doubt_all();
+        fixture.suspect_all();
         body.frame().await.unwrap().unwrap();
     }
-    scene.doubt_all();
+    fixture.suspect_all();
     assert!(body.collect().await.is_ok());
-    assert_eq!(scene.arrived(), 2, "a request goes to two instances at most");
+    assert_eq!(fixture.arrived(), 2, "a request goes to two instances at most");
 }
 
 #[tokio::test]
-async fn a_stream_whose_place_is_lost_goes_on_elsewhere_and_leaves_it() {
-    let lost = Reply::Stream(vec![Event(1), Rest(4_000), Event(2), End]);
+async fn a_stream_fails_over_from_a_silent_instance_and_cancels_it() {
+    let silent = Reply::Stream(vec![Event(1), Pause(4_000), Event(2), End]);
     let next = Reply::Stream(vec![Event(2), Event(3), End]);
-    let scene = Scene::start(2, vec![lost, next], MANY).await;
-    let res = scene.ask().await;
-    scene.doubt_serving();
+    let fixture = Fixture::start(2, vec![silent, next], LARGE_SLACK).await;
+    let res = fixture.run_request().await;
+    fixture.suspect_serving();
     assert_eq!(events(res).await, Ok(vec![1, 2, 3]));
-    tokio::time::sleep(Duration::from_millis(SHORT)).await;
-    assert_eq!(*scene.script.left.lock(), [0], "who is not needed any more is told");
+    tokio::time::sleep(Duration::from_millis(SHORT_PAUSE_MS)).await;
+    assert_eq!(*fixture.script.cancelled.lock(), [0], "the replaced attempt must be cancelled");
 }
 
 #[tokio::test]
-async fn a_request_that_waits_for_its_first_event_is_not_ended_by_a_doubt_either() {
-    let late = Reply::Stream(vec![Rest(LONG), Event(1), Event(2), End]);
-    let scene = Scene::start(1, vec![late], MANY).await;
-    scene.doubt_all();
-    assert_eq!(events(scene.ask().await).await, Ok(vec![1, 2]));
+async fn a_request_awaiting_its_first_event_is_not_ended_by_a_suspicion() {
+    let late = Reply::Stream(vec![Pause(LONG_PAUSE_MS), Event(1), Event(2), End]);
+    let fixture = Fixture::start(1, vec![late], LARGE_SLACK).await;
+    fixture.suspect_all();
+    assert_eq!(events(fixture.run_request().await).await, Ok(vec![1, 2]));
 }
 
-/// An instance that was begun beside another one and ended because that one spoke first
-/// has done nothing wrong: it is not kept from others' requests.
+/// An attempt that was cancelled because the other one answered first is no failure of its
+/// instance, which must not be ejected.
 #[tokio::test]
-async fn whoever_was_not_needed_has_not_failed() {
-    let slow = Reply::Stream(vec![Rest(2_000), Event(2), End]);
-    let rounds = [rests_and_ends(LONG), slow];
-    let scene = Scene::start(4, rounds.iter().cycle().take(4).cloned().collect(), MANY).await;
-    let (beside, others) = scene.members.split_at(2);
-    for id in &scene.members {
-        scene.node.outliers.lock().on_answer(id, Millis(10), scene.node.now());
+async fn a_cancelled_hedge_is_no_failure() {
+    let slow = Reply::Stream(vec![Pause(2_000), Event(2), End]);
+    let rounds = [pauses_and_ends(LONG_PAUSE_MS), slow];
+    let fixture =
+        Fixture::start(4, rounds.iter().cycle().take(4).cloned().collect(), LARGE_SLACK).await;
+    let (hedge_targets, others) = fixture.members.split_at(2);
+    for id in &fixture.members {
+        fixture.node.outliers.lock().on_answer(id, Millis(10), fixture.node.now());
     }
-    let reach = |ids: &[Identity], reach| {
+    let report = |ids: &[Identity], report| {
         ids.iter().for_each(|id| {
-            scene.node.record_probe_result(id, reach);
+            fixture.node.record_probe_result(id, report);
         });
     };
     for _ in 0..2 {
-        reach(others, ProbeResult::Answers);
-        reach(beside, ProbeResult::Silent);
-        let res = scene.ask().await;
-        reach(others, ProbeResult::Silent);
-        reach(beside, ProbeResult::Answers);
+        report(others, ProbeResult::Answers);
+        report(hedge_targets, ProbeResult::Silent);
+        let res = fixture.run_request().await;
+        report(others, ProbeResult::Silent);
+        report(hedge_targets, ProbeResult::Answers);
         assert_eq!(events(res).await, Ok(vec![1, 2, 3]));
     }
-    assert_eq!(scene.arrived(), 4);
-    let now = scene.node.now();
-    assert!(!scene.node.outliers.lock().is_ejected(&beside[0], now));
+    assert_eq!(fixture.arrived(), 4);
+    let now = fixture.node.now();
+    assert!(!fixture.node.outliers.lock().is_ejected(&hedge_targets[0], now));
 }
 
-/// What never left is no repeat at any instance, and takes none of the budget.
+/// A hedge that could not connect sent no request, so it must not use up the retry budget.
 #[tokio::test]
-async fn a_try_beside_that_never_left_takes_nothing_of_the_budget() {
-    let scene = Scene::start(6, vec![rests_and_ends(LONG)], 10.0).await;
-    let res = scene.ask().await;
+async fn a_hedge_that_cannot_connect_uses_no_retry_budget() {
+    let fixture = Fixture::start(6, vec![pauses_and_ends(LONG_PAUSE_MS)], 10.0).await;
+    let res = fixture.run_request().await;
     let service = ServiceName::new("llm").unwrap();
-    scene.doubt_serving();
-    scene.stop_others();
+    fixture.suspect_serving();
+    fixture.stop_others();
     assert_eq!(events(res).await, Ok(vec![1, 2, 3]));
-    assert_eq!(scene.arrived(), 1, "nothing was repeated");
-    let left = std::iter::repeat(()).take_while(|()| scene.node.take_retry(&service)).count();
-    assert_eq!(left, 8, "four fifths of the slack");
+    assert_eq!(fixture.arrived(), 1, "no second request was sent");
+    let retries_left =
+        std::iter::repeat(()).take_while(|()| fixture.node.take_retry(&service)).count();
+    assert_eq!(retries_left, 8, "four fifths of the slack must be left");
 }
--- a/crates/workshold-gateway/tests/leases.rs
+++ b/crates/workshold-gateway/tests/leases.rs
@@ -1,9 +1,9 @@
-//! When a node that was given a part of the lease anew may order by what it knows.
+//! When a node that gets a partition of the stewards' lease back may send orders again.
 //!
-//! By reading: a node stands still for longer than its lease lasts, another one gets its
-//! part, forms a group and gives the part back; the answer that told the first node that it
-//! holds nothing is lost, and the next one names the part again. It then ordered at once by
-//! its list of before.
+//! Guards against this failure: a node is suspended for longer than its lease lasts; another node
+//! gets its partition, forms a group and gives the partition back; the answer that told the first
+//! node that it holds nothing is lost, and the next answer names the partition again. The first
+//! node then sent orders at once, by its outdated instance list.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use workshold_platform::store::Answer;
 use workshold_protocol::Millis;
 
-const RULES: HandoverTimings =
+const TIMINGS: HandoverTimings =
     HandoverTimings { max_order_delay: Millis(300), lease_ttl: Millis(1_500) };
 
 fn fence(era: u64, generation: u64) -> Fence {
@@ -27,18 +27,18 @@
     let now = node.now();
     let mut lease = node.lease.lock();
     let partition_lease = lease.parts.get_mut(&3).unwrap();
-    partition_lease.observe_holders(std::iter::empty::<Fence>(), RULES, now);
+    partition_lease.observe_holders(std::iter::empty::<Fence>(), TIMINGS, now);
     partition_lease.may_order(now)
 }
 
-/// A node holds part 3 and may order; `pause` later an answer names the part again.
+/// A node holds partition 3 and may send orders. After `pause` an answer names the partition again.
 #[rstest]
 #[case::renewed_in_time(1_000, 0, 7, true)]
-#[case::renewed_under_a_later_number(1_000, 0, 9, true)]
-#[case::after_its_time(2_000, 0, 7, false)]
-#[case::after_its_time_under_a_later_number(2_000, 0, 9, false)]
-#[case::by_another_past(1_000, 1, 3, false)]
-fn a_part_is_held_on_to_only_while_the_lease_lasts(
+#[case::renewed_with_a_newer_generation(1_000, 0, 9, true)]
+#[case::after_expiry(2_000, 0, 7, false)]
+#[case::after_expiry_with_a_newer_generation(2_000, 0, 9, false)]
+#[case::in_a_new_era(1_000, 1, 3, false)]
+fn orders_are_allowed_only_while_the_lease_lasts(
     #[case] pause: u64,
     #[case] era: u64,
     #[case] generation: u64,
@@ -47,15 +47,15 @@
     let (node, clock, _) = common::node();
     node.take_answer(Answer { era: Era(0), value: () }, node.now()).unwrap();
     leasing::take(&node, fence(0, 7), &[3], node.now());
-    clock.go_on(Millis(400));
-    assert!(may_order(&node), "nobody else orders");
+    clock.advance(Millis(400));
+    assert!(may_order(&node), "no other node holds the partition");
     leasing::take(&node, fence(0, 7), &[3], node.now());
-    clock.go_on(Millis(pause));
+    clock.advance(Millis(pause));
     node.take_answer(Answer { era: Era(era), value: () }, node.now()).unwrap();
     leasing::take(&node, fence(era, generation), &[3], node.now());
     assert_eq!(may_order(&node), expected);
-    clock.go_on(Millis(400));
-    assert_eq!(may_order(&node), era == 0, "others have noticed by then");
-    clock.go_on(Millis(6_000));
-    assert!(may_order(&node), "what the store says is true by then");
+    clock.advance(Millis(400));
+    assert_eq!(may_order(&node), era == 0, "any former holder has stopped by then");
+    clock.advance(Millis(6_000));
+    assert!(may_order(&node), "a restored store is trusted by then");
 }
--- a/crates/workshold-gateway/tests/doubts.rs
+++ b/crates/workshold-gateway/tests/probing.rs
@@ -1,13 +1,13 @@
-//! Who tries an instance that fell silent, and who asks whom to: with many nodes, each
-//! that asked all others again would bury it in connections.
+//! Probes of silent instances: which nodes send them, which peers they ask to probe as well, and
+//! what an unanswered probe proves.
 //!
-//! And what a try that nobody answers shows. Seen: a dozen instances that were well were
-//! doubted at a dozen nodes within a tenth of a second, and streams at them were moved or
-//! cut. How: a long configuration came to all nodes at once and filled their links, so
-//! that no connection came up in time. Cause: the node's own trouble was taken for the
-//! instance's. Proof: nearly all doubts about instances that were well fell within 0.2 s
-//! of a new configuration at the same node; without its 1,400 routes there were none, and
-//! none with links ten times as wide, and nearly as many with more of a processor.
+//! Guards against two failures. With many nodes, each asking all others again, an instance would be
+//! flooded with connections. And a dozen healthy instances were suspected by a dozen nodes within a
+//! tenth of a second, and their streams were moved or cut: a long configuration had reached all
+//! nodes at once and filled their links, so that no connection was established in time, and nodes
+//! took their own fault for the instance's. Nearly all suspicions of healthy instances fell within
+//! 0.2 s of a new configuration at the same node. There were none without its 1,400 routes or with
+//! ten times the bandwidth, and nearly as many with more CPU.
 
 mod common;
 
@@ -47,110 +47,116 @@
     InstanceId::new("i-1").unwrap().into()
 }
 
-fn told(rx: &mut UnboundedReceiver<Probe>) -> Vec<ProbeTask> {
-    std::iter::from_fn(|| rx.try_recv().ok()).map(|doubt| doubt.task).collect()
+fn probe_tasks(rx: &mut UnboundedReceiver<Probe>) -> Vec<ProbeTask> {
+    std::iter::from_fn(|| rx.try_recv().ok()).map(|probe| probe.task).collect()
 }
 
 #[test]
-fn who_finds_an_instance_silent_first_asks_all_others_once() {
+fn the_first_node_to_find_an_instance_silent_asks_its_peers_once() {
     let (node, _, mut rx) = node();
     let address = SmolStr::new("10.0.0.1:80");
     node.on_probe_result(&id(), &address, ProbeResult::Silent);
     node.on_probe_result(&id(), &address, ProbeResult::Silent);
     assert_eq!(
-        told(&mut rx),
+        probe_tasks(&mut rx),
         [ProbeTask::Announce { reach: ProbeResult::Silent, asks: ProbeAudience::Witnesses }]
     );
     node.on_probe_result(&id(), &address, ProbeResult::Answers);
     assert_eq!(
-        told(&mut rx),
+        probe_tasks(&mut rx),
         [ProbeTask::Announce { reach: ProbeResult::Answers, asks: ProbeAudience::Nobody }]
     );
 }
 
 #[test]
-fn who_has_heard_of_it_tells_what_it_saw_and_asks_nobody() {
+fn a_node_that_knows_of_the_silence_reports_its_result_and_asks_no_peer() {
     let (node, _, mut rx) = node();
     node.suspicions.lock().on_peer(&id(), "n-2", ProbeResult::Silent, node.now());
     node.on_probe_result(&id(), &SmolStr::new("10.0.0.1:80"), ProbeResult::Silent);
     assert_eq!(
-        told(&mut rx),
+        probe_tasks(&mut rx),
         [ProbeTask::Announce { reach: ProbeResult::Silent, asks: ProbeAudience::Nobody }]
     );
 }
 
 #[test]
-fn one_try_answers_all_who_ask_at_the_same_time() {
+fn one_probe_answers_all_simultaneous_requests() {
     let (node, clock, _rx) = node();
-    let asked: Vec<bool> = (0..90).map(|_| node.is_probe_due(&id())).collect();
-    assert_eq!(asked.iter().filter(|is_tried| **is_tried).count(), 1);
-    clock.go_on(Millis(200));
-    assert!(node.is_probe_due(&id()), "what was seen then may have changed");
+    let due: Vec<bool> = (0..90).map(|_| node.is_probe_due(&id())).collect();
+    assert_eq!(due.iter().filter(|is_due| **is_due).count(), 1);
+    clock.advance(Millis(200));
+    assert!(node.is_probe_due(&id()), "an earlier result may be out of date");
 }
 
-async fn way(way: LinkState) -> Proxy {
+async fn proxy_in_state(state: LinkState) -> Proxy {
     let proxy = Proxy::start();
-    proxy.set_state(way).await;
+    proxy.set_state(state).await;
     proxy
 }
 
 #[rstest]
-#[case::it_reaches_its_peers(Some(LinkState::Open), Some(ProbeResult::Silent))]
-#[case::it_reaches_nobody_at_the_moment(Some(LinkState::Silent), None)]
-#[case::it_knows_of_nobody_else(None, Some(ProbeResult::Silent))]
+#[case::peers_answer(Some(LinkState::Open), Some(ProbeResult::Silent))]
+#[case::no_peer_answers(Some(LinkState::Silent), None)]
+#[case::no_peers_known(None, Some(ProbeResult::Silent))]
 #[tokio::test]
-async fn silence_shows_something_only_to_a_node_that_others_answer(
+async fn a_silent_probe_is_inconclusive_if_no_peer_answers(
     #[case] peers: Option<LinkState>,
     #[case] conclusive: Option<ProbeResult>,
 ) {
     let (node, _, mut rx) = node();
-    let instance = way(LinkState::Silent).await;
+    let instance = proxy_in_state(LinkState::Silent).await;
     let mut proxies = Vec::new();
     for i in 0..if peers.is_some() { 3 } else { 0 } {
-        proxies.push(way(peers.unwrap()).await);
+        proxies.push(proxy_in_state(peers.unwrap()).await);
         let from = SocketAddr::from(([127, 0, 0, 1], 7_100 + i));
-        let said = heartbeat(proxies.last().unwrap().address);
+        let peer_heartbeat = heartbeat(proxies.last().unwrap().address);
         let own = node.settings().control();
-        node.peers.lock().on_heartbeat(own, from, SmolStr::new("n"), said, node.now());
+        node.peers.lock().on_heartbeat(own, from, SmolStr::new("n"), peer_heartbeat, node.now());
     }
     let address = SmolStr::new(instance.address.to_string());
     assert_eq!(probing::probe_instance(&node, &id(), &address).await, conclusive);
     assert_eq!(node.suspicions.lock().is_unreachable_from_here(&id()), conclusive.is_some());
-    assert_eq!(told(&mut rx).is_empty(), conclusive.is_none());
+    assert_eq!(probe_tasks(&mut rx).is_empty(), conclusive.is_none());
 }
 
 #[tokio::test]
-async fn a_refusal_shows_that_a_life_has_ended_whoever_else_answers() {
+async fn a_refused_probe_is_conclusive_even_if_peers_are_silent() {
     let (node, _, _rx) = node();
-    let gone = way(LinkState::Open).await.address;
-    let peer = way(LinkState::Silent).await;
+    let gone = proxy_in_state(LinkState::Open).await.address;
+    let peer = proxy_in_state(LinkState::Silent).await;
     let own = node.settings().control();
-    let said = heartbeat(peer.address);
-    node.peers.lock().on_heartbeat(own, peer.address, SmolStr::new("n"), said, node.now());
-    let seen = probing::probe_instance(&node, &id(), &SmolStr::new(gone.to_string())).await;
-    assert_eq!(seen, Some(ProbeResult::Refused));
+    let peer_heartbeat = heartbeat(peer.address);
+    node.peers.lock().on_heartbeat(
+        own,
+        peer.address,
+        SmolStr::new("n"),
+        peer_heartbeat,
+        node.now(),
+    );
+    let result = probing::probe_instance(&node, &id(), &SmolStr::new(gone.to_string())).await;
+    assert_eq!(result, Some(ProbeResult::Refused));
 }
 
-/// The way to another node loses the first ask.
+/// The first request to a peer to probe an instance is lost.
 #[tokio::test]
-async fn an_ask_that_is_lost_is_said_again() {
+async fn a_lost_probe_request_is_sent_again() {
     let (node, _, rx) = node();
     let node = Arc::new(node);
     let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     node.peers.lock().add(other.local_addr().unwrap(), node.now());
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
-    let tells = tokio::spawn(probing::run(Arc::clone(&node), socket, rx));
+    let probing_task = tokio::spawn(probing::run(Arc::clone(&node), socket, rx));
     node.on_probe_result(&id(), &SmolStr::new("10.0.0.1:80"), ProbeResult::Silent);
-    let lost = next_ask(&other).await;
+    let lost = next_probe_request(&other).await;
     let began = Instant::now();
-    assert_eq!(next_ask(&other).await, lost, "the same once more");
+    assert_eq!(next_probe_request(&other).await, lost, "the same request is sent again");
     let after = began.elapsed();
-    assert!(after < Duration::from_millis(180), "one try answers both: {after:?}");
-    tells.abort();
+    assert!(after < Duration::from_millis(180), "one probe must answer both requests: {after:?}");
+    probing_task.abort();
 }
 
-/// The next instance that others are asked to try.
-async fn next_ask(socket: &UdpSocket) -> Option<u32> {
+/// The hash of the next instance that peers are asked to probe.
+async fn next_probe_request(socket: &UdpSocket) -> Option<u32> {
     let mut buf = [0; 2_048];
     let heard = tokio::time::timeout(Duration::from_secs(2), socket.recv_from(&mut buf)).await;
     let (len, _) = heard.ok()?.unwrap();
@@ -161,16 +167,23 @@
     }
 }
 
-/// A peer that was lost together with an instance is still counted as heard for a second.
+/// A peer that was cut off together with an instance still counts as heard for a second, so
+/// unanswered peers alone do not make a probe inconclusive.
 #[tokio::test]
-async fn silence_shows_something_to_a_node_that_other_instances_answer() {
+async fn a_silent_probe_is_conclusive_if_other_instances_answer() {
     let (node, _, _rx) = node();
-    let instance = way(LinkState::Silent).await;
-    let peer = way(LinkState::Silent).await;
+    let instance = proxy_in_state(LinkState::Silent).await;
+    let peer = proxy_in_state(LinkState::Silent).await;
     let own = node.settings().control();
-    let said = heartbeat(peer.address);
-    node.peers.lock().on_heartbeat(own, peer.address, SmolStr::new("n"), said, node.now());
-    let other = way(LinkState::Open).await;
+    let peer_heartbeat = heartbeat(peer.address);
+    node.peers.lock().on_heartbeat(
+        own,
+        peer.address,
+        SmolStr::new("n"),
+        peer_heartbeat,
+        node.now(),
+    );
+    let other = proxy_in_state(LinkState::Open).await;
     let entry = Instance {
         identity: InstanceId::new("i-2").unwrap().into(),
         service: ServiceName::new("llm").unwrap(),
@@ -189,10 +202,9 @@
     assert_eq!(probing::probe_instance(&node, &id(), &address).await, Some(ProbeResult::Silent));
 }
 
-/// Who hears nobody may be cut off from the others, which are still there and repeat as
-/// well.
+/// A node that hears no peers may be isolated from them, while they go on retrying.
 #[test]
-fn a_node_that_hears_nobody_any_more_does_not_take_the_others_part_of_the_budget() {
+fn an_isolated_node_keeps_to_its_share_of_the_retry_budget() {
     let (node, clock, _rx) = node();
     let own = node.settings().control();
     for i in 0..9 {
@@ -205,85 +217,90 @@
     while node.take_retry(&service) {
         taken += 1;
     }
-    clock.go_on(Millis(1_500));
-    assert!(!node.take_retry(&service), "beyond {taken} that are its part");
+    clock.advance(Millis(1_500));
+    assert!(!node.take_retry(&service), "its share of the budget was {taken} retries");
 }
 
-fn hear_of_many(node: &Node, nodes: usize) {
+fn hear_peers(node: &Node, nodes: usize) {
     let own = node.settings().control();
     for i in 0..nodes {
         let from = SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250) as u8 + 1], 7_340));
         let data_centre = SmolStr::new(["a", "b", "c"][i % 3]);
-        let said = Heartbeat { data_centre, ..heartbeat(from) };
+        let peer_heartbeat = Heartbeat { data_centre, ..heartbeat(from) };
         let name = SmolStr::new(format!("n-of-many-{i}"));
-        node.peers.lock().on_heartbeat(own, from, name, said, node.now());
+        node.peers.lock().on_heartbeat(own, from, name, peer_heartbeat, node.now());
     }
 }
 
-fn named(i: usize) -> Identity {
+fn instance_id(i: usize) -> Identity {
     InstanceId::new(&format!("i-{i}")).unwrap().into()
 }
 
-/// With hundreds of nodes, each of which tried when one asked and told all others, a dark
-/// domain of nineteen cost a million datagrams.
+/// Guards against the cost of probes by all: when each of hundreds of nodes probed at a peer's
+/// request and told all others, the failure of a domain of nineteen instances cost a million
+/// datagrams.
 #[rstest]
 #[case::few(20, 100, 100)]
 #[case::hundreds(300, 1, 10)]
-fn with_many_nodes_a_few_try_an_instance_for_all(
+fn with_many_nodes_a_few_probe_an_instance_for_all(
     #[case] nodes: usize,
     #[case] least: usize,
     #[case] most: usize,
 ) {
     let (node, _, _rx) = common::node();
-    hear_of_many(&node, nodes);
-    let witnessed = (0..100).filter(|i| node.is_witness(&named(*i))).count();
+    hear_peers(&node, nodes);
+    let witnessed = (0..100).filter(|i| node.is_witness(&instance_id(*i))).count();
     assert!((least..=most).contains(&witnessed), "{witnessed} of 100 instances");
 }
 
 #[test]
-fn of_each_data_centre_as_many_try_an_instance() {
+fn each_data_centre_has_as_many_probers_of_an_instance() {
     let (node, _, _rx) = common::node();
-    hear_of_many(&node, 300);
+    hear_peers(&node, 300);
     let now = node.now();
     let peers = node.peers.lock();
-    let tries = |i: &usize| {
-        let (name, place) = (format!("n-of-many-{i}"), ["a", "b", "c"][i % 3]);
+    let is_witness_in_its_data_centre = |i: &usize| {
+        let (name, dc) = (format!("n-of-many-{i}"), ["a", "b", "c"][i % 3]);
         let address = SocketAddr::from(([10, 0, 0, 1], 7_340));
-        let own = LocalNode { address, name: &name, data_centre: place };
-        // It counts itself among those that it hears here, behind which it does not stand.
+        let own = LocalNode { address, name: &name, data_centre: dc };
+        // The node hears itself here; that does not change its own rank.
         peers.is_witness(&own, 77, 4, now)
     };
-    let witnesses: Vec<usize> = (0..300).filter(tries).collect();
-    let of = |place: usize| witnesses.iter().filter(|i| **i % 3 == place).count();
+    let witnesses: Vec<usize> = (0..300).filter(is_witness_in_its_data_centre).collect();
+    let of = |dc: usize| witnesses.iter().filter(|i| **i % 3 == dc).count();
     assert_eq!([of(0), of(1), of(2)], [4, 4, 4]);
 }
 
-/// Nobody's group is given up before all were asked for its head, each by this node itself.
+/// A group is not given up before this node has asked all peers to probe its head.
 #[test]
-fn all_are_asked_once_before_a_group_is_given_up() {
+fn all_peers_are_asked_once_before_a_group_is_given_up() {
     let (node, clock, mut rx) = common::node();
-    hear_of_many(&node, 300);
+    hear_peers(&node, 300);
     let address = SmolStr::new("10.0.0.1:80");
     assert!(!node.have_all_peers_probed(&id(), &address));
     assert!(!node.have_all_peers_probed(&id(), &address));
     assert_eq!(
-        told(&mut rx),
+        probe_tasks(&mut rx),
         [ProbeTask::Announce { reach: ProbeResult::Silent, asks: ProbeAudience::All }]
     );
-    clock.go_on(Millis(300));
-    assert!(node.have_all_peers_probed(&id(), &address), "they have had the time to answer");
+    clock.advance(Millis(300));
+    assert!(node.have_all_peers_probed(&id(), &address), "all peers have had time to answer");
 }
 
-/// Who does not try an instance goes by those who do, as long as none of them reaches it.
+/// A node that does not probe an instance relies on the peers that do, as long as none of them
+/// reaches it.
 #[test]
-fn a_node_that_does_not_try_goes_by_those_who_do() {
+fn a_node_that_does_not_probe_relies_on_its_peers() {
     let mut suspicions = Suspicions::default();
-    let mut say = |peer: &str, reach| {
+    let mut on_peer_report = |peer: &str, reach| {
         suspicions.on_peer(&id(), peer, reach, Millis(1_000));
         suspicions.rely_on_peers(&id());
         suspicions.is_unreachable(&id())
     };
-    assert!(!say("n-2", ProbeResult::Silent), "one of them may be cut off itself");
-    assert!(say("n-3", ProbeResult::Refused));
-    assert!(!say("n-4", ProbeResult::Answers), "only some paths to it are cut");
+    assert!(!on_peer_report("n-2", ProbeResult::Silent), "a single peer may be isolated itself");
+    assert!(on_peer_report("n-3", ProbeResult::Refused));
+    assert!(
+        !on_peer_report("n-4", ProbeResult::Answers),
+        "one peer reaches it, so only some paths are cut"
+    );
 }
--- a/crates/workshold-gateway/tests/sleep.rs
+++ b/crates/workshold-gateway/tests/suspension.rs
@@ -1,9 +1,9 @@
-//! A node that stood still, or whose machine slept, and what waited for it meanwhile.
+//! A node that was suspended, or whose machine was, and the datagrams that waited meanwhile.
 //!
-//! Seen by reading, then here: datagrams that wait in the socket are read after the wake-up,
-//! and the ages in them were reckoned from the moment of reading. So a configuration looked
-//! as fresh as it had been before the sleep, and a key that was taken away meanwhile was
-//! believed for longer than any node may.
+//! Guards against this failure: datagrams that waited in the socket were read after the wake-up,
+//! and the ages in them were counted from the time of the read. A configuration then looked as
+//! fresh as it had been before the suspension, and a key that was revoked meanwhile was accepted
+//! for longer than any node may.
 
 mod common;
 
@@ -25,14 +25,14 @@
 use workshold_platform_standin::deployment;
 use workshold_protocol::Millis;
 
-use crate::common::HandClock;
+use crate::common::ManualClock;
 
-const SLEPT: Millis = Millis(5_000);
-/// Long enough that whoever receives has read all there was.
-const READS: Duration = Duration::from_millis(60);
+const SUSPENDED_FOR: Millis = Millis(5_000);
+/// Time in which the receiving task reads all datagrams that wait.
+const READ_TIME: Duration = Duration::from_millis(60);
 
-/// A node that receives, and where.
-async fn receiving() -> (Arc<Node>, HandClock, SocketAddr) {
+/// A node whose receiving task runs, its clock, and the address of its socket.
+async fn receiving() -> (Arc<Node>, ManualClock, SocketAddr) {
     let (node, clock, _) = common::node();
     let node = Arc::new(node);
     let text = deployment::config(1, "k1");
@@ -49,49 +49,55 @@
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
     let address = socket.local_addr().unwrap();
     tokio::spawn(gossip::receive(Arc::clone(&node), socket));
-    tokio::time::sleep(READS).await;
+    tokio::time::sleep(READ_TIME).await;
     (node, clock, address)
 }
 
-fn says(message: Message) -> Vec<u8> {
+fn encode(message: Message) -> Vec<u8> {
     let datagram = Datagram { version: VERSION, from: SmolStr::new("n-2"), message };
     postcard::to_stdvec(&datagram).unwrap()
 }
 
-fn fresh() -> Message {
+fn fresh_heartbeat() -> Message {
     let callers = "127.0.0.1:9000".parse().unwrap();
     let heartbeat = common::heartbeat(callers);
     let heartbeat = Heartbeat { config: Some((1, 100)), list: Some((4.into(), 100)), ..heartbeat };
     Message::Heartbeat(Box::new(heartbeat))
 }
 
-/// It is sent, then the machine sleeps, and only then anything is read.
+/// The datagram is sent, the clock passes the suspension, and only then the node reads.
 #[rstest]
-#[case::a_pulse(fresh())]
-#[case::news_of_the_list(Message::News(ListNews { from: 4.into(), next: 5.into(), copy_end: 0.into(), age_ms: 100, records: Vec::new() }))]
+#[case::a_heartbeat(fresh_heartbeat())]
+#[case::news_of_the_list(Message::News(ListNews {
+    from: 4.into(),
+    next: 5.into(),
+    copy_end: 0.into(),
+    age_ms: 100,
+    records: Vec::new(),
+}))]
 #[tokio::test]
-async fn what_waited_while_a_node_slept_is_as_old_as_the_sleep(#[case] message: Message) {
+async fn datagrams_received_after_a_suspension_are_at_least_as_old_as_it(#[case] message: Message) {
     let (node, clock, address) = receiving().await;
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    socket.send_to(&says(message), address).unwrap();
-    clock.go_on(SLEPT);
-    tokio::time::sleep(READS).await;
+    socket.send_to(&encode(message), address).unwrap();
+    clock.advance(SUSPENDED_FOR);
+    tokio::time::sleep(READ_TIME).await;
     let (_, age) = node.config_age().unwrap();
-    assert!(age >= SLEPT, "the configuration looks {age} old");
+    assert!(age >= SUSPENDED_FOR, "the configuration looks {age} old");
     let list_age = node.now().since(node.list.lock().read_at);
-    assert!(list_age >= SLEPT, "the list looks {list_age} old");
+    assert!(list_age >= SUSPENDED_FOR, "the list looks {list_age} old");
     assert!(!node.are_keys_trusted());
 }
 
 #[tokio::test]
-async fn what_comes_to_a_node_that_is_awake_is_as_fresh_as_it_says() {
+async fn datagrams_to_a_running_node_are_as_fresh_as_they_state() {
     let (node, clock, address) = receiving().await;
-    clock.go_on(SLEPT);
-    // It has seen since that nothing waits.
-    tokio::time::sleep(3 * READS).await;
+    clock.advance(SUSPENDED_FOR);
+    // Meanwhile the receiving task finds its socket empty, which shows that nothing has waited.
+    tokio::time::sleep(3 * READ_TIME).await;
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    socket.send_to(&says(fresh()), address).unwrap();
-    tokio::time::sleep(READS).await;
+    socket.send_to(&encode(fresh_heartbeat()), address).unwrap();
+    tokio::time::sleep(READ_TIME).await;
     let (_, age) = node.config_age().unwrap();
     assert!(age < Millis(500), "the configuration looks {age} old");
 }
