--- a/crates/workshold-node/src/callers/at_most_once.rs
+++ b/crates/workshold-node/src/callers/at_most_once.rs
@@ -1,9 +1,9 @@
-//! Requests that run at most once, whatever happens.
+//! Runs requests with an idempotency key at most once.
 //!
-//! A record of intent in the log gives the key to one node, in one of its lives;
-//! only that node sends, and only after it has read the record back. Whoever
-//! asks again with the key, here or elsewhere, gets the first one's answer, or
-//! "unknown"; never a second run.
+//! An intent record in the log assigns the key to one incarnation of one node. Only
+//! that node sends the request upstream, and only after it has read the record back.
+//! Any other request with the same key, at this node or another, gets the response of
+//! the first one or "unknown"; it never causes a second run.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -36,25 +36,28 @@
 use crate::tasks::intents::IntentOutcome;
 use crate::tasks::intents::IntentRequest;
 
-/// A call that must run at most once.
+/// A request that must run at most once.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Whose it is; keys of different teams never meet.
+    /// The team that sent it. Equal keys of different teams are different keys.
     pub team: TeamName,
-    /// The caller's key.
+    /// The value of the idempotency-key header.
     pub key: String,
-    /// What it asks for.
+    /// Digest of the request's content, to detect a key that is reused for another request.
     pub request: RequestDigest,
-    /// When the caller gives up.
+    /// When the caller stops waiting, by this node's clock.
     pub deadline: Millis,
 }
 
-/// How far a caller's clock may run ahead of this node's.
+/// How far a caller's clock may be ahead of this node's wall clock.
 const MAX_KEY_AHEAD: Millis = Millis(60_000);
+/// `Retry-After` while the log does not accept records.
 const RETRY_WHEN_LOG_IS_AWAY: Millis = Millis(3_000);
+/// `Retry-After` while another request with the key runs.
 const RETRY_WHILE_RUNNING: Millis = Millis(1_000);
 
-/// Names what a request asks for.
+/// Hashes the parts of a request. The length of each part is hashed before it, so that
+/// moving bytes between adjacent parts changes the digest.
 pub fn digest(parts: &[&[u8]]) -> RequestDigest {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
@@ -64,7 +67,7 @@
     RequestDigest::of(hasher.finalize().as_bytes())
 }
 
-/// A call that has been given its key's digest and time.
+/// A request whose key has been validated.
 #[derive(Debug, Clone)]
 struct Keyed {
     key: KeyDigest,
@@ -72,9 +75,9 @@
     call: Call,
 }
 
-/// Runs `work` if this call is the one that may, and answers the caller.
+/// Runs `work` if this request is the one that owns the key, and returns the response.
 ///
-/// `work` gives its answer either way; `Err` marks one that did not run.
+/// `work` returns a response either way; `Err` means that it did not run.
 pub async fn run<F, W>(node: &Arc<Node>, call: Call, work: W) -> Response<Body>
 where
     W: FnOnce() -> F + Send + 'static,
@@ -84,7 +87,8 @@
         Ok(keyed) => keyed,
         Err(problem) => return problems::response(&problem),
     };
-    // Runs on if the caller goes away: what was begun is to be known in the end.
+    // A task of its own, so that the run completes and its result is stored even if the
+    // caller disconnects.
     let node = Arc::clone(node);
     let task = tokio::spawn(async move { run_keyed(&node, keyed, work).await });
     match task.await {
@@ -106,6 +110,8 @@
     }
 }
 
+/// Checks the key's format and time, and computes the digest that stands for it. The digest
+/// depends on the team and ignores the case of the key.
 fn check_key(node: &Node, call: Call) -> Result<Keyed, Problem> {
     let bad = |why: String| Problem::not_run(ProblemCode::BadRequest, why);
     let time = key_time(&call.key).map_err(|err| bad(format!("{err}; {}", err.help())))?;
@@ -113,8 +119,8 @@
     if time > wall + MAX_KEY_AHEAD {
         return Err(bad("the idempotency key was made in the future".to_owned()));
     }
-    // Keys near the end of the window are refused here already, so that none is
-    // forgotten while its request still runs.
+    // Keys in the second half of the window are refused here already, so that none
+    // expires while its request still runs.
     let window = Millis(node.settings.times.key_window.0 / 2);
     if time + window < wall {
         let why = "the idempotency key is older than what is remembered";
@@ -153,7 +159,7 @@
     let must_keep = step == Decided::GiveUp;
     let answer = without_running(node, &keyed, step).await;
     if !must_keep {
-        // Nothing was begun here: whoever asks again looks anew.
+        // Nothing was started here, so a later request with the key starts from the beginning.
         node.keys.discard(&keyed.key);
     }
     running.finish(&match &answer {
@@ -163,7 +169,7 @@
     answer
 }
 
-/// A step of [`at_most_once`] that owns what it names.
+/// A [`KeyAction`] that owns its contents, so that it outlives the lock on the state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Decided {
     Record,
@@ -188,7 +194,7 @@
     decided.unwrap_or(Decided::GiveUp)
 }
 
-/// The answer of a request that this node does not run.
+/// Returns the response to a request that this node does not run.
 async fn without_running(
     node: &Node,
     keyed: &Keyed,
@@ -209,8 +215,8 @@
             "what must last cannot be written; it was not run",
         )
         .retry_after(RETRY_WHEN_LOG_IS_AWAY)),
-        // The record may still come to stand in the log. Only this node could run
-        // under it, and with this answer kept it never will.
+        // The intent may still be appended to the log. Only this node could run the
+        // request under it, and it never will, because this response is stored for the key.
         Decided::GiveUp | Decided::Record | Decided::Run => Err(Problem::not_run(
             ProblemCode::LogUnavailable,
             "what must last cannot be written; it was not run. Ask again with a new key",
@@ -219,7 +225,7 @@
     }
 }
 
-/// Asks the node that has the key what came of it.
+/// Asks the node that owns the key for the response.
 async fn ask_owner(node: &Node, keyed: &Keyed, owner: &Owner) -> Result<StoredResponse, Problem> {
     let gone = || {
         Problem::may_have_run(
@@ -244,7 +250,8 @@
     }
 }
 
-/// Whether the owner still lives the life in which it took the key.
+/// Whether the owner is still in the incarnation that claimed the key. True if this
+/// node knows nothing of the owner.
 fn has_same_life(node: &Node, owner: &Owner) -> bool {
     let membership = node.membership.read();
     let peer = membership.peers().find(|(name, _)| *name == &owner.node);
@@ -256,7 +263,7 @@
     Problem::may_have_run(ProblemCode::KeyInProgress, detail).retry_after(RETRY_WHILE_RUNNING)
 }
 
-/// Waits for the request that had the key first at this node.
+/// Waits until the first request with the key at this node has a response.
 async fn wait_for_other(
     node: &Node,
     keyed: &Keyed,
@@ -270,6 +277,8 @@
     }
 }
 
+/// Appends an intent to the log and waits until it is read back, up to the deadline or
+/// `intent_wait`, whichever is earlier.
 async fn record(node: &Node, keyed: &Keyed) -> IntentOutcome {
     if !node.log_state.read().log_answers {
         return IntentOutcome::NotAppended;
@@ -290,7 +299,7 @@
     let left = until.since(node.now()).to_duration();
     match tokio::time::timeout(left, outcome).await {
         Ok(Ok(outcome)) => outcome,
-        // Whatever comes of it later, this node never runs it.
+        // The intent may still be appended later, but this node never runs the request.
         Ok(Err(_)) | Err(_) => IntentOutcome::Unconfirmed,
     }
 }
--- a/crates/workshold-node/src/callers/authentication.rs
+++ b/crates/workshold-node/src/callers/authentication.rs
@@ -1,4 +1,4 @@
-//! Whose a request is.
+//! Determines which team sent a request.
 
 use hyper::HeaderMap;
 use hyper::header::AUTHORIZATION;
@@ -9,15 +9,15 @@
 
 use crate::callers::headers;
 
-/// The team of requests in a deployment that has none.
+/// The team of all requests in a deployment whose bundle has no teams.
 const NOBODY: &str = "everybody";
 
-/// Finds the team of a request: that of its key, or, for a team without keys,
-/// the one in the header.
+/// Finds the team of a request: the one that its API key belongs to or, for a team
+/// without keys, the one named in the [`headers::TEAM`] header.
 ///
 /// # Errors
 ///
-/// [`ProblemCode::Unauthorized`] if neither tells.
+/// [`ProblemCode::Unauthorized`] if neither identifies a team.
 pub fn team(headers: &HeaderMap, bundle: &Bundle) -> Result<TeamName, Problem> {
     if bundle.teams.is_empty() {
         return TeamName::new(NOBODY).map_err(|err| unauthorized(&err.to_string()));
@@ -41,7 +41,8 @@
     text.map(Some).ok_or_else(|| unauthorized("the authorization header is no bearer token"))
 }
 
-/// Keys are compared by their hashes, so that time tells nothing of the key.
+/// Finds the team of an API key. Hashes are compared instead of keys, so that the time
+/// of the comparison reveals nothing about a valid key.
 fn team_of_key(key: &str, bundle: &Bundle) -> Result<TeamName, Problem> {
     let hash = blake3::hash(key.as_bytes()).to_hex().to_string();
     let team = bundle.teams.iter().find(|(_, team)| team.key_hashes.contains(&hash));
--- a/crates/workshold-node/src/callers/completions.rs
+++ b/crates/workshold-node/src/callers/completions.rs
@@ -1,4 +1,4 @@
-//! `/v1/completions` and `/v1/chat/completions`.
+//! The OpenAI-style endpoints `/v1/completions` and `/v1/chat/completions`.
 
 use std::sync::Arc;
 
@@ -39,17 +39,17 @@
 use crate::key_table::problem_response;
 use crate::node::Node;
 
-/// Which of the two shapes a caller reads.
+/// The format of requests and answers; each endpoint has its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CompletionFormat {
-    /// Plain text.
+    /// `/v1/completions`: a prompt, answered with text.
     Text,
-    /// Messages.
+    /// `/v1/chat/completions`: a list of messages, answered with a message.
     Chat,
 }
 
 impl CompletionFormat {
-    /// What a chunk calls itself.
+    /// The `object` field of a streamed chunk.
     pub const fn chunk_object(self) -> &'static str {
         match self {
             Self::Text => "text_completion",
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What a whole answer calls itself.
+    /// The `object` field of an answer that is not streamed.
     pub const fn whole_object(self) -> &'static str {
         match self {
             Self::Text => "text_completion",
@@ -83,16 +83,16 @@
     content: String,
 }
 
-/// Tokens of an answer whose caller does not say how many.
+/// The limit on generated tokens if the request has no `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Pieces that wait for a caller who reads slowly.
+/// Parts of an answer that are buffered for a caller who reads slowly.
 const PIECES_WAITING: usize = 64;
 
-/// Serves one completion.
+/// Serves one completion request in the format `style`.
 ///
 /// # Errors
 ///
-/// The final answer if nothing was generated.
+/// The problem to answer with if nothing was generated.
 pub async fn handle(
     node: &Arc<Node>,
     req: Request<Incoming>,
@@ -155,7 +155,7 @@
     })
 }
 
-/// A model's name, or `model:adapter`.
+/// Parses `model` or `model:adapter` and checks that the bundle has both.
 fn find_model(bundle: &Bundle, wanted: &str) -> Result<(ModelName, Option<AdapterName>), Problem> {
     let unknown = || Problem::not_run(ProblemCode::NotFound, "there is no such model or adapter");
     let (name, adapter) = match wanted.split_once(':') {
@@ -170,6 +170,7 @@
     Ok((name, adapter))
 }
 
+/// Builds the prompt; chat messages become one line each, `role: content`.
 fn prompt(
     style: CompletionFormat,
     prompt: Option<String>,
@@ -187,11 +188,12 @@
     if text.is_empty() { Err(bad("the prompt is empty")) } else { Ok(text) }
 }
 
-/// Takes the request out of its team's allowance.
+/// Charges the request to its team's rate limits.
 fn check_limits(node: &Node, bundle: &Bundle, job: &Job) -> Result<(), Problem> {
     let now = node.now();
     let taken = node.with_team_limits(&job.team, bundle, |desk| {
-        // Tokens are paid for afterwards; a team in debt waits.
+        // Tokens are charged after they were generated, so the bucket may be negative;
+        // a team must wait until it has recovered.
         desk.tokens.take(0.0, now)?;
         desk.requests.take(1.0, now)
     });
@@ -204,12 +206,13 @@
     }
 }
 
+/// Answers with a stream of server-sent events.
 async fn streamed(node: &Arc<Node>, job: Job) -> Result<Response<Body>, Problem> {
     let (style, model) = (job.style, job.model.clone());
     let mut rx = start(node, job);
     let mut id = String::new();
-    // The head of the answer waits for the first token, so that whoever is
-    // refused gets the status of it.
+    // The response's head is sent only with the first token, so that a request which
+    // fails before it gets the status code of the failure.
     let first = loop {
         match rx.recv().await {
             Some(Piece::Placed(placed)) => id = placed,
@@ -253,6 +256,7 @@
     rx
 }
 
+/// Answers with the complete text once it is generated.
 async fn whole(node: &Arc<Node>, job: Job) -> Response<Body> {
     let (answer, id) = collect(node, job).await;
     let mut res = problems::stored_response(&answer);
@@ -266,7 +270,8 @@
     }
 }
 
-/// Runs the job to its end; gives the whole answer, or the problem as one.
+/// Runs the job to its end. Returns the complete answer, or the problem as a response,
+/// and the request id.
 async fn collect(node: &Arc<Node>, job: Job) -> (StoredResponse, String) {
     let (style, model) = (job.style, job.model.clone());
     let mut rx = start(node, job);
@@ -288,7 +293,7 @@
     (problem_response(&problem), id)
 }
 
-/// A completion under an idempotency key runs at most once, and is answered whole.
+/// Serves a completion with an idempotency key: it runs at most once and is not streamed.
 async fn once(
     node: &Arc<Node>,
     mut job: Job,
--- a/crates/workshold-node/src/callers/engine_stream.rs
+++ b/crates/workshold-node/src/callers/engine_stream.rs
@@ -1,7 +1,7 @@
-//! A conversation with an engine: what it says, and that it says nothing.
+//! One request to an engine and the stream of events that answers it.
 //!
-//! Silence proves nothing about an answer under way: it is told apart from an end, and
-//! whoever listens decides what to do meanwhile.
+//! A stall does not prove that the stream has failed, so it is reported as an event of
+//! its own; the caller decides whether to keep waiting.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -24,24 +24,25 @@
 
 use crate::serving::ServingGroup;
 
-/// What is heard next.
+/// The next thing that happened on an engine's stream.
 #[derive(Debug, PartialEq)]
 pub enum Heard {
-    /// The engine has taken the request.
+    /// The engine accepted the request and its stream begins.
     Opened,
-    /// An event of its stream.
+    /// An event of the stream.
     Event(TokenEvent),
-    /// Nothing, for as long as an upstream may be silent; it may go on all the same.
+    /// Nothing arrived within the stall timeout; the stream may still continue.
     Silence,
-    /// It refused before it had started.
+    /// The engine refused the request and stated that it had not started it.
     Refused,
-    /// The stream broke off or made no sense.
+    /// The connection broke, or the engine sent something invalid.
     Broken,
 }
 
 type Sent = Result<(Response<Incoming>, ConnectionTask), CallError>;
 
-/// The answer's head, once the request has been sent: nothing leaves before it is heard.
+/// Sends the request and resolves to the head of the response. Nothing is sent before
+/// it is polled.
 pub type Opening = Pin<Box<dyn Future<Output = Sent> + Send>>;
 
 enum Phase {
@@ -49,13 +50,13 @@
     Open { lines: Lines, _driver: ConnectionTask },
 }
 
-/// One request at the head of one group.
+/// One request to the head of a group.
 pub struct Talk {
-    /// The group.
+    /// The group that the request was dispatched to.
     pub group: Box<ServingGroup>,
-    /// The stream's name at the engine.
+    /// The stream's id at the engine.
     pub stream: Uuid,
-    /// When its place in the group was taken.
+    /// When the request took its slot in the group, by this node's clock.
     pub started: Millis,
     phase: Phase,
     silence: Duration,
@@ -63,7 +64,7 @@
 }
 
 impl Talk {
-    /// A request that is sent as soon as it is listened to.
+    /// Creates a stream whose request is sent by the first call of `next`.
     pub fn new(
         group: Box<ServingGroup>,
         stream: Uuid,
@@ -75,7 +76,7 @@
         Self { group, stream, started, phase, silence, heard_at: Instant::now() }
     }
 
-    /// What is heard next. If this is dropped before it is there, nothing is lost.
+    /// Waits for the next event. Cancel safe: an event is not lost if the future is dropped.
     pub async fn next(&mut self) -> Heard {
         let until = self.heard_at + self.silence;
         let heard = match &mut self.phase {
@@ -100,23 +101,25 @@
     }
 }
 
-/// The events of an engine's stream, a line each.
+/// Splits the body of an engine's response into events, one JSON document a line.
 #[derive(Debug)]
 pub struct Lines {
     body: Incoming,
     buf: BytesMut,
 }
 
-/// A line longer than this is no event, in bytes.
+/// The longest accepted line, in bytes. A longer one counts as a broken stream, so that
+/// an engine can't fill this node's memory.
 const MAX_LINE_LEN: usize = 1024 * 1024;
 
 impl Lines {
-    /// Reads `body`.
+    /// Creates a reader at the start of `body`.
     pub fn new(body: Incoming) -> Self {
         Self { body, buf: BytesMut::new() }
     }
 
-    /// What is heard by `until`. If this is dropped before, nothing is lost.
+    /// Waits for the next event until `until`. Cancel safe: data that has arrived stays in
+    /// the buffer if the future is dropped.
     pub async fn next_until(&mut self, until: Instant) -> Heard {
         loop {
             if let Some(line) = self.take_line() {
--- a/crates/workshold-node/src/callers/generation.rs
+++ b/crates/workshold-node/src/callers/generation.rs
@@ -1,4 +1,7 @@
-//! One generation: placing it, attempting it, relaying its tokens.
+//! Runs one generation: finds a group for it, makes attempts, and forwards the tokens.
+//!
+//! If the engine of an attempt stalls, a second engine gets the request as well (a hedge).
+//! The first of the two that sends the next token goes on with the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,68 +46,71 @@
 use crate::requests::StreamLocation;
 use crate::serving::ServingGroup;
 
-/// What is to be generated, and for whom.
+/// A generation request after validation.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Whose it is.
+    /// The team that sent it.
     pub team: TeamName,
-    /// The team's share against the others.
+    /// The team's weight in the fair queue.
     pub share: f64,
-    /// The model.
+    /// The model that generates.
     pub model: ModelName,
-    /// The adapter, if one is wanted.
+    /// The adapter to load on the model; `None` for the model alone.
     pub adapter: Option<AdapterName>,
-    /// The prompt.
+    /// The prompt as one text, also for chat requests.
     pub prompt: String,
-    /// The prompt's beginnings.
+    /// Hashes of the prompt's prefixes, for routing to a group that has them cached.
     pub chain: Arc<PrefixChain>,
-    /// Tokens to generate.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Its priority.
+    /// The priority in the queue and at the engine.
     pub priority: Priority,
-    /// When the caller gives up, by this node's clock.
+    /// When the caller stops waiting, by this node's clock.
     pub deadline: Millis,
     /// Whether it may run more than once.
     pub repeatability: Repeatability,
-    /// The shape that the caller reads.
+    /// The format of the answer.
     pub style: CompletionFormat,
 }
 
-/// What the caller's side of a generation is told.
+/// A part of the answer, for the task that writes to the caller.
 #[derive(Debug, PartialEq)]
 pub enum Piece {
-    /// An attempt began; by this id it can be resumed.
+    /// The request id by which the caller can resume the stream from now on. Sent again
+    /// when another engine takes over.
     Placed(String),
-    /// One token.
+    /// One token of the answer.
     Token {
-        /// Its place.
+        /// Its position in the answer, from 0.
         index: u32,
         /// Its text.
         text: String,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// How many tokens it has.
+        /// The number of tokens in the answer.
         tokens: u32,
     },
-    /// It ended without a whole answer.
+    /// The request ended without a complete answer.
     Problem(Problem),
 }
 
+/// Timeout for connecting to an engine.
 const CONNECT_TIME: Duration = Duration::from_millis(500);
-/// Come back after this when no group serves; spread by the draw.
+/// The least `Retry-After` if no group serves the model. A random part of up to the same
+/// length is added, so that callers do not return all at once.
 const NO_GROUP_RETRY_MS: f64 = 2_000.0;
 
 /// Why an attempt ended.
 #[derive(Debug)]
 enum Ended {
-    /// As the course's rules know it.
+    /// An event for the request's lifecycle, which decides whether to retry.
     By(Event),
-    /// The caller went away or stopped reading.
+    /// The caller disconnected or stopped reading.
     CallerGone,
 }
 
-/// Runs a job to its end, which is counted and told to the caller.
+/// Runs a job to its end, counts the result and sends it to the caller.
 pub async fn run(node: Arc<Node>, job: Job, tx: mpsc::Sender<Piece>) {
     let guard = node.in_flight.track(InFlight {
         team: job.team.clone(),
@@ -136,16 +142,18 @@
     tx: &'a mpsc::Sender<Piece>,
     guard: InFlightGuard<'a>,
     lifecycle: RequestLifecycle,
+    /// The tokens sent to the caller so far; another engine continues after them.
     generated: Vec<String>,
-    /// The stream that the caller was last told of.
+    /// The stream whose request id the caller got last.
     placed: Option<Uuid>,
-    /// Its turn at a second engine, while the first one is silent.
+    /// The wait in the queue for a second engine, while the first one stalls.
     turn: Option<oneshot::Receiver<QueueOutcome>>,
+    /// When the caller may try again if the request fails; `None` if that is not known.
     hint: Option<Millis>,
 }
 
 impl Run<'_> {
-    /// Makes attempts until the request is over; none if its caller went away.
+    /// Makes attempts until the request has a result; `None` if the caller went away.
     async fn drive(&mut self) -> Option<RequestResult> {
         loop {
             let ended = match self.place().await {
@@ -177,13 +185,14 @@
         tokio::time::sleep(budget.backoff(next, rand::random()).to_duration()).await;
     }
 
+    /// Credits the request to its team's retry budget.
     fn on_request(&self) {
         if let Some(bundle) = self.node.bundle() {
             self.node.with_team_limits(&self.job.team, &bundle, |desk| desk.retries.on_request());
         }
     }
 
-    /// Finds a group, or waits for one.
+    /// Takes a slot at a group, waiting in the queue if there is no free one.
     async fn place(&mut self) -> Result<Box<ServingGroup>, Event> {
         let now = self.node.now();
         if now >= self.lifecycle.deadline() {
@@ -207,6 +216,8 @@
 
     fn ask_for_place(&self, now: Millis, draw: f64) -> Option<Placement> {
         self.with_dispatcher(|desk, view| {
+            // The request must leave the queue early enough for an average answer, but may
+            // always wait for half of the time that it has left.
             let reserve = desk.service_time().0.min(self.lifecycle.deadline().since(now).0 / 2);
             let arrival = Arrival {
                 team: &self.job.team,
@@ -229,7 +240,7 @@
                 Ok(QueueOutcome::Expired) => Err(Event::DeadlinePassed),
                 Err(_) => Err(Event::NotPlaced(ProblemCode::NoGroup)),
             },
-            // Nobody is left to answer: the place in the queue is given up.
+            // The caller is gone: dropping `turn` gives up the place in the queue.
             () = self.tx.closed() => Err(Event::DeadlinePassed),
         }
     }
@@ -241,7 +252,7 @@
         with_dispatcher(self.node, &self.job.model, work)
     }
 
-    /// Makes one attempt at `group`, and gives its place there back.
+    /// Makes one attempt at `group`, and releases its slot there.
     async fn attempt(&mut self, group: Box<ServingGroup>) -> Ended {
         self.guard.set_group(&group.group);
         let talk = match self.begin(group).await {
@@ -263,6 +274,8 @@
         let ended = self.relay(&mut talks, &mut first_token).await;
         self.give_turn_back();
         let is_done = matches!(ended, Ended::By(Event::Done));
+        // Streams that did not complete are cancelled, except a single one that ended before its
+        // first token.
         let is_wanted = is_done || self.lifecycle.tokens() == 0 && talks.len() == 1;
         for talk in &talks {
             if !is_wanted || matches!(ended, Ended::CallerGone) {
@@ -274,7 +287,9 @@
         ended
     }
 
-    /// Connects to the head of a group; what is sent leaves when its answer is listened to.
+    /// Connects to the head of a group. The request is sent when the stream is first polled.
+    ///
+    /// Returns the group if the connection fails or the group's reports have expired.
     async fn begin(&self, group: Box<ServingGroup>) -> Result<Talk, Box<ServingGroup>> {
         let started = self.node.now();
         let Ok(connected) = client::connect(&group.address, CONNECT_TIME).await else {
@@ -282,14 +297,14 @@
         };
         let now = self.node.now();
         if now >= group.valid_until {
-            // The reports that it was chosen by have run out meanwhile.
+            // The reports that the group was chosen by expired during the connect.
             return Err(group);
         }
         let stream = Uuid::new_v4();
         let generate = self.generate_request(&group, stream);
         let req =
             client::request(&group.address, Method::POST, "/engine/generate", Some(&generate));
-        // Whoever listens keeps to the deadline.
+        // `relay` enforces the deadline itself, so this timeout may be a little longer.
         let left = self.lifecycle.deadline().since(now).to_duration() + CONNECT_TIME;
         let opening = Box::pin(connected.send(req, left));
         let silence = self.node.settings.times.upstream_silence.to_duration();
@@ -333,8 +348,9 @@
         }
     }
 
-    /// Hands on what is heard, until the answer's end or its time. While an engine is
-    /// silent another one is asked; whichever speaks first has the answer.
+    /// Forwards tokens to the caller until the answer ends or the deadline passes. While
+    /// the only engine stalls, a second one is asked as well; the first of the two that
+    /// sends the next token or the end keeps the request.
     async fn relay(&mut self, talks: &mut Vec<Talk>, first_token: &mut Option<Millis>) -> Ended {
         loop {
             let left = self.lifecycle.deadline().since(self.node.now());
@@ -379,7 +395,8 @@
                 }
                 Heard::Silence if who == 0 => continue,
                 Heard::Refused => Event::RefusedBeforeStart,
-                // Fewer tokens than it says it had: not the whole answer.
+                // Also a `Done` whose count differs from the tokens received: the answer is
+                // not complete.
                 Heard::Event(_) | Heard::Broken | Heard::Silence => Event::Broken,
             };
             if talks.len() == 1 {
@@ -389,7 +406,8 @@
         }
     }
 
-    /// One of two speaks first: nobody wants the other one any more.
+    /// Keeps the stream `who` of two, which was the first to send something, and cancels the
+    /// other one.
     fn choose(&mut self, talks: &mut Vec<Talk>, who: usize, first_token: &mut Option<Millis>) {
         if talks.len() == 1 {
             return;
@@ -405,13 +423,13 @@
         *first_token = None;
     }
 
-    /// One of two has failed; the other goes on.
+    /// Cancels one of two streams after `event`; the other one goes on.
     fn give_up(&self, talk: &Talk, event: Event) {
         cancel(talk.group.address.clone(), talk.stream);
         self.give_back(&talk.group, &Ended::By(event), None, talk.started);
     }
 
-    /// Looks for another engine beside the one that is silent, or waits for its turn at one.
+    /// Starts a hedge at another engine, or queues for one, while the first one stalls.
     async fn ask_another(&mut self, talks: &mut Vec<Talk>) {
         let now = self.node.now();
         if self.turn.is_some() || !self.lifecycle.may_try_again(now) {
@@ -426,8 +444,9 @@
         }
     }
 
-    /// Asks a second engine, if that is allowed. From then on both are the same attempt:
-    /// only one of them is ever heard.
+    /// Sends the request to a second engine if the rules and the retry budget allow it.
+    /// From then on both streams count as the same attempt, and the tokens of only one of
+    /// them reach the caller.
     async fn begin_beside(&mut self, talks: &mut Vec<Talk>, group: Box<ServingGroup>) {
         let began = match self.begin(group).await {
             Ok(talk) => talk,
@@ -451,7 +470,7 @@
         talks.push(began);
     }
 
-    /// No second engine is wanted any more.
+    /// Leaves the queue for a second engine, and releases a slot that was granted meanwhile.
     fn give_turn_back(&mut self) {
         let Some(mut turn) = self.turn.take() else { return };
         turn.close();
@@ -478,7 +497,8 @@
         }
     }
 
-    /// Tells the caller by what id the answer can be taken up, once for each engine.
+    /// Sends the caller the request id by which the stream can be resumed, once for each
+    /// engine.
     async fn tell_place(&mut self, place: StreamLocation) -> Result<(), ()> {
         if self.placed.replace(place.stream) == Some(place.stream) {
             return Ok(());
@@ -486,7 +506,8 @@
         self.tell(Piece::Placed(place.seal(&self.node.checked.cluster_key))).await
     }
 
-    /// Hands a piece to the caller, who may take only so long to read on.
+    /// Sends a part to the caller. Fails if the caller is gone, or does not read for as long
+    /// as `caller_stall`.
     async fn tell(&self, piece: Piece) -> Result<(), ()> {
         let stall = self.node.settings.times.caller_stall.to_duration();
         match timeout(stall, self.tx.send(piece)).await {
@@ -495,6 +516,7 @@
         }
     }
 
+    /// Counts the result and sends the last part to the caller; `None` if the caller is gone.
     async fn finish(&self, end: Option<RequestResult>) {
         self.charge();
         let counters = &self.node.counters;
@@ -535,6 +557,7 @@
         )
     }
 
+    /// Charges the tokens that were generated to the team's rate limit.
     fn charge(&self) {
         let (now, tokens) = (self.node.now(), f64::from(self.lifecycle.tokens()));
         if let Some(bundle) = self.node.bundle() {
@@ -544,15 +567,16 @@
     }
 }
 
+/// Takes a retry from the team's retry budget; false if it is used up.
 fn may_retry(node: &Node, job: &Job) -> bool {
     let bundle = node.bundle();
     let taken =
         bundle.and_then(|b| node.with_team_limits(&job.team, &b, |desk| desk.retries.take()));
-    // Without teams there is no budget; the number of attempts is still bounded.
+    // Without teams there is no retry budget; the number of attempts is still limited.
     taken.unwrap_or(true)
 }
 
-/// Runs `work` at a model's desk; none without a bundle that has the model.
+/// Runs `work` on a model's dispatcher; `None` without a bundle that has the model.
 pub fn with_dispatcher<R>(
     node: &Node,
     model: &ModelName,
@@ -565,17 +589,17 @@
     Some(node.dispatchers.with_entry(model, ModelDispatcher::default, |desk| work(desk, &view)))
 }
 
-/// Tells an engine that nobody wants a stream any more.
+/// Cancels a stream at its engine, in the background.
 pub fn cancel(address: String, stream: Uuid) {
     tokio::spawn(async move {
         let path = format!("/engine/streams/{stream}");
-        // If this is lost, the engine ends the stream by itself in the end.
+        // If this request is lost, the stream still ends by itself at the engine.
         let _: Result<serde_json::Value, _> =
             client::call::<(), _>(&address, Method::DELETE, &path, None, CONNECT_TIME).await;
     });
 }
 
-/// What is heard next, and who says it: of two, whoever speaks first.
+/// Waits for the next event of any stream; returns the stream's index with it.
 async fn listen(talks: &mut [Talk]) -> (usize, Heard) {
     match talks {
         [first, second] => tokio::select! {
@@ -587,7 +611,8 @@
     }
 }
 
-/// Where it goes, once it is its turn; never if it waits for none.
+/// Waits for a place in the queue to be granted; `None` if it expired. Never resolves if
+/// there is no place.
 async fn its_turn(turn: &mut Option<oneshot::Receiver<QueueOutcome>>) -> Option<Box<ServingGroup>> {
     let Some(turn) = turn else { return std::future::pending().await };
     match turn.await {
--- a/crates/workshold-node/src/callers/headers.rs
+++ b/crates/workshold-node/src/callers/headers.rs
@@ -1,4 +1,4 @@
-//! The headers that callers steer their requests with.
+//! Request headers that callers set, and how they are parsed.
 
 use hyper::HeaderMap;
 use workshold_core::admission::Priority;
@@ -8,40 +8,41 @@
 
 use crate::settings::TimeSettings;
 
-/// The team, where its bundle entry lists no keys.
+/// The team's name. Accepted only for a team whose bundle entry lists no API keys.
 pub const TEAM: &str = "workshold-team";
-/// `high`, `normal` or `low`.
+/// The request's priority: `high`, `normal` or `low`.
 pub const PRIORITY: &str = "workshold-priority";
-/// Milliseconds until the caller has no use for the answer any more.
+/// Milliseconds until the caller stops waiting for the answer.
 pub const DEADLINE: &str = "workshold-deadline-ms";
-/// Names a conversation, so that short prompts of it meet in one cache.
+/// Identifies a conversation. Its prompts that are too short for prefix routing go to the
+/// same group, so that they share a cache.
 pub const SESSION: &str = "workshold-session";
-/// A UUID of version 7 that names a call which must run at most once.
+/// A UUID of version 7 that identifies a request which must run at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// In answers: the id by which the stream is resumed or cancelled.
+/// Response header: the id by which the stream can be resumed or cancelled.
 pub const REQUEST_ID: &str = "workshold-request-id";
 
-/// The longest value of a header of ours, in bytes.
+/// The longest accepted value of these headers, in bytes.
 const MAX_VALUE_LEN: usize = 256;
 
-/// What a caller asked for in headers.
+/// The options that a caller set in request headers.
 #[derive(Debug, Clone)]
 pub struct Wishes {
-    /// The request's priority.
+    /// The request's priority; `Normal` if the caller sets none.
     pub priority: Priority,
-    /// How long the caller waits.
+    /// How long the caller waits; the node's default if the caller sets none.
     pub patience: Millis,
-    /// The conversation.
+    /// The id of the conversation.
     pub session: Option<String>,
-    /// The idempotency key.
+    /// The idempotency key; not validated yet.
     pub idempotency_key: Option<String>,
 }
 
-/// Reads a header of ours; none if it is not there.
+/// Returns the value of a header as text; `None` if the request does not have it.
 ///
 /// # Errors
 ///
-/// A problem for a value that is no text, or too long.
+/// A problem for a value that is not text or is longer than 256 bytes.
 pub fn value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let text = value.to_str().map_err(|_| bad(name, "it is not text"))?;
@@ -52,11 +53,11 @@
 }
 
 impl Wishes {
-    /// Reads all of them.
+    /// Parses the headers of a request.
     ///
     /// # Errors
     ///
-    /// A problem that names the header and what is wrong with it.
+    /// A problem that names the invalid header and says what is wrong with it.
     pub fn read(headers: &HeaderMap, times: &TimeSettings) -> Result<Self, Problem> {
         let priority = match value(headers, PRIORITY)? {
             None => Priority::Normal,
--- a/crates/workshold-node/src/callers/info.rs
+++ b/crates/workshold-node/src/callers/info.rs
@@ -1,4 +1,4 @@
-//! What callers can ask about the system itself.
+//! Endpoints that tell callers about the deployment: health, entry nodes and models.
 
 use hyper::Response;
 use hyper::StatusCode;
@@ -40,7 +40,7 @@
     serving: bool,
 }
 
-/// Whether this node serves callers.
+/// `GET /health`: 200 if this node serves callers, otherwise 503 with the reason.
 pub fn health(node: &Node) -> Response<Body> {
     match node.readiness() {
         Ok(()) => body::json(StatusCode::OK, &Health { ready: true, why_not: None }),
@@ -51,11 +51,12 @@
     }
 }
 
-/// Which addresses to use, for how long, and how often each.
+/// `GET /v1/entries`: the addresses of entry nodes with their weights, and how long the
+/// caller may use the list.
 ///
 /// # Errors
 ///
-/// [`ProblemCode::NotReady`] if this node knows of none.
+/// [`ProblemCode::NotReady`] if this node knows no entry node that serves.
 pub fn entries(node: &Node) -> Result<Response<Body>, Problem> {
     let entries = node.entries();
     if entries.is_empty() {
@@ -66,13 +67,14 @@
     Ok(body::json(StatusCode::OK, &entries))
 }
 
+/// `Retry-After` while this node knows no entry node or no bundle.
 const NO_ENTRY_RETRY: Millis = Millis(1_000);
 
-/// Which models there are, and whether a group serves each.
+/// `GET /v1/models`: the models of the bundle in force, and whether a group serves each.
 ///
 /// # Errors
 ///
-/// [`ProblemCode::NotReady`] without a bundle.
+/// [`ProblemCode::NotReady`] if no bundle is in force here.
 pub fn models(node: &Node) -> Result<Response<Body>, Problem> {
     let bundle = node.bundle().ok_or_else(|| {
         Problem::not_run(ProblemCode::NotReady, "no bundle is in force here")
--- a/crates/workshold-node/src/callers/problems.rs
+++ b/crates/workshold-node/src/callers/problems.rs
@@ -1,4 +1,4 @@
-//! Problems as responses.
+//! Converts problems and stored responses to HTTP responses.
 
 use hyper::Response;
 use hyper::StatusCode;
@@ -11,7 +11,8 @@
 use workshold_protocol::problem::Problem;
 use workshold_protocol::problem::retry_after_secs;
 
-/// The response that tells a caller of a problem.
+/// Converts a problem to an `application/problem+json` response, with a `Retry-After`
+/// header if the problem has a time for it.
 pub fn response(problem: &Problem) -> Response<Body> {
     let text = serde_json::to_vec(problem).expect("a problem is text");
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -22,7 +23,7 @@
     res
 }
 
-/// An answer that was kept, as a response.
+/// Converts a stored response to an HTTP response. A status that is not valid becomes 502.
 pub fn stored_response(answer: &StoredResponse) -> Response<Body> {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     body::with_content_type(status, &answer.content_type, answer.body.clone())
--- a/crates/workshold-node/src/callers/resume.rs
+++ b/crates/workshold-node/src/callers/resume.rs
@@ -1,4 +1,4 @@
-//! Taking up a stream at another node or connection, and cancelling one.
+//! Resumes a stream on another connection or at another node, and cancels streams.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,14 +32,16 @@
 use crate::requests::InFlight;
 use crate::requests::StreamLocation;
 
+/// Timeout for connecting to the stream's instance.
 const CONNECT_TIME: Duration = Duration::from_millis(500);
 
-/// Streams on from the token that the caller names as `?from=`.
+/// `GET /v1/requests/{id}?from={token}`: continues the stream `id` at the token with that
+/// index, by default 0.
 ///
 /// # Errors
 ///
-/// [`ProblemCode::NotFound`] for an id that is not this team's, and
-/// [`ProblemCode::ResumeLost`] if the engine does not have the stream any more.
+/// [`ProblemCode::NotFound`] for an id that is not this team's, and [`ProblemCode::ResumeLost`] if the
+/// instance is gone, cannot be reached or does not have the stream any more.
 pub async fn resume(
     node: &Arc<Node>,
     req: &Request<Incoming>,
@@ -67,6 +69,7 @@
     Ok(res)
 }
 
+/// Parts of an answer that are buffered for a caller who reads slowly.
 const PIECES_WAITING: usize = 64;
 
 fn response(
@@ -87,7 +90,7 @@
     res
 }
 
-/// Hands on what the engine still generates; whole, or with a problem at its end.
+/// Forwards the remaining tokens to the caller. The last part is either `Done` or a problem.
 async fn relay(
     node: Arc<Node>,
     place: StreamLocation,
@@ -103,7 +106,8 @@
         since: node.now(),
     });
     let stall = node.settings.times.caller_stall.to_duration();
-    // Nobody else can go on with it: it has as much time as any request.
+    // No other engine can continue this stream, so a stall does not end it; it may take
+    // as long as the longest request.
     let until = Instant::now() + node.settings.times.max_deadline.to_duration();
     let mut next = from;
     loop {
@@ -132,7 +136,8 @@
     }
 }
 
-/// Cancels a stream for good.
+/// `DELETE /v1/requests/{id}`: cancels a stream at its engine; it cannot be resumed
+/// afterwards.
 ///
 /// # Errors
 ///
@@ -149,7 +154,8 @@
     Ok(body::json(StatusCode::ACCEPTED, &"the stream is being cancelled"))
 }
 
-/// An id of another team is not told apart from one that is none.
+/// Decodes a request id. An id of another team gets the same error as an invalid one, so
+/// that the error does not reveal which streams exist.
 fn find(node: &Node, req: &Request<Incoming>, id: &str) -> Result<StreamLocation, Problem> {
     let bundle =
         node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
@@ -167,6 +173,7 @@
     value.map_or(Ok(0), |text| text.parse().map_err(bad))
 }
 
+/// The address of the stream's instance; `None` if the platform does not list it any more.
 fn address(node: &Node, place: &StreamLocation) -> Option<String> {
     node.list.read().find(&place.instance).map(|listed| listed.address.clone())
 }
--- a/crates/workshold-node/src/callers/services.rs
+++ b/crates/workshold-node/src/callers/services.rs
@@ -1,4 +1,5 @@
-//! Plain services beside the models, reached under their own paths.
+//! Proxies requests to plain services: HTTP back ends beside the models, each with a
+//! path prefix of its own.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -50,7 +51,7 @@
 use crate::node::Node;
 use crate::requests::InFlight;
 
-/// What this node knows of a service's instances.
+/// Load balancing over the instances of one service, as seen by this node.
 #[derive(Debug)]
 pub struct ServiceBalancer {
     in_flight: BTreeMap<InstanceId, u32>,
@@ -64,7 +65,8 @@
 }
 
 impl ServiceBalancer {
-    /// The instance with the least under way here, near ones first.
+    /// Chooses an instance and counts the request there: instances that are not ejected
+    /// first, then those in this data centre, then those with the fewest requests from this node.
     fn choose<'a>(
         &mut self,
         listed: &[&'a ListedInstance],
@@ -97,6 +99,7 @@
     service: ServiceName,
     team: TeamName,
     method: Method,
+    /// Path and query.
     target: String,
     headers: HeaderMap,
     body: Bytes,
@@ -104,8 +107,10 @@
     deadline: Millis,
 }
 
+/// Timeout for connecting to an instance.
 const CONNECT_TIME: Duration = Duration::from_millis(500);
-/// Headers that concern one connection, or that steer this node.
+/// Request headers that are not forwarded: they apply to one connection only, are set anew
+/// for the upstream, or hold the caller's credentials for this node.
 const KEPT_HERE: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -118,11 +123,11 @@
     "authorization",
 ];
 
-/// Serves one call of a plain service.
+/// Serves one request to a plain service.
 ///
 /// # Errors
 ///
-/// The final answer if it was not run.
+/// The problem to answer with if the request was refused before the first attempt.
 pub async fn handle(node: &Arc<Node>, req: Request<Incoming>) -> Result<Response<Body>, Problem> {
     check_ready(node)?;
     let bundle =
@@ -169,6 +174,7 @@
     }
 }
 
+/// Finds the service whose path is a prefix of `path`, by whole segments.
 fn find<'a>(bundle: &'a Bundle, path: &str) -> Option<(&'a ServiceName, &'a Service)> {
     bundle.services.iter().find(|(_, service)| {
         let rest = path.strip_prefix(service.path.as_str());
@@ -191,6 +197,7 @@
     }
 }
 
+/// Runs a request with an idempotency key at most once.
 async fn once(node: &Arc<Node>, call: Call, key: String) -> Response<Body> {
     let method = call.method.as_str().as_bytes();
     let keyed = at_most_once::Call {
@@ -209,7 +216,7 @@
     .await
 }
 
-/// Makes attempts until the call is over.
+/// Makes attempts, each at another instance, until the request has a result.
 async fn serve(node: &Arc<Node>, call: Call) -> Result<StoredResponse, Problem> {
     let _guard = node.in_flight.track(InFlight {
         team: call.team.clone(),
@@ -248,12 +255,14 @@
     }
 }
 
+/// `Retry-After` for a request that was not run.
 const RETRY_AFTER: Millis = Millis(2_000);
 
 fn detail(lifecycle: &RequestLifecycle) -> String {
     format!("after {} attempt(s)", lifecycle.attempt())
 }
 
+/// Takes a retry from the team's retry budget; false if it is used up.
 fn may_retry(node: &Node, call: &Call) -> bool {
     let bundle = node.bundle();
     let taken =
@@ -261,6 +270,7 @@
     taken.unwrap_or(true)
 }
 
+/// Makes one attempt at an instance that was not tried yet, and records its outcome.
 async fn attempt_one(
     node: &Arc<Node>,
     call: &Call,
@@ -282,6 +292,7 @@
     (event, answer)
 }
 
+/// Chooses an instance of the service that is neither in `tried` nor leaving.
 fn choose(
     node: &Node,
     service: &ServiceName,
@@ -303,6 +314,7 @@
     })
 }
 
+/// Sends the request to the instance at `address` and reads the whole response.
 async fn talk(
     node: &Node,
     call: &Call,
--- a/crates/workshold-node/src/callers/sse.rs
+++ b/crates/workshold-node/src/callers/sse.rs
@@ -1,4 +1,5 @@
-//! Answers in the shape that OpenAI-style clients read.
+//! Encodes completions in the format of OpenAI-style clients: server-sent events for
+//! streams, one JSON document for whole answers.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -6,7 +7,7 @@
 
 use crate::callers::completions::CompletionFormat;
 
-/// The media type of a stream of events.
+/// The media type of server-sent events.
 pub const EVENT_STREAM: &str = "text/event-stream";
 
 #[derive(Debug, Serialize)]
@@ -54,7 +55,8 @@
 
 const ASSISTANT: &str = "assistant";
 
-/// The event of one token; its id is the token's place, to resume after.
+/// Encodes the event of one token. The event's id is the token's index, for clients that
+/// resume the stream.
 pub fn token(style: CompletionFormat, model: &str, index: u32, text: &str) -> Bytes {
     let content = match style {
         CompletionFormat::Text => Content::Text(text),
@@ -63,7 +65,8 @@
     event(index, style, model, content, None)
 }
 
-/// The events at the end of a whole answer of `tokens` tokens.
+/// Encodes the two events that end a complete answer of `tokens` tokens: a chunk with a
+/// finish reason, and `[DONE]`.
 pub fn done(style: CompletionFormat, model: &str, tokens: u32) -> Bytes {
     let content = match style {
         CompletionFormat::Text => Content::Text(""),
@@ -89,18 +92,19 @@
     bytes.into()
 }
 
-/// A comment with the id by which the stream can be resumed from now on.
+/// Encodes a comment line with the id by which the stream can be resumed from now on.
+/// Clients that do not know it ignore it.
 pub fn request_id(id: &str) -> Bytes {
     format!(": request-id {id}\n\n").into()
 }
 
-/// The event that ends a stream which cannot be completed.
+/// Encodes the event that ends a stream which cannot be completed.
 pub fn problem(problem: &Problem) -> Bytes {
     let text = serde_json::to_string(problem).expect("a problem is text");
     format!("event: error\ndata: {text}\n\n").into()
 }
 
-/// A whole answer in one piece.
+/// Encodes a complete answer for a request that is not streamed.
 pub fn whole(style: CompletionFormat, model: &str, id: &str, text: &str, tokens: u32) -> Vec<u8> {
     let content = match style {
         CompletionFormat::Text => Content::Text(text),
