--- a/crates/workshold-node/tests/catalogues.rs
+++ b/crates/workshold-node/tests/catalogues.rs
@@ -1,4 +1,4 @@
-//! The pages and the code say the same.
+//! The reference pages of events and metrics match the code.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
--- a/crates/workshold-node/tests/concurrency.rs
+++ b/crates/workshold-node/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! Reading a node's state while it changes never locks it up.
+//! Reading a node's state while other threads change it does not deadlock.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -15,6 +15,7 @@
 use workshold_standins::Layout;
 use workshold_standins::commands::prepare;
 
+/// How often the state is read while the writers run.
 const ROUNDS: u32 = 3_000;
 
 fn node() -> (Arc<Node>, PathBuf) {
--- a/crates/workshold-node/tests/failures.rs
+++ b/crates/workshold-node/tests/failures.rs
@@ -1,4 +1,4 @@
-//! The promises under failure, over real processes.
+//! What the deployment guarantees under failures, with entry nodes as processes.
 
 mod support;
 
@@ -18,14 +18,15 @@
 use crate::support::in_force;
 use crate::support::serving;
 
-/// Every request had one end: its own whole answer, or the word what became of it.
+/// Checks that each request had exactly one result: its own complete answer, or an error
+/// that says whether it may have run.
 fn assert_all_accounted_for(report: &Report) {
     eprintln!("{}", report.to_json());
     assert_eq!((report.wrong, report.lost), (0, 0), "{}", report.to_json());
     assert!(report.answered > 0);
 }
 
-/// What the engines saw, for the figures in docs/PROOFS.md.
+/// Prints what the engines observed, for the figures in docs/PROOFS.md.
 fn print_observed(platform: &Platform) {
     let observed = platform.observed();
     eprintln!(
@@ -41,7 +42,7 @@
 async fn a_steward_that_wakes_from_a_long_pause_breaks_nothing() {
     let layout = Layout { entries: 3, unfenced_every: 2, ..Layout::default() };
     let deployment = Deployment::serving(layout).await;
-    // Whoever is steward: each node in turn sleeps through the loss of a member.
+    // Any of the nodes may be the steward, so each in turn is paused while a member is lost.
     for (i, lost) in [(0, 0), (1, 5), (2, 1)] {
         let lost = deployment.layout.engine_id(lost);
         deployment.signal(i, "-STOP");
@@ -65,7 +66,7 @@
         .await;
 }
 
-/// Waits until the nodes named say that so many groups serve.
+/// Waits until each of `nodes` reports that `groups` groups serve.
 async fn wait_at(deployment: &Deployment, nodes: &[u16], what: &str, groups: usize) {
     let deadline = tokio::time::Instant::now() + support::PATIENCE;
     loop {
@@ -190,7 +191,7 @@
     let layout = Layout { engines: 15, entries: 6, data_centres: 3, ..Layout::default() };
     let deployment = Deployment::serving(layout).await;
     let running = start_load(load(&deployment, 6));
-    // All instances of the first data centre are lost; its nodes send elsewhere.
+    // All instances of the first data centre fail; its nodes send requests to the others.
     let domain = deployment.layout.engine_domain(0);
     deployment.platform.inject(Fault::Dark(domain)).await;
     deployment.wait("two groups are left", |all| all.iter().all(|s| serving(s) == 2)).await;
@@ -296,7 +297,7 @@
 async fn a_node_cut_off_from_log_and_peers_steps_out_and_returns() {
     let layout = Layout { engines: 5, entries: 2, ..Layout::default() };
     let cuttable = std::sync::Mutex::new(None);
-    // The first node reaches the log through a connection that can be cut.
+    // The first node reaches the log through a proxy that the test can cut.
     let port = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let via = port.to_string();
     let through = |i: u16, text: String| {
@@ -314,7 +315,7 @@
 
     link.cut(true);
     deployment.wait("it notices", |all| !all[0].log_answers).await;
-    // From its peer it still learns what is signed off meanwhile.
+    // It still learns from its peer which bundle is signed off meanwhile.
     let first = deployment.bundle("first", "v1").hash();
     let second = deployment.publish(&deployment.bundle("second", "v1")).await;
     deployment.sign_off("alice", second, Some(first)).await;
--- a/crates/workshold-node/tests/peers.rs
+++ b/crates/workshold-node/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Other nodes that die at any moment do not take this one with them.
+//! A node keeps running when other nodes disconnect at any point of a request to it.
 
 mod support;
 
@@ -18,10 +18,12 @@
 
 use crate::support::Deployment;
 
+/// Rounds of connections; each connection is closed after another time of up to 700 µs.
 const ROUNDS: usize = 12;
+/// Connections of one round, which run at the same time.
 const AT_ONCE: usize = 20;
 
-/// Asks, and is gone before the answer.
+/// Sends a message and closes the connection, after `wait`, without reading the answer.
 async fn ask_and_die(address: String, wait: Duration) {
     let ask = async {
         let mut socket = ReqSocket::new();
@@ -30,11 +32,11 @@
             tokio::time::sleep(wait).await;
         }
     };
-    // The asker's own side may wait for good for a connection that broke.
+    // The client socket may wait forever on a connection that broke.
     let _ = tokio::time::timeout(Duration::from_secs(1), ask).await;
 }
 
-/// Whether a node that shares the key is answered.
+/// Whether the node answers a peer that has the cluster key.
 async fn is_answered(deployment: &Deployment) -> bool {
     let text = std::fs::read_to_string(deployment.folder.join("cluster.key")).unwrap();
     let key = ClusterKey::from_text(&text).unwrap();
--- a/crates/workshold-node/tests/requests.rs
+++ b/crates/workshold-node/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests over real processes: whole answers, at most one run, clear refusals.
+//! Requests to entry nodes that run as processes: answers are complete, idempotent requests
+//! run at most once, and invalid requests get a clear error.
 
 mod support;
 
@@ -48,8 +49,8 @@
     }
 }
 
-/// The stop waits for the stream, which goes on for longer than answers that are whole
-/// need to leave the machine.
+/// A planned stop waits for a resumed stream. The stream is long enough to outlast the time
+/// in which complete answers leave the machine.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_of_a_node_cuts_no_stream_that_it_has_taken_up() {
     const TOKENS: u32 = 1_000;
@@ -67,7 +68,7 @@
     assert_eq!(deployment.wait_exit(1).await, Some(0), "nothing was cut");
 }
 
-/// Connections on which nothing is asked are no answers.
+/// A planned stop does not wait for connections without a request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_of_a_node_waits_for_no_idle_connection() {
     let mut deployment = Deployment::serving(small()).await;
@@ -103,7 +104,7 @@
     }
 }
 
-/// The other group has room for all of them, or for none at first.
+/// The group that takes over has free slots for all streams, or for none at first.
 #[rstest]
 #[case::room(16)]
 #[case::full(4)]
@@ -127,7 +128,8 @@
     }
 }
 
-/// Where `upstream_silence` is shorter than the pause that follows.
+/// Starts a deployment whose `upstream_silence` is shorter than the stall of
+/// [`pause_all`].
 async fn with_little_patience(layout: Layout) -> Deployment {
     let times = TIMES.replace("upstream_silence = 3000", "upstream_silence = 800");
     let deployment = Deployment::start_with(layout, &times, |_, settings| settings).await;
@@ -135,7 +137,8 @@
     deployment
 }
 
-/// One step of all engines takes longer than three attempts that are each given up.
+/// Slows all engines so far that one step takes longer than three attempts which each end
+/// by the stall timeout.
 async fn pause_all(deployment: &Deployment) {
     let engines = || (0..deployment.layout.engines).map(|i| deployment.layout.engine_id(i));
     for engine in engines() {
@@ -147,7 +150,8 @@
     }
 }
 
-/// Nobody else can take it, or nobody who could is any faster.
+/// Guards against cutting a stream that only stalls: no other group can take it over, or
+/// the one that could stalls as well.
 #[rstest]
 #[case::one_group(small())]
 #[case::two_groups(Layout::default())]
--- a/crates/workshold-node/tests/settings.rs
+++ b/crates/workshold-node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are read whole, and every fault is named at once.
+//! Loading settings: the examples are valid, and all faults are reported at once.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../config")
 }
 
-/// A folder with a cluster key and the settings `text`.
+/// Writes a cluster key and the settings `text` to a folder; returns the settings' path.
 fn written(name: &str, text: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("workshold-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
--- a/crates/workshold-node/tests/slow_callers.rs
+++ b/crates/workshold-node/tests/slow_callers.rs
@@ -1,4 +1,4 @@
-//! A caller who stops reading, or goes away, frees its place upstream.
+//! A caller who stops reading or disconnects is cancelled upstream, so that the slot is freed.
 
 mod support;
 
@@ -10,9 +10,11 @@
 use crate::support::Deployment;
 use crate::support::TIMES;
 
+/// Enough that the stream is still running when the caller stops reading or disconnects.
 const TOKENS: u32 = 16_000;
 
-/// Asks for a long stream over a bare connection.
+/// Requests a long stream over a TCP connection that the test reads itself, and reads the
+/// first bytes of the response.
 async fn ask(deployment: &Deployment) -> TcpStream {
     let address = deployment.layout.callers(0);
     let mut stream = TcpStream::connect(&address).await.unwrap();
@@ -57,7 +59,7 @@
     let deployment = Deployment::start_with(layout, &times, |_, text| text).await;
     deployment.roll_out_first().await;
     let stream = ask(&deployment).await;
-    // The buffers on the way fill up, then the node waits for half a second.
+    // Once the buffers on the way are full, the node waits for `caller_stall`, half a second.
     wait_until_nothing_is_in_flight(&deployment).await;
     let counts = &deployment.dump(0).await["counts"];
     assert_eq!((counts["cancelled"].as_u64(), counts["answered"].as_u64()), (Some(1), Some(0)));
--- a/crates/workshold-node/tests/support/caller.rs
+++ b/crates/workshold-node/tests/support/caller.rs
@@ -20,9 +20,10 @@
 
 use super::Deployment;
 
+/// How long a caller waits for a connection, a response or the next bytes of a stream.
 const WITHIN: Duration = Duration::from_secs(30);
 
-/// An answer as a caller reads it.
+/// A response as a caller reads it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -30,7 +31,7 @@
     pub body: Value,
 }
 
-/// Makes a request of `team`; none if no answer came.
+/// Sends a request of the team `travel`; `None` if there is no complete response.
 pub async fn ask(
     address: &str,
     method: Method,
@@ -53,13 +54,13 @@
     Some(Answer { status, retry_after, body })
 }
 
-/// A booking that must run at most once.
+/// Sends a booking under the idempotency key `key`, so that it runs at most once.
 pub async fn book(address: &str, key: &str, booking: &str) -> Option<Answer> {
     let headers = [("idempotency-key", key)];
     ask(address, Method::POST, "/gate/rebook", &headers, booking.to_owned()).await
 }
 
-/// A fresh idempotency key.
+/// Makes a new idempotency key.
 pub fn key() -> String {
     Uuid::now_v7().to_string()
 }
@@ -76,7 +77,7 @@
 }
 
 impl Stream {
-    /// Asks for a completion.
+    /// Requests a streamed completion of `tokens` tokens.
     pub async fn open(address: &str, prompt: &str, tokens: u32) -> Self {
         let value = serde_json::json!({
             "model": "assistant", "prompt": prompt, "max_tokens": tokens, "stream": true,
@@ -85,7 +86,8 @@
         Self::send(address, req).await.unwrap()
     }
 
-    /// Takes a stream up again where another one of it ended.
+    /// Resumes a stream after the last token that `former` has read. The error is the problem in
+    /// the response.
     pub async fn resume(address: &str, former: &Self) -> Result<Self, Value> {
         let path = format!("/v1/requests/{}?from={}", former.id, former.tokens);
         let req = client::request::<()>(address, Method::GET, &path, None);
@@ -111,7 +113,8 @@
         Ok(Self { body, _driver: driver, buf: Vec::new(), id, text, tokens, is_whole: false })
     }
 
-    /// Reads until it has `tokens` tokens, or the stream ends or breaks.
+    /// Reads until the stream has `tokens` tokens in all, ends, breaks, or sends nothing for
+    /// 30 seconds.
     pub async fn read(&mut self, tokens: u32) {
         while self.tokens < tokens && !self.is_whole {
             match tokio::time::timeout(WITHIN, self.body.frame()).await {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Reads to the end.
+    /// Reads until the stream ends or breaks.
     pub async fn finish(&mut self) {
         self.read(u32::MAX).await;
     }
@@ -151,7 +154,7 @@
     }
 }
 
-/// A load over all nodes of a deployment.
+/// A load of `secs` seconds over all entry nodes of a deployment.
 pub fn load(deployment: &Deployment, secs: u64) -> Load {
     let layout = &deployment.layout;
     Load {
@@ -167,7 +170,7 @@
     }
 }
 
-/// Starts a load beside the test.
+/// Runs a load in the background.
 pub fn start_load(load: Load) -> tokio::task::JoinHandle<Report> {
     tokio::spawn(workshold_standins::load::run(load))
 }
--- a/crates/workshold-node/tests/support/cuttable.rs
+++ b/crates/workshold-node/tests/support/cuttable.rs
@@ -1,4 +1,4 @@
-//! A connection that a test can cut: forwards one port to another until told not to.
+//! A TCP proxy that a test can cut, to simulate a network partition.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -9,13 +9,13 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// A forwarded port.
+/// Forwards connections from one address to another, unless it is cut.
 pub struct Cuttable {
     is_cut: Arc<AtomicBool>,
 }
 
 impl Cuttable {
-    /// Forwards `address` to `target`.
+    /// Starts to forward connections to `address` to `target`.
     pub async fn at(address: &str, target: String) -> Self {
         let listener = TcpListener::bind(address).await.unwrap();
         let is_cut = Arc::new(AtomicBool::new(false));
@@ -23,7 +23,7 @@
         Self { is_cut }
     }
 
-    /// Cuts it, also what is under way, or mends it.
+    /// Cuts the proxy, which also breaks open connections, or restores it.
     pub fn cut(&self, is_cut: bool) {
         self.is_cut.store(is_cut, Ordering::SeqCst);
     }
--- a/crates/workshold-node/tests/support/mod.rs
+++ b/crates/workshold-node/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A whole deployment for a test: stand-ins in this process, entry nodes as
-//! processes of their own.
+//! A deployment for a test: the platform and engines are stand-ins in this process, the
+//! entry nodes are processes of their own.
 
 #![allow(dead_code, reason = "each test file uses its part of this")]
 
@@ -37,22 +37,25 @@
 use workshold_standins::commands::prepare;
 use workshold_standins::layout::PORTS;
 
-/// Times short enough for tests, long enough for a busy machine.
+/// Settings of times, in milliseconds: short enough for tests, long enough for a busy machine.
 pub const TIMES: &str = "probe_every = 150\nreport_ttl = 1500\nclock_error = 100\n\
     member_grace = 600\npeer_ttl = 1500\nisolation_after = 2500\nplan_every = 100\n\
     entries_ttl = 500\nupstream_silence = 3000\n";
 
-/// How long anything may take before a test gives up on it.
+/// How long a test waits for a condition before it fails.
 pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Pause between two checks of a condition.
 const POLL: Duration = Duration::from_millis(50);
 
-/// Blocks of ports that tests of this machine take in turn.
+/// Tests on this machine take one of these blocks of ports each.
 const FIRST_PORT: u16 = 10_000;
+/// The number of blocks; each has `PORTS` ports.
 const PORT_BLOCKS: u16 = 70;
 
 static TAKEN: Mutex<Vec<u16>> = Mutex::new(Vec::new());
 
-/// A block of ports that nobody uses.
+/// Finds a block of free ports. Starts at a block that depends on the process id, so that
+/// test processes that run at once rarely try the same one.
 fn free_ports() -> u16 {
     let mut taken = TAKEN.lock().unwrap_or_else(PoisonError::into_inner);
     let start = (std::process::id() % u32::from(PORT_BLOCKS)) as u16;
@@ -67,7 +70,7 @@
     panic!("no block of ports is free");
 }
 
-/// One running deployment. Its processes end with it.
+/// A running deployment. Its processes are killed when it is dropped.
 pub struct Deployment {
     pub layout: Layout,
     pub platform: Arc<Platform>,
@@ -76,12 +79,13 @@
 }
 
 impl Deployment {
-    /// Stand-ins and entry nodes; no bundle yet.
+    /// Starts the stand-ins and the entry nodes, without a bundle.
     pub async fn start(layout: Layout) -> Self {
         Self::start_with(layout, TIMES, |_, settings| settings).await
     }
 
-    /// The same, with settings changed for each node.
+    /// Like `start`, with other times, and with the settings of each node passed through
+    /// `change`.
     pub async fn start_with(
         layout: Layout,
         times: &str,
@@ -106,14 +110,14 @@
         deployment
     }
 
-    /// The same, with the first bundle in force and all its groups serving.
+    /// Like `start`, with the first bundle in force and all its groups serving.
     pub async fn serving(layout: Layout) -> Self {
         let deployment = Self::start(layout).await;
         deployment.roll_out_first().await;
         deployment
     }
 
-    /// Publishes and signs off the first bundle, and waits until it all serves.
+    /// Publishes and signs off the first bundle, and waits until all its groups serve.
     pub async fn roll_out_first(&self) {
         let hash = self.publish(&self.bundle("first", "v1")).await;
         self.sign_off("alice", hash, None).await;
@@ -143,21 +147,22 @@
         self.entries[usize::from(i)] = Some(child);
     }
 
-    /// Sends a signal to an entry node, by its process id.
+    /// Sends a signal such as `-TERM` to an entry node's process.
     pub fn signal(&self, i: u16, signal: &str) {
         let child = self.entries[usize::from(i)].as_ref().unwrap();
         let status = Command::new("kill").arg(signal).arg(child.id().to_string()).status();
         assert!(status.unwrap().success());
     }
 
-    /// Kills an entry node at once.
+    /// Kills an entry node's process and waits for it.
     pub fn kill(&mut self, i: u16) {
         let mut child = self.entries[usize::from(i)].take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
-    /// Waits until an entry node has ended by itself; gives its exit code.
+    /// Waits until an entry node's process has exited; returns its exit code, `None` if a
+    /// signal ended it.
     pub async fn wait_exit(&mut self, i: u16) -> Option<i32> {
         let mut child = self.entries[usize::from(i)].take().unwrap();
         let exit = tokio::task::spawn_blocking(move || child.wait()).await.unwrap().unwrap();
@@ -172,7 +177,7 @@
         Bundle::from_toml(&prepare::bundle(&self.layout, name, version)).unwrap()
     }
 
-    /// Publishes a bundle, and waits until every running node knows it.
+    /// Publishes a bundle; returns its hash. Does not wait until the nodes have read it.
     pub async fn publish(&self, bundle: &Bundle) -> BundleHash {
         let key = self.operator("alice");
         let signed = SignedBundle::sign(bundle.clone(), &key);
@@ -195,12 +200,12 @@
         reply.offset
     }
 
-    /// What a node says of the system; none if it does not answer.
+    /// A node's view of the deployment; `None` if the node does not answer.
     pub async fn status(&self, i: u16) -> Option<Status> {
         client::get(&self.layout.operators(i), "/status", Duration::from_secs(2)).await.ok()
     }
 
-    /// All of a node's state.
+    /// A node's whole state, as the debug endpoint returns it.
     pub async fn dump(&self, i: u16) -> serde_json::Value {
         client::get(&self.layout.operators(i), "/debug/state", PATIENCE).await.unwrap()
     }
@@ -210,7 +215,7 @@
         running.collect()
     }
 
-    /// Waits until what all running nodes say is as `is_so` wants it.
+    /// Waits until all running nodes answer and `is_so` holds for their statuses.
     pub async fn wait(&self, what: &str, is_so: impl Fn(&[Status]) -> bool) {
         let deadline = tokio::time::Instant::now() + PATIENCE;
         loop {
@@ -236,7 +241,7 @@
         panic!("not within {PATIENCE:?}: {what}\n{statuses:#?}");
     }
 
-    /// Waits until the stand-ins are as `is_so` wants them.
+    /// Waits until `is_so` holds for the stand-ins.
     pub async fn wait_platform(&self, what: &str, is_so: impl Fn(&Platform) -> bool) {
         let deadline = tokio::time::Instant::now() + PATIENCE;
         while !is_so(&self.platform) {
@@ -264,12 +269,12 @@
     OperatorKey::from_text(&std::fs::read_to_string(path).unwrap()).unwrap()
 }
 
-/// Groups that serve, as a node says.
+/// The number of groups that serve, as a node reports it.
 pub fn serving(status: &Status) -> usize {
     status.groups.iter().filter(|group| group.serving).count()
 }
 
-/// The hash of the bundle that a node runs.
+/// The hash of the bundle that is in force at a node.
 pub fn in_force(status: &Status) -> Option<&str> {
     status.bundle.as_ref().map(|bundle| bundle.hash.as_str())
 }
