--- a/crates/workshold-node/src/callers/completions.rs
+++ b/crates/workshold-node/src/callers/completions.rs
@@ -29,10 +29,10 @@
 use crate::callers::authentication;
 use crate::callers::check_ready;
 use crate::callers::generation;
-use crate::callers::generation::Job;
-use crate::callers::generation::Piece;
+use crate::callers::generation::GenerationJob;
+use crate::callers::generation::ResponsePart;
 use crate::callers::headers::REQUEST_ID;
-use crate::callers::headers::Wishes;
+use crate::callers::headers::RequestOptions;
 use crate::callers::problems;
 use crate::callers::read_body;
 use crate::callers::sse;
@@ -86,9 +86,9 @@
 /// The limit on generated tokens if the request has no `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 /// Parts of an answer that are buffered for a caller who reads slowly.
-const PIECES_WAITING: usize = 64;
+const PART_BUFFER_LEN: usize = 64;
 
-/// Serves one completion request in the format `style`.
+/// Serves one completion request in the given format.
 ///
 /// # Errors
 ///
@@ -96,22 +96,22 @@
 pub async fn handle(
     node: &Arc<Node>,
     req: Request<Incoming>,
-    style: CompletionFormat,
+    format: CompletionFormat,
 ) -> Result<Response<Body>, Problem> {
     check_ready(node)?;
     let bundle =
         node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
-    let team = authentication::team(req.headers(), &bundle)?;
-    let wishes = Wishes::read(req.headers(), &node.settings.times)?;
+    let team = authentication::find_team(req.headers(), &bundle)?;
+    let options = RequestOptions::read(req.headers(), &node.settings.times)?;
     let bytes = read_body(node, req.into_body()).await?;
-    let parsed = parse(&bytes)?;
-    let is_stream = parsed.stream;
-    let job = make_job(node, &bundle, team, &wishes, parsed, style)?;
-    if let Some(key) = wishes.idempotency_key {
-        return once(node, job, &key, &bytes, is_stream).await;
+    let completion = parse(&bytes)?;
+    let is_stream = completion.stream;
+    let job = make_job(node, &bundle, team, &options, completion, format)?;
+    if let Some(key) = options.idempotency_key {
+        return run_at_most_once(node, job, &key, &bytes, is_stream).await;
     }
     check_limits(node, &bundle, &job)?;
-    if is_stream { streamed(node, job).await } else { Ok(whole(node, job).await) }
+    if is_stream { respond_streamed(node, job).await } else { Ok(respond_whole(node, job).await) }
 }
 
 fn parse(bytes: &[u8]) -> Result<CompletionBody, Problem> {
@@ -123,24 +123,24 @@
     node: &Node,
     bundle: &Bundle,
     team: TeamName,
-    wishes: &Wishes,
-    parsed: CompletionBody,
-    style: CompletionFormat,
-) -> Result<Job, Problem> {
-    let (model, adapter) = find_model(bundle, &parsed.model)?;
-    let prompt = prompt(style, parsed.prompt, parsed.messages)?;
-    let max_tokens = parsed.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+    options: &RequestOptions,
+    completion: CompletionBody,
+    format: CompletionFormat,
+) -> Result<GenerationJob, Problem> {
+    let (model, adapter) = find_model(bundle, &completion.model)?;
+    let prompt = build_prompt(format, completion.prompt, completion.messages)?;
+    let max_tokens = completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     let limit = node.settings.bounds.max_tokens;
     if max_tokens == 0 || max_tokens > limit {
         let why = format!("max_tokens must be 1 to {limit}");
         return Err(Problem::not_run(ProblemCode::BadRequest, why));
     }
     let mut chain = PrefixChain::of(model.as_str(), &prompt);
-    if let Some(session) = wishes.session.as_ref().filter(|_| chain.hashes().is_empty()) {
+    if let Some(session) = options.session.as_ref().filter(|_| chain.hashes().is_empty()) {
         chain = PrefixChain::of_session(model.as_str(), session);
     }
     let share = bundle.teams.get(&team).map_or(1.0, |team| team.share);
-    Ok(Job {
+    Ok(GenerationJob {
         team,
         share,
         model,
@@ -148,10 +148,10 @@
         prompt,
         chain: Arc::new(chain),
         max_tokens,
-        priority: wishes.priority,
-        deadline: node.now() + wishes.patience,
+        priority: options.priority,
+        deadline: node.now() + options.time_limit,
         repeatability: Repeatability::Repeatable,
-        style,
+        format,
     })
 }
 
@@ -171,13 +171,13 @@
 }
 
 /// Builds the prompt; chat messages become one line each, `role: content`.
-fn prompt(
-    style: CompletionFormat,
+fn build_prompt(
+    format: CompletionFormat,
     prompt: Option<String>,
     messages: Option<Vec<MessageBody>>,
 ) -> Result<String, Problem> {
     let bad = |why: &str| Problem::not_run(ProblemCode::BadRequest, why);
-    let text = match style {
+    let text = match format {
         CompletionFormat::Text => prompt.ok_or_else(|| bad("prompt is missing"))?,
         CompletionFormat::Chat => {
             let messages = messages.ok_or_else(|| bad("messages are missing"))?;
@@ -189,35 +189,36 @@
 }
 
 /// Charges the request to its team's rate limits.
-fn check_limits(node: &Node, bundle: &Bundle, job: &Job) -> Result<(), Problem> {
+fn check_limits(node: &Node, bundle: &Bundle, job: &GenerationJob) -> Result<(), Problem> {
     let now = node.now();
-    let taken = node.with_team_limits(&job.team, bundle, |desk| {
+    let taken = node.with_team_limits(&job.team, bundle, |limits| {
         // Tokens are charged after they were generated, so the bucket may be negative;
         // a team must wait until it has recovered.
-        desk.tokens.take(0.0, now)?;
-        desk.requests.take(1.0, now)
+        limits.tokens.take(0.0, now)?;
+        limits.requests.take(1.0, now)
     });
     match taken {
-        Some(Err(over)) => {
+        Some(Err(over_limit)) => {
             let detail = format!("team {} is over its allowance", job.team);
-            Err(Problem::not_run(ProblemCode::TeamLimit, detail).retry_after(over.retry_after))
+            Err(Problem::not_run(ProblemCode::TeamLimit, detail)
+                .retry_after(over_limit.retry_after))
         }
         Some(Ok(())) | None => Ok(()),
     }
 }
 
 /// Answers with a stream of server-sent events.
-async fn streamed(node: &Arc<Node>, job: Job) -> Result<Response<Body>, Problem> {
-    let (style, model) = (job.style, job.model.clone());
-    let mut rx = start(node, job);
+async fn respond_streamed(node: &Arc<Node>, job: GenerationJob) -> Result<Response<Body>, Problem> {
+    let (format, model) = (job.format, job.model.clone());
+    let mut rx = start_generation(node, job);
     let mut id = String::new();
     // The response's head is sent only with the first token, so that a request which
     // fails before it gets the status code of the failure.
     let first = loop {
         match rx.recv().await {
-            Some(Piece::Placed(placed)) => id = placed,
-            Some(Piece::Problem(problem)) => return Err(problem),
-            Some(piece) => break piece,
+            Some(ResponsePart::RequestId(new_id)) => id = new_id,
+            Some(ResponsePart::Problem(problem)) => return Err(problem),
+            Some(part) => break part,
             None => {
                 return Err(Problem::may_have_run(
                     ProblemCode::UpstreamFailed,
@@ -226,8 +227,8 @@
             }
         }
     };
-    let pieces = stream::iter([first]).chain(ReceiverStream::new(rx));
-    let events = pieces.map(move |piece| event(style, model.as_str(), piece));
+    let parts = stream::iter([first]).chain(ReceiverStream::new(rx));
+    let events = parts.map(move |part| encode_part(format, model.as_str(), part));
     let mut res = Response::new(body::stream(events));
     let headers = res.headers_mut();
     headers.insert(hyper::header::CONTENT_TYPE, HeaderValue::from_static(sse::EVENT_STREAM));
@@ -235,12 +236,12 @@
     Ok(res)
 }
 
-pub(super) fn event(style: CompletionFormat, model: &str, piece: Piece) -> Bytes {
-    match piece {
-        Piece::Placed(id) => sse::request_id(&id),
-        Piece::Token { index, text } => sse::token(style, model, index, &text),
-        Piece::Done { tokens } => sse::done(style, model, tokens),
-        Piece::Problem(problem) => sse::problem(&problem),
+pub(super) fn encode_part(format: CompletionFormat, model: &str, part: ResponsePart) -> Bytes {
+    match part {
+        ResponsePart::RequestId(id) => sse::request_id(&id),
+        ResponsePart::Token { index, text } => sse::token(format, model, index, &text),
+        ResponsePart::Done { tokens } => sse::done(format, model, tokens),
+        ResponsePart::Problem(problem) => sse::problem(&problem),
     }
 }
 
@@ -250,14 +251,14 @@
     }
 }
 
-fn start(node: &Arc<Node>, job: Job) -> mpsc::Receiver<Piece> {
-    let (tx, rx) = mpsc::channel(PIECES_WAITING);
+fn start_generation(node: &Arc<Node>, job: GenerationJob) -> mpsc::Receiver<ResponsePart> {
+    let (tx, rx) = mpsc::channel(PART_BUFFER_LEN);
     tokio::spawn(generation::run(Arc::clone(node), job, tx));
     rx
 }
 
 /// Answers with the complete text once it is generated.
-async fn whole(node: &Arc<Node>, job: Job) -> Response<Body> {
+async fn respond_whole(node: &Arc<Node>, job: GenerationJob) -> Response<Body> {
     let (answer, id) = collect(node, job).await;
     let mut res = problems::stored_response(&answer);
     set_request_id(res.headers_mut(), &id);
@@ -272,18 +273,18 @@
 
 /// Runs the job to its end. Returns the complete answer, or the problem as a response,
 /// and the request id.
-async fn collect(node: &Arc<Node>, job: Job) -> (StoredResponse, String) {
-    let (style, model) = (job.style, job.model.clone());
-    let mut rx = start(node, job);
+async fn collect(node: &Arc<Node>, job: GenerationJob) -> (StoredResponse, String) {
+    let (format, model) = (job.format, job.model.clone());
+    let mut rx = start_generation(node, job);
     let mut text = String::new();
     let mut id = String::new();
-    while let Some(piece) = rx.recv().await {
-        match piece {
-            Piece::Placed(placed) => id = placed,
-            Piece::Token { text: token, .. } => text.push_str(&token),
-            Piece::Problem(problem) => return (problem_response(&problem), id),
-            Piece::Done { tokens } => {
-                let body = sse::whole(style, model.as_str(), &id, &text, tokens);
+    while let Some(part) = rx.recv().await {
+        match part {
+            ResponsePart::RequestId(new_id) => id = new_id,
+            ResponsePart::Token { text: token, .. } => text.push_str(&token),
+            ResponsePart::Problem(problem) => return (problem_response(&problem), id),
+            ResponsePart::Done { tokens } => {
+                let body = sse::whole(format, model.as_str(), &id, &text, tokens);
                 let content_type = "application/json".to_owned();
                 return (StoredResponse { status: 200, content_type, body }, id);
             }
@@ -294,9 +295,9 @@
 }
 
 /// Serves a completion with an idempotency key: it runs at most once and is not streamed.
-async fn once(
+async fn run_at_most_once(
     node: &Arc<Node>,
-    mut job: Job,
+    mut job: GenerationJob,
     key: &str,
     bytes: &[u8],
     is_stream: bool,
@@ -306,14 +307,14 @@
         return Err(Problem::not_run(ProblemCode::BadRequest, why));
     }
     job.repeatability = Repeatability::AtMostOnce;
-    let call = at_most_once::Call {
+    let keyed = at_most_once::KeyedRequest {
         team: job.team.clone(),
         key: key.to_owned(),
-        request: at_most_once::digest(&[b"completion", bytes]),
+        digest: at_most_once::digest(&[b"completion", bytes]),
         deadline: job.deadline,
     };
     let runner = Arc::clone(node);
-    let answer = at_most_once::run(node, call, move || async move {
+    let answer = at_most_once::run(node, keyed, move || async move {
         if let Some(bundle) = runner.bundle() {
             check_limits(&runner, &bundle, &job).map_err(|problem| problem_response(&problem))?;
         }
--- a/crates/workshold-node/src/callers/engine_stream.rs
+++ b/crates/workshold-node/src/callers/engine_stream.rs
@@ -26,84 +26,91 @@
 
 /// The next thing that happened on an engine's stream.
 #[derive(Debug, PartialEq)]
-pub enum Heard {
+pub enum EngineEvent {
     /// The engine accepted the request and its stream begins.
-    Opened,
+    Accepted,
     /// An event of the stream.
-    Event(TokenEvent),
+    Stream(TokenEvent),
     /// Nothing arrived within the stall timeout; the stream may still continue.
-    Silence,
+    Stalled,
     /// The engine refused the request and stated that it had not started it.
     Refused,
     /// The connection broke, or the engine sent something invalid.
     Broken,
 }
 
-type Sent = Result<(Response<Incoming>, ConnectionTask), CallError>;
+type ResponseResult = Result<(Response<Incoming>, ConnectionTask), CallError>;
 
 /// Sends the request and resolves to the head of the response. Nothing is sent before
 /// it is polled.
-pub type Opening = Pin<Box<dyn Future<Output = Sent> + Send>>;
+pub type PendingResponse = Pin<Box<dyn Future<Output = ResponseResult> + Send>>;
 
 enum Phase {
-    Opening(Opening),
-    Open { lines: Lines, _driver: ConnectionTask },
+    PendingResponse(PendingResponse),
+    Open { lines: EventLines, _driver: ConnectionTask },
 }
 
 /// One request to the head of a group.
-pub struct Talk {
+pub struct EngineStream {
     /// The group that the request was dispatched to.
     pub group: Box<ServingGroup>,
     /// The stream's id at the engine.
-    pub stream: Uuid,
+    pub id: Uuid,
     /// When the request took its slot in the group, by this node's clock.
     pub started: Millis,
     phase: Phase,
-    silence: Duration,
-    heard_at: Instant,
+    stall_timeout: Duration,
+    last_event_at: Instant,
 }
 
-impl Talk {
+impl EngineStream {
     /// Creates a stream whose request is sent by the first call of `next`.
     pub fn new(
         group: Box<ServingGroup>,
-        stream: Uuid,
+        id: Uuid,
         started: Millis,
-        opening: Opening,
-        silence: Duration,
+        pending_response: PendingResponse,
+        stall_timeout: Duration,
     ) -> Self {
-        let phase = Phase::Opening(opening);
-        Self { group, stream, started, phase, silence, heard_at: Instant::now() }
+        let phase = Phase::PendingResponse(pending_response);
+        Self { group, id, started, phase, stall_timeout, last_event_at: Instant::now() }
     }
 
     /// Waits for the next event. Cancel safe: an event is not lost if the future is dropped.
-    pub async fn next(&mut self) -> Heard {
-        let until = self.heard_at + self.silence;
-        let heard = match &mut self.phase {
-            Phase::Opening(opening) => match timeout_at(until, opening).await {
-                Err(_) => Heard::Silence,
-                Ok(Err(_)) => Heard::Broken,
-                Ok(Ok((res, driver))) => self.open(res, driver),
-            },
-            Phase::Open { lines, .. } => lines.next_until(until).await,
+    pub async fn next(&mut self) -> EngineEvent {
+        let deadline = self.last_event_at + self.stall_timeout;
+        let received = match &mut self.phase {
+            Phase::PendingResponse(pending_response) => {
+                match timeout_at(deadline, pending_response).await {
+                    Err(_) => EngineEvent::Stalled,
+                    Ok(Err(_)) => EngineEvent::Broken,
+                    Ok(Ok((res, connection_task))) => self.on_response_head(res, connection_task),
+                }
+            }
+            Phase::Open { lines, .. } => lines.next_before(deadline).await,
         };
-        self.heard_at = Instant::now();
-        heard
+        self.last_event_at = Instant::now();
+        received
     }
 
-    fn open(&mut self, res: Response<Incoming>, driver: ConnectionTask) -> Heard {
+    fn on_response_head(
+        &mut self,
+        res: Response<Incoming>,
+        connection_task: ConnectionTask,
+    ) -> EngineEvent {
         if res.status() == StatusCode::OK {
-            self.phase = Phase::Open { lines: Lines::new(res.into_body()), _driver: driver };
-            return Heard::Opened;
+            self.phase =
+                Phase::Open { lines: EventLines::new(res.into_body()), _driver: connection_task };
+            return EngineEvent::Accepted;
         }
         let is_refused = res.headers().contains_key(NOT_STARTED_HEADER);
-        if is_refused { Heard::Refused } else { Heard::Broken }
+        if is_refused { EngineEvent::Refused } else { EngineEvent::Broken }
     }
 }
 
 /// Splits the body of an engine's response into events, one JSON document a line.
 #[derive(Debug)]
-pub struct Lines {
+pub struct EventLines {
     body: Incoming,
     buf: BytesMut,
 }
@@ -112,25 +119,26 @@
 /// an engine can't fill this node's memory.
 const MAX_LINE_LEN: usize = 1024 * 1024;
 
-impl Lines {
+impl EventLines {
     /// Creates a reader at the start of `body`.
     pub fn new(body: Incoming) -> Self {
         Self { body, buf: BytesMut::new() }
     }
 
-    /// Waits for the next event until `until`. Cancel safe: data that has arrived stays in
+    /// Waits for the next event until `deadline`. Cancel safe: data that has arrived stays in
     /// the buffer if the future is dropped.
-    pub async fn next_until(&mut self, until: Instant) -> Heard {
+    pub async fn next_before(&mut self, deadline: Instant) -> EngineEvent {
         loop {
             if let Some(line) = self.take_line() {
-                return serde_json::from_slice(&line).map_or(Heard::Broken, Heard::Event);
+                return serde_json::from_slice(&line)
+                    .map_or(EngineEvent::Broken, EngineEvent::Stream);
             }
             if self.buf.len() > MAX_LINE_LEN {
-                return Heard::Broken;
+                return EngineEvent::Broken;
             }
-            match timeout_at(until, self.body.frame()).await {
-                Err(_) => return Heard::Silence,
-                Ok(None | Some(Err(_))) => return Heard::Broken,
+            match timeout_at(deadline, self.body.frame()).await {
+                Err(_) => return EngineEvent::Stalled,
+                Ok(None | Some(Err(_))) => return EngineEvent::Broken,
                 Ok(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
                         self.buf.extend_from_slice(&data);
--- a/crates/workshold-node/src/callers/headers.rs
+++ b/crates/workshold-node/src/callers/headers.rs
@@ -27,11 +27,11 @@
 
 /// The options that a caller set in request headers.
 #[derive(Debug, Clone)]
-pub struct Wishes {
+pub struct RequestOptions {
     /// The request's priority; `Normal` if the caller sets none.
     pub priority: Priority,
     /// How long the caller waits; the node's default if the caller sets none.
-    pub patience: Millis,
+    pub time_limit: Millis,
     /// The id of the conversation.
     pub session: Option<String>,
     /// The idempotency key; not validated yet.
@@ -43,47 +43,48 @@
 /// # Errors
 ///
 /// A problem for a value that is not text or is longer than 256 bytes.
-pub fn value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     let Some(value) = headers.get(name) else { return Ok(None) };
-    let text = value.to_str().map_err(|_| bad(name, "it is not text"))?;
+    let text = value.to_str().map_err(|_| invalid_header(name, "it is not text"))?;
     if text.len() > MAX_VALUE_LEN {
-        return Err(bad(name, "it is longer than 256 bytes"));
+        return Err(invalid_header(name, "it is longer than 256 bytes"));
     }
     Ok(Some(text))
 }
 
-impl Wishes {
+impl RequestOptions {
     /// Parses the headers of a request.
     ///
     /// # Errors
     ///
     /// A problem that names the invalid header and says what is wrong with it.
     pub fn read(headers: &HeaderMap, times: &TimeSettings) -> Result<Self, Problem> {
-        let priority = match value(headers, PRIORITY)? {
+        let priority = match header_text(headers, PRIORITY)? {
             None => Priority::Normal,
             Some(text) => Priority::parse(text)
-                .ok_or_else(|| bad(PRIORITY, "it must be high, normal or low"))?,
+                .ok_or_else(|| invalid_header(PRIORITY, "it must be high, normal or low"))?,
         };
         Ok(Self {
             priority,
-            patience: patience(headers, times)?,
-            session: value(headers, SESSION)?.map(str::to_owned),
-            idempotency_key: value(headers, IDEMPOTENCY_KEY)?.map(str::to_owned),
+            time_limit: time_limit(headers, times)?,
+            session: header_text(headers, SESSION)?.map(str::to_owned),
+            idempotency_key: header_text(headers, IDEMPOTENCY_KEY)?.map(str::to_owned),
         })
     }
 }
 
-fn patience(headers: &HeaderMap, times: &TimeSettings) -> Result<Millis, Problem> {
-    let Some(text) = value(headers, DEADLINE)? else { return Ok(times.default_deadline) };
+fn time_limit(headers: &HeaderMap, times: &TimeSettings) -> Result<Millis, Problem> {
+    let Some(text) = header_text(headers, DEADLINE)? else { return Ok(times.default_deadline) };
     let number = text.parse::<u64>().map(Millis);
-    let wanted = number.map_err(|_| bad(DEADLINE, "it must be a whole number of milliseconds"))?;
+    let wanted = number
+        .map_err(|_| invalid_header(DEADLINE, "it must be a whole number of milliseconds"))?;
     if wanted == Millis::ZERO || wanted > times.max_deadline {
         let why = format!("it must be 1 to {}", times.max_deadline.0);
-        return Err(bad(DEADLINE, &why));
+        return Err(invalid_header(DEADLINE, &why));
     }
     Ok(wanted)
 }
 
-fn bad(name: &str, why: &str) -> Problem {
+fn invalid_header(name: &str, why: &str) -> Problem {
     Problem::not_run(ProblemCode::BadRequest, format!("header {name}: {why}"))
 }
--- a/crates/workshold-node/src/callers/info.rs
+++ b/crates/workshold-node/src/callers/info.rs
@@ -61,14 +61,14 @@
     let entries = node.entries();
     if entries.is_empty() {
         let problem = Problem::not_run(ProblemCode::NotReady, "no node that serves is known here");
-        return Err(problem.retry_after(NO_ENTRY_RETRY));
+        return Err(problem.retry_after(NOT_READY_RETRY_AFTER));
     }
     let entries = Entries { entries, ttl_ms: node.settings.times.entries_ttl };
     Ok(body::json(StatusCode::OK, &entries))
 }
 
 /// `Retry-After` while this node knows no entry node or no bundle.
-const NO_ENTRY_RETRY: Millis = Millis(1_000);
+const NOT_READY_RETRY_AFTER: Millis = Millis(1_000);
 
 /// `GET /v1/models`: the models of the bundle in force, and whether a group serves each.
 ///
@@ -78,7 +78,7 @@
 pub fn models(node: &Node) -> Result<Response<Body>, Problem> {
     let bundle = node.bundle().ok_or_else(|| {
         Problem::not_run(ProblemCode::NotReady, "no bundle is in force here")
-            .retry_after(NO_ENTRY_RETRY)
+            .retry_after(NOT_READY_RETRY_AFTER)
     })?;
     let (table, now) = (std::sync::Arc::clone(&node.serving.read()), node.now());
     let rows = bundle.models.iter().map(|(name, model)| ModelRow {
--- a/crates/workshold-node/src/callers/resume.rs
+++ b/crates/workshold-node/src/callers/resume.rs
@@ -21,11 +21,11 @@
 
 use crate::callers::authentication;
 use crate::callers::completions::CompletionFormat;
-use crate::callers::completions::event;
+use crate::callers::completions::encode_part;
 use crate::callers::completions::set_request_id;
-use crate::callers::engine_stream::Heard;
-use crate::callers::engine_stream::Lines;
-use crate::callers::generation::Piece;
+use crate::callers::engine_stream::EngineEvent;
+use crate::callers::engine_stream::EventLines;
+use crate::callers::generation::ResponsePart;
 use crate::callers::generation::cancel as cancel_upstream;
 use crate::callers::sse;
 use crate::node::Node;
@@ -33,55 +33,56 @@
 use crate::requests::StreamLocation;
 
 /// Timeout for connecting to the stream's instance.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// `GET /v1/requests/{id}?from={token}`: continues the stream `id` at the token with that
 /// index, by default 0.
 ///
 /// # Errors
 ///
-/// [`ProblemCode::NotFound`] for an id that is not this team's, and [`ProblemCode::ResumeLost`] if the
-/// instance is gone, cannot be reached or does not have the stream any more.
+/// [`ProblemCode::NotFound`] for an id that is not this team's, and
+/// [`ProblemCode::ResumeLost`] if the instance is gone, cannot be reached or does not have
+/// the stream any more.
 pub async fn resume(
     node: &Arc<Node>,
     req: &Request<Incoming>,
     id: &str,
 ) -> Result<Response<Body>, Problem> {
-    let place = find(node, req, id)?;
-    let from = from(req)?;
+    let location = find_stream(node, req, id)?;
+    let from = parse_from(req)?;
     let lost = |why: &str| Problem::may_have_run(ProblemCode::ResumeLost, why);
-    let address = address(node, &place).ok_or_else(|| lost("its instance is gone"))?;
-    let connected = client::connect(&address, CONNECT_TIME).await;
+    let address = instance_address(node, &location).ok_or_else(|| lost("its instance is gone"))?;
+    let connected = client::connect(&address, CONNECT_TIMEOUT).await;
     let connected = connected.map_err(|_| lost("its instance cannot be reached"))?;
-    let path = format!("/engine/streams/{}?from={from}", place.stream);
-    let upstream = client::request::<()>(&address, Method::GET, &path, None);
-    let silence = node.settings.times.upstream_silence.to_duration();
-    let sent = connected.send(upstream, silence).await;
-    let (res, driver) = sent.map_err(|_| lost("its instance does not answer"))?;
+    let path = format!("/engine/streams/{}?from={from}", location.stream);
+    let upstream_req = client::request::<()>(&address, Method::GET, &path, None);
+    let stall_timeout = node.settings.times.upstream_silence.to_duration();
+    let sent = connected.send(upstream_req, stall_timeout).await;
+    let (res, connection_task) = sent.map_err(|_| lost("its instance does not answer"))?;
     if res.status() != StatusCode::OK {
         return Err(lost("its instance does not have it any more"));
     }
     node.counters.resumed.add(1);
-    let lines = Lines::new(res.into_body());
-    let (tx, rx) = tokio::sync::mpsc::channel(PIECES_WAITING);
-    let res = response(&place, id, rx);
-    tokio::spawn(relay(Arc::clone(node), place, lines, from, tx, driver));
+    let lines = EventLines::new(res.into_body());
+    let (tx, rx) = tokio::sync::mpsc::channel(PART_BUFFER_LEN);
+    let res = response(&location, id, rx);
+    tokio::spawn(forward_stream(Arc::clone(node), location, lines, from, tx, connection_task));
     Ok(res)
 }
 
 /// Parts of an answer that are buffered for a caller who reads slowly.
-const PIECES_WAITING: usize = 64;
+const PART_BUFFER_LEN: usize = 64;
 
 fn response(
-    place: &StreamLocation,
+    location: &StreamLocation,
     id: &str,
-    rx: tokio::sync::mpsc::Receiver<Piece>,
+    rx: tokio::sync::mpsc::Receiver<ResponsePart>,
 ) -> Response<Body> {
-    let style = if place.is_chat { CompletionFormat::Chat } else { CompletionFormat::Text };
-    let model = place.model.to_string();
+    let format = if location.is_chat { CompletionFormat::Chat } else { CompletionFormat::Text };
+    let model = location.model.to_string();
     let events = stream::unfold(rx, move |mut rx| {
         let model = model.clone();
-        async move { rx.recv().await.map(|piece| (event(style, &model, piece), rx)) }
+        async move { rx.recv().await.map(|part| (encode_part(format, &model, part), rx)) }
     });
     let mut res = Response::new(body::stream(events));
     let headers = res.headers_mut();
@@ -91,46 +92,48 @@
 }
 
 /// Forwards the remaining tokens to the caller. The last part is either `Done` or a problem.
-async fn relay(
+async fn forward_stream(
     node: Arc<Node>,
-    place: StreamLocation,
-    mut lines: Lines,
+    location: StreamLocation,
+    mut lines: EventLines,
     from: u32,
-    tx: tokio::sync::mpsc::Sender<Piece>,
+    tx: tokio::sync::mpsc::Sender<ResponsePart>,
     _driver: client::ConnectionTask,
 ) {
     let _guard = node.in_flight.track(InFlight {
-        team: place.team,
-        target: place.model.to_string(),
+        team: location.team,
+        target: location.model.to_string(),
         group: None,
         since: node.now(),
     });
     let stall = node.settings.times.caller_stall.to_duration();
     // No other engine can continue this stream, so a stall does not end it; it may take
     // as long as the longest request.
-    let until = Instant::now() + node.settings.times.max_deadline.to_duration();
+    let deadline = Instant::now() + node.settings.times.max_deadline.to_duration();
     let mut next = from;
     loop {
-        let heard = tokio::select! {
-            heard = lines.next_until(until) => heard,
+        let received = tokio::select! {
+            received = lines.next_before(deadline) => received,
             () = tx.closed() => return,
         };
-        let piece = match heard {
-            Heard::Event(TokenEvent::Token { index, .. }) if index < next => continue,
-            Heard::Event(TokenEvent::Token { index, text }) if index == next => {
+        let part = match received {
+            EngineEvent::Stream(TokenEvent::Token { index, .. }) if index < next => continue,
+            EngineEvent::Stream(TokenEvent::Token { index, text }) if index == next => {
                 next += 1;
                 node.counters.tokens.add(1);
-                Piece::Token { index, text }
+                ResponsePart::Token { index, text }
+            }
+            EngineEvent::Stream(TokenEvent::Done { tokens }) if tokens == next => {
+                ResponsePart::Done { tokens }
             }
-            Heard::Event(TokenEvent::Done { tokens }) if tokens == next => Piece::Done { tokens },
             _ => {
                 let detail = format!("the stream broke off after token {next}");
-                Piece::Problem(Problem::may_have_run(ProblemCode::ResumeLost, detail))
+                ResponsePart::Problem(Problem::may_have_run(ProblemCode::ResumeLost, detail))
             }
         };
-        let is_last = !matches!(piece, Piece::Token { .. });
-        let told = tokio::time::timeout(stall, tx.send(piece)).await;
-        if is_last || !matches!(told, Ok(Ok(()))) {
+        let is_last = !matches!(part, ResponsePart::Token { .. });
+        let delivered = tokio::time::timeout(stall, tx.send(part)).await;
+        if is_last || !matches!(delivered, Ok(Ok(()))) {
             return;
         }
     }
@@ -147,26 +150,26 @@
     req: &Request<Incoming>,
     id: &str,
 ) -> Result<Response<Body>, Problem> {
-    let place = find(node, req, id)?;
-    if let Some(address) = address(node, &place) {
-        cancel_upstream(address, place.stream);
+    let location = find_stream(node, req, id)?;
+    if let Some(address) = instance_address(node, &location) {
+        cancel_upstream(address, location.stream);
     }
     Ok(body::json(StatusCode::ACCEPTED, &"the stream is being cancelled"))
 }
 
 /// Decodes a request id. An id of another team gets the same error as an invalid one, so
 /// that the error does not reveal which streams exist.
-fn find(node: &Node, req: &Request<Incoming>, id: &str) -> Result<StreamLocation, Problem> {
+fn find_stream(node: &Node, req: &Request<Incoming>, id: &str) -> Result<StreamLocation, Problem> {
     let bundle =
         node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
-    let team = authentication::team(req.headers(), &bundle)?;
-    let place = StreamLocation::open(id, &node.checked.cluster_key);
-    place
-        .filter(|place| place.team == team)
+    let team = authentication::find_team(req.headers(), &bundle)?;
+    let location = StreamLocation::open(id, &node.checked.cluster_key);
+    location
+        .filter(|location| location.team == team)
         .ok_or_else(|| Problem::not_run(ProblemCode::NotFound, "there is no such request"))
 }
 
-fn from(req: &Request<Incoming>) -> Result<u32, Problem> {
+fn parse_from(req: &Request<Incoming>) -> Result<u32, Problem> {
     let query = req.uri().query().unwrap_or_default();
     let value = query.split('&').find_map(|pair| pair.strip_prefix("from="));
     let bad = |_| Problem::not_run(ProblemCode::BadRequest, "from must be the number of a token");
@@ -174,6 +177,6 @@
 }
 
 /// The address of the stream's instance; `None` if the platform does not list it any more.
-fn address(node: &Node, place: &StreamLocation) -> Option<String> {
-    node.list.read().find(&place.instance).map(|listed| listed.address.clone())
+fn instance_address(node: &Node, location: &StreamLocation) -> Option<String> {
+    node.list.read().find(&location.instance).map(|listed| listed.address.clone())
 }
--- a/crates/workshold-node/src/callers/services.rs
+++ b/crates/workshold-node/src/callers/services.rs
@@ -44,7 +44,7 @@
 use crate::callers::at_most_once;
 use crate::callers::authentication;
 use crate::callers::check_ready;
-use crate::callers::headers::Wishes;
+use crate::callers::headers::RequestOptions;
 use crate::callers::problems;
 use crate::callers::read_body;
 use crate::key_table::problem_response;
@@ -73,10 +73,10 @@
         is_near: impl Fn(&ListedInstance) -> bool,
         now: Millis,
     ) -> Option<&'a ListedInstance> {
-        let key = |one: &&&ListedInstance| {
-            let aside = self.outliers.is_ejected(&one.instance, now);
-            let load = self.in_flight.get(&one.instance).copied().unwrap_or(0);
-            (aside, !is_near(one), load)
+        let key = |candidate: &&&ListedInstance| {
+            let is_ejected = self.outliers.is_ejected(&candidate.instance, now);
+            let load = self.in_flight.get(&candidate.instance).copied().unwrap_or(0);
+            (is_ejected, !is_near(candidate), load)
         };
         let chosen = *listed.iter().min_by_key(key)?;
         *self.in_flight.entry(chosen.instance.clone()).or_default() += 1;
@@ -95,7 +95,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Call {
+struct ServiceRequest {
     service: ServiceName,
     team: TeamName,
     method: Method,
@@ -108,10 +108,10 @@
 }
 
 /// Timeout for connecting to an instance.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Request headers that are not forwarded: they apply to one connection only, are set anew
 /// for the upstream, or hold the caller's credentials for this node.
-const KEPT_HERE: [&str; 9] = [
+const NOT_FORWARDED: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authorization",
@@ -133,18 +133,18 @@
     let bundle =
         node.bundle().ok_or_else(|| Problem::not_run(ProblemCode::NotReady, "no bundle"))?;
     let path = req.uri().path().to_owned();
-    let (name, service) = find(&bundle, &path)
+    let (name, service) = find_service(&bundle, &path)
         .ok_or_else(|| Problem::not_run(ProblemCode::NotFound, "there is no such path"))?;
-    let team = authentication::team(req.headers(), &bundle)?;
-    let wishes = Wishes::read(req.headers(), &node.settings.times)?;
+    let team = authentication::find_team(req.headers(), &bundle)?;
+    let options = RequestOptions::read(req.headers(), &node.settings.times)?;
     let is_repeatable = service.is_repeatable(req.method().as_str());
-    if !is_repeatable && wishes.idempotency_key.is_none() {
+    if !is_repeatable && options.idempotency_key.is_none() {
         let why = "this call must not run twice: send a UUID version 7 as Idempotency-Key";
         return Err(Problem::not_run(ProblemCode::KeyRequired, why));
     }
-    let patience = wishes.patience.min(service.deadline);
+    let time_limit = options.time_limit.min(service.deadline);
     let (parts, incoming) = req.into_parts();
-    let call = Call {
+    let request = ServiceRequest {
         service: name.clone(),
         team,
         method: parts.method,
@@ -156,84 +156,93 @@
         } else {
             Repeatability::AtMostOnce
         },
-        deadline: node.now() + patience,
+        deadline: node.now() + time_limit,
     };
-    match wishes.idempotency_key.filter(|_| !is_repeatable) {
-        Some(key) => Ok(once(node, call, key).await),
+    match options.idempotency_key.filter(|_| !is_repeatable) {
+        Some(key) => Ok(run_at_most_once(node, request, key).await),
         None => {
-            check_limit(node, &bundle, &call)?;
-            Ok(answer_of(serve(node, call).await))
+            check_limit(node, &bundle, &request)?;
+            Ok(into_response(run_attempts(node, request).await))
         }
     }
 }
 
-fn answer_of(served: Result<StoredResponse, Problem>) -> Response<Body> {
-    match served {
+fn into_response(outcome: Result<StoredResponse, Problem>) -> Response<Body> {
+    match outcome {
         Ok(answer) => problems::stored_response(&answer),
         Err(problem) => problems::response(&problem),
     }
 }
 
 /// Finds the service whose path is a prefix of `path`, by whole segments.
-fn find<'a>(bundle: &'a Bundle, path: &str) -> Option<(&'a ServiceName, &'a Service)> {
+fn find_service<'a>(bundle: &'a Bundle, path: &str) -> Option<(&'a ServiceName, &'a Service)> {
     bundle.services.iter().find(|(_, service)| {
         let rest = path.strip_prefix(service.path.as_str());
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     })
 }
 
-fn check_limit(node: &Node, bundle: &Bundle, call: &Call) -> Result<(), Problem> {
+fn check_limit(node: &Node, bundle: &Bundle, request: &ServiceRequest) -> Result<(), Problem> {
     let now = node.now();
-    let taken = node.with_team_limits(&call.team, bundle, |desk| {
-        desk.retries.on_request();
-        desk.requests.take(1.0, now)
+    let taken = node.with_team_limits(&request.team, bundle, |limits| {
+        limits.retries.on_request();
+        limits.requests.take(1.0, now)
     });
     match taken {
-        Some(Err(over)) => {
-            let detail = format!("team {} is over its allowance", call.team);
-            Err(Problem::not_run(ProblemCode::TeamLimit, detail).retry_after(over.retry_after))
+        Some(Err(over_limit)) => {
+            let detail = format!("team {} is over its allowance", request.team);
+            Err(Problem::not_run(ProblemCode::TeamLimit, detail)
+                .retry_after(over_limit.retry_after))
         }
         Some(Ok(())) | None => Ok(()),
     }
 }
 
 /// Runs a request with an idempotency key at most once.
-async fn once(node: &Arc<Node>, call: Call, key: String) -> Response<Body> {
-    let method = call.method.as_str().as_bytes();
-    let keyed = at_most_once::Call {
-        team: call.team.clone(),
+async fn run_at_most_once(
+    node: &Arc<Node>,
+    request: ServiceRequest,
+    key: String,
+) -> Response<Body> {
+    let method = request.method.as_str().as_bytes();
+    let keyed = at_most_once::KeyedRequest {
+        team: request.team.clone(),
         key,
-        request: at_most_once::digest(&[method, call.target.as_bytes(), &call.body]),
-        deadline: call.deadline,
+        digest: at_most_once::digest(&[method, request.target.as_bytes(), &request.body]),
+        deadline: request.deadline,
     };
     let runner = Arc::clone(node);
     at_most_once::run(node, keyed, move || async move {
         if let Some(bundle) = runner.bundle() {
-            check_limit(&runner, &bundle, &call).map_err(|problem| problem_response(&problem))?;
+            check_limit(&runner, &bundle, &request)
+                .map_err(|problem| problem_response(&problem))?;
         }
-        serve(&runner, call).await.map_err(|problem| problem_response(&problem))
+        run_attempts(&runner, request).await.map_err(|problem| problem_response(&problem))
     })
     .await
 }
 
 /// Makes attempts, each at another instance, until the request has a result.
-async fn serve(node: &Arc<Node>, call: Call) -> Result<StoredResponse, Problem> {
+async fn run_attempts(
+    node: &Arc<Node>,
+    request: ServiceRequest,
+) -> Result<StoredResponse, Problem> {
     let _guard = node.in_flight.track(InFlight {
-        team: call.team.clone(),
-        target: call.service.to_string(),
+        team: request.team.clone(),
+        target: request.service.to_string(),
         group: None,
         since: node.now(),
     });
     let mut lifecycle = RequestLifecycle::new(
-        call.repeatability,
-        call.deadline,
+        request.repeatability,
+        request.deadline,
         RetryRules::default().max_attempts,
     );
     let mut tried = BTreeSet::new();
     loop {
         let attempt = lifecycle.attempt();
-        let (event, answer) = attempt_one(node, &call, &mut lifecycle, &mut tried).await;
-        let budget = || may_retry(node, &call);
+        let (event, answer) = run_attempt(node, &request, &mut lifecycle, &mut tried).await;
+        let budget = || may_retry(node, &request);
         match lifecycle.on(attempt, event, node.now(), budget) {
             Next::Finish(RequestResult::Answered) => {
                 node.counters.answered.add(1);
@@ -263,31 +272,31 @@
 }
 
 /// Takes a retry from the team's retry budget; false if it is used up.
-fn may_retry(node: &Node, call: &Call) -> bool {
+fn may_retry(node: &Node, request: &ServiceRequest) -> bool {
     let bundle = node.bundle();
-    let taken =
-        bundle.and_then(|b| node.with_team_limits(&call.team, &b, |desk| desk.retries.take()));
+    let taken = bundle
+        .and_then(|b| node.with_team_limits(&request.team, &b, |limits| limits.retries.take()));
     taken.unwrap_or(true)
 }
 
 /// Makes one attempt at an instance that was not tried yet, and records its outcome.
-async fn attempt_one(
+async fn run_attempt(
     node: &Arc<Node>,
-    call: &Call,
+    request: &ServiceRequest,
     lifecycle: &mut RequestLifecycle,
     tried: &mut BTreeSet<InstanceId>,
 ) -> (Event, Option<StoredResponse>) {
     let started = node.now();
-    let Some(chosen) = choose(node, &call.service, tried) else {
+    let Some(chosen) = choose(node, &request.service, tried) else {
         return (Event::NotPlaced(ProblemCode::NoUpstream), None);
     };
     tried.insert(chosen.instance.clone());
-    let left = call.deadline.since(started).to_duration();
-    let talked = timeout(left, talk(node, call, lifecycle, &chosen.address)).await;
-    let (event, answer) = talked.unwrap_or((Event::DeadlinePassed, None));
+    let left = request.deadline.since(started).to_duration();
+    let exchanged = timeout(left, exchange(node, request, lifecycle, &chosen.address)).await;
+    let (event, answer) = exchanged.unwrap_or((Event::DeadlinePassed, None));
     let now = node.now();
-    node.services.with_entry(&call.service, ServiceBalancer::default, |desk| {
-        desk.on_end(&chosen.instance, event, now.since(started), now);
+    node.services.with_entry(&request.service, ServiceBalancer::default, |balancer| {
+        balancer.on_end(&chosen.instance, event, now.since(started), now);
     });
     (event, answer)
 }
@@ -302,34 +311,34 @@
     let usable: Vec<_> = list
         .iter()
         .filter(|listed| match &listed.kind {
-            InstanceKind::Service { service: own } => own == service,
+            InstanceKind::Service { service: name } => name == service,
             _ => false,
         })
         .filter(|listed| !listed.leaving && !tried.contains(&listed.instance))
         .collect();
     let is_near = |listed: &ListedInstance| listed.data_centre == node.settings.node.data_centre;
     let now = node.now();
-    node.services.with_entry(service, ServiceBalancer::default, |desk| {
-        desk.choose(&usable, is_near, now).cloned()
+    node.services.with_entry(service, ServiceBalancer::default, |balancer| {
+        balancer.choose(&usable, is_near, now).cloned()
     })
 }
 
 /// Sends the request to the instance at `address` and reads the whole response.
-async fn talk(
+async fn exchange(
     node: &Node,
-    call: &Call,
+    request: &ServiceRequest,
     lifecycle: &mut RequestLifecycle,
     address: &str,
 ) -> (Event, Option<StoredResponse>) {
-    let Ok(connected) = client::connect(address, CONNECT_TIME).await else {
+    let Ok(connected) = client::connect(address, CONNECT_TIMEOUT).await else {
         return (Event::ConnectFailed, None);
     };
     let attempt = lifecycle.attempt();
     if let Next::Finish(_) = lifecycle.on(attempt, Event::Sending, node.now(), || false) {
         return (Event::DeadlinePassed, None);
     }
-    let left = call.deadline.since(node.now()).to_duration();
-    let Ok((res, _driver)) = connected.send(upstream_request(call, address), left).await else {
+    let left = request.deadline.since(node.now()).to_duration();
+    let Ok((res, _driver)) = connected.send(upstream_request(request, address), left).await else {
         return (Event::Broken, None);
     };
     if res.headers().contains_key(NOT_STARTED_HEADER) {
@@ -348,14 +357,15 @@
     }
 }
 
-fn upstream_request(call: &Call, address: &str) -> Request<Body> {
-    let mut req = Request::new(body::full(call.body.clone()));
-    *req.method_mut() = call.method.clone();
-    if let Ok(uri) = call.target.parse() {
+fn upstream_request(request: &ServiceRequest, address: &str) -> Request<Body> {
+    let mut req = Request::new(body::full(request.body.clone()));
+    *req.method_mut() = request.method.clone();
+    if let Ok(uri) = request.target.parse() {
         *req.uri_mut() = uri;
     }
-    let passed = call.headers.iter().filter(|(name, _)| !KEPT_HERE.contains(&name.as_str()));
-    for (name, value) in passed {
+    let forwarded =
+        request.headers.iter().filter(|(name, _)| !NOT_FORWARDED.contains(&name.as_str()));
+    for (name, value) in forwarded {
         req.headers_mut().append(name, value.clone());
     }
     if let Ok(host) = address.parse() {
--- a/crates/workshold-node/src/callers/sse.rs
+++ b/crates/workshold-node/src/callers/sse.rs
@@ -29,18 +29,18 @@
 #[serde(rename_all = "snake_case")]
 enum Content<'a> {
     Text(&'a str),
-    Delta(Message<'a>),
-    Message(Message<'a>),
+    Delta(ChatMessage<'a>),
+    Message(ChatMessage<'a>),
 }
 
 #[derive(Debug, Serialize)]
-struct Message<'a> {
+struct ChatMessage<'a> {
     role: &'static str,
     content: &'a str,
 }
 
 #[derive(Debug, Serialize)]
-struct Whole<'a> {
+struct Completion<'a> {
     id: &'a str,
     object: &'static str,
     model: &'a str,
@@ -57,34 +57,34 @@
 
 /// Encodes the event of one token. The event's id is the token's index, for clients that
 /// resume the stream.
-pub fn token(style: CompletionFormat, model: &str, index: u32, text: &str) -> Bytes {
-    let content = match style {
+pub fn token(format: CompletionFormat, model: &str, index: u32, text: &str) -> Bytes {
+    let content = match format {
         CompletionFormat::Text => Content::Text(text),
-        CompletionFormat::Chat => Content::Delta(Message { role: ASSISTANT, content: text }),
+        CompletionFormat::Chat => Content::Delta(ChatMessage { role: ASSISTANT, content: text }),
     };
-    event(index, style, model, content, None)
+    event(index, format, model, content, None)
 }
 
 /// Encodes the two events that end a complete answer of `tokens` tokens: a chunk with a
 /// finish reason, and `[DONE]`.
-pub fn done(style: CompletionFormat, model: &str, tokens: u32) -> Bytes {
-    let content = match style {
+pub fn done(format: CompletionFormat, model: &str, tokens: u32) -> Bytes {
+    let content = match format {
         CompletionFormat::Text => Content::Text(""),
-        CompletionFormat::Chat => Content::Delta(Message { role: ASSISTANT, content: "" }),
+        CompletionFormat::Chat => Content::Delta(ChatMessage { role: ASSISTANT, content: "" }),
     };
-    let mut bytes = event(tokens, style, model, content, Some("stop")).to_vec();
+    let mut bytes = event(tokens, format, model, content, Some("stop")).to_vec();
     bytes.extend_from_slice(b"data: [DONE]\n\n");
     bytes.into()
 }
 
 fn event(
     id: u32,
-    style: CompletionFormat,
+    format: CompletionFormat,
     model: &str,
     content: Content<'_>,
     finish_reason: Option<&'static str>,
 ) -> Bytes {
-    let object = style.chunk_object();
+    let object = format.chunk_object();
     let chunk = Chunk { object, model, choices: [Choice { index: 0, content, finish_reason }] };
     let mut bytes = format!("id: {id}\ndata: ").into_bytes();
     serde_json::to_writer(&mut bytes, &chunk).expect("a chunk is text");
@@ -105,13 +105,13 @@
 }
 
 /// Encodes a complete answer for a request that is not streamed.
-pub fn whole(style: CompletionFormat, model: &str, id: &str, text: &str, tokens: u32) -> Vec<u8> {
-    let content = match style {
+pub fn whole(format: CompletionFormat, model: &str, id: &str, text: &str, tokens: u32) -> Vec<u8> {
+    let content = match format {
         CompletionFormat::Text => Content::Text(text),
-        CompletionFormat::Chat => Content::Message(Message { role: ASSISTANT, content: text }),
+        CompletionFormat::Chat => Content::Message(ChatMessage { role: ASSISTANT, content: text }),
     };
     let choices = [Choice { index: 0, content, finish_reason: Some("stop") }];
     let usage = Usage { completion_tokens: tokens };
-    let whole = Whole { id, object: style.whole_object(), model, choices, usage };
+    let whole = Completion { id, object: format.whole_object(), model, choices, usage };
     serde_json::to_vec(&whole).expect("an answer is text")
 }
