--- a/crates/workshold-node/src/callers/problems.rs
+++ b/crates/workshold-node/src/callers/problems.rs
@@ -14,7 +14,7 @@
 /// Converts a problem to an `application/problem+json` response, with a `Retry-After`
 /// header if the problem has a time for it.
 pub fn response(problem: &Problem) -> Response<Body> {
-    let text = serde_json::to_vec(problem).expect("a problem is text");
+    let text = serde_json::to_vec(problem).expect("a problem serializes to JSON");
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut res = body::with_content_type(status, PROBLEM_JSON, text);
     if let Some(after) = problem.retry_after_ms {
--- a/crates/workshold-node/src/callers/sse.rs
+++ b/crates/workshold-node/src/callers/sse.rs
@@ -87,7 +87,7 @@
     let object = format.chunk_object();
     let chunk = Chunk { object, model, choices: [Choice { index: 0, content, finish_reason }] };
     let mut bytes = format!("id: {id}\ndata: ").into_bytes();
-    serde_json::to_writer(&mut bytes, &chunk).expect("a chunk is text");
+    serde_json::to_writer(&mut bytes, &chunk).expect("a chunk serializes to JSON");
     bytes.extend_from_slice(b"\n\n");
     bytes.into()
 }
@@ -100,7 +100,7 @@
 
 /// Encodes the event that ends a stream which cannot be completed.
 pub fn problem(problem: &Problem) -> Bytes {
-    let text = serde_json::to_string(problem).expect("a problem is text");
+    let text = serde_json::to_string(problem).expect("a problem serializes to JSON");
     format!("event: error\ndata: {text}\n\n").into()
 }
 
@@ -113,5 +113,5 @@
     let choices = [Choice { index: 0, content, finish_reason: Some("stop") }];
     let usage = Usage { completion_tokens: tokens };
     let whole = Completion { id, object: format.whole_object(), model, choices, usage };
-    serde_json::to_vec(&whole).expect("an answer is text")
+    serde_json::to_vec(&whole).expect("a completion serializes to JSON")
 }
