--- a/crates/workshold-node/tests/catalogues.rs
+++ b/crates/workshold-node/tests/catalogues.rs
@@ -16,12 +16,12 @@
 #[rstest]
 #[case::events("EVENTS.md", events::reference_page())]
 #[case::metrics("METRICS.md", metrics::reference_page())]
-fn the_page_is_what_the_code_says(#[case] name: &str, #[case] reference_page: String) {
-    assert_eq!(page(name), reference_page, "write it anew: workshold events");
+fn the_reference_page_matches_the_code(#[case] name: &str, #[case] reference_page: String) {
+    assert_eq!(page(name), reference_page, "write the page anew with `workshold events`");
 }
 
 #[test]
-fn every_event_has_a_number_of_its_own() {
+fn event_numbers_are_unique() {
     let numbers: BTreeSet<_> = Event::ALL.iter().map(|event| event.number()).collect();
     assert_eq!(numbers.len(), Event::ALL.len());
 }
--- a/crates/workshold-node/tests/concurrency.rs
+++ b/crates/workshold-node/tests/concurrency.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_status_is_read_while_writers_wait() {
+fn reading_the_state_beside_writers_does_not_deadlock() {
     let (node, folder) = node();
     let is_over = Arc::new(AtomicBool::new(false));
     for _ in 0..2 {
@@ -49,5 +49,5 @@
     let read = wait.recv_timeout(Duration::from_secs(60));
     is_over.store(true, Ordering::Relaxed);
     let _ = std::fs::remove_dir_all(folder);
-    assert_eq!(read, Ok(()), "the node has locked itself up");
+    assert_eq!(read, Ok(()), "deadlock: the state was not read in time");
 }
--- a/crates/workshold-node/tests/peers.rs
+++ b/crates/workshold-node/tests/peers.rs
@@ -21,10 +21,10 @@
 /// Rounds of connections; each connection is closed after another time of up to 700 µs.
 const ROUNDS: usize = 12;
 /// Connections of one round, which run at the same time.
-const AT_ONCE: usize = 20;
+const PEERS_PER_ROUND: usize = 20;
 
 /// Sends a message and closes the connection, after `wait`, without reading the answer.
-async fn ask_and_die(address: String, wait: Duration) {
+async fn send_and_disconnect(address: String, wait: Duration) {
     let ask = async {
         let mut socket = ReqSocket::new();
         if socket.connect(&format!("tcp://{address}")).await.is_ok() {
@@ -54,20 +54,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn askers_that_die_before_their_answer_leave_the_node_whole() {
+async fn peers_that_disconnect_before_the_answer_do_not_stop_the_node() {
     let layout = Layout { entries: 1, engines: 5, ..Layout::default() };
-    let deployment = Deployment::serving(layout).await;
+    let deployment = Deployment::start_serving(layout).await;
     for round in 0..ROUNDS {
-        let mut asking = JoinSet::new();
-        for n in 0..AT_ONCE {
-            let wait = Duration::from_micros((round * AT_ONCE + n) as u64 % 700);
-            asking.spawn(ask_and_die(deployment.layout.peers(0), wait));
+        let mut peers = JoinSet::new();
+        for n in 0..PEERS_PER_ROUND {
+            let wait = Duration::from_micros((round * PEERS_PER_ROUND + n) as u64 % 700);
+            peers.spawn(send_and_disconnect(deployment.layout.peers(0), wait));
         }
-        while asking.join_next().await.is_some() {}
+        while peers.join_next().await.is_some() {}
     }
-    let status = deployment.status(0).await.expect("the node still answers");
+    let status = deployment.status(0).await.expect("the node answers the operator endpoint");
     assert!(status.ready);
     let counts = &deployment.dump(0).await["counts"];
     assert!(counts["bad_messages"].as_u64() > Some(0), "{counts}");
-    assert!(is_answered(&deployment).await, "the node answers other nodes");
+    assert!(is_answered(&deployment).await, "the node answers a peer's request");
 }
--- a/crates/workshold-node/tests/requests.rs
+++ b/crates/workshold-node/tests/requests.rs
@@ -17,34 +17,34 @@
 use workshold_standins::faults::Fault;
 
 use crate::support::Deployment;
-use crate::support::TIMES;
+use crate::support::TIME_SETTINGS;
 use crate::support::caller;
-use crate::support::caller::Stream;
-use crate::support::caller::ask;
+use crate::support::caller::CompletionStream;
 use crate::support::caller::book;
+use crate::support::caller::send_request;
 
-fn small() -> Layout {
+fn small_layout() -> Layout {
     Layout { engines: 5, ..Layout::default() }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_of_a_killed_node_resume_at_another_and_get_their_own_whole_answers() {
-    let mut deployment = Deployment::serving(small()).await;
+async fn streams_of_a_killed_node_resume_at_another_node_and_complete() {
+    let mut deployment = Deployment::start_serving(small_layout()).await;
     let (first, second) = (deployment.layout.callers(0), deployment.layout.callers(1));
     let prompts: Vec<_> = (0..8).map(|n| format!("question {n}")).collect();
     let mut streams = Vec::new();
     for prompt in &prompts {
-        let mut stream = Stream::open(&first, prompt, 60).await;
+        let mut stream = CompletionStream::open(&first, prompt, 60).await;
         stream.read(3).await;
         streams.push(stream);
     }
     deployment.kill(0);
     for (prompt, mut stream) in prompts.iter().zip(streams) {
         stream.finish().await;
-        assert!(!stream.is_whole, "the node died amid the stream");
-        let mut resumed = Stream::resume(&second, &stream).await.unwrap();
+        assert!(!stream.is_complete, "the node was killed during the stream");
+        let mut resumed = CompletionStream::resume(&second, &stream).await.unwrap();
         resumed.finish().await;
-        assert!(resumed.is_whole);
+        assert!(resumed.is_complete);
         assert_eq!(resumed.text, answer::whole(prompt, 60));
     }
 }
@@ -52,26 +52,26 @@
 /// A planned stop waits for a resumed stream. The stream is long enough to outlast the time
 /// in which complete answers leave the machine.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_of_a_node_cuts_no_stream_that_it_has_taken_up() {
+async fn a_planned_stop_waits_for_a_resumed_stream() {
     const TOKENS: u32 = 1_000;
-    let mut deployment = Deployment::serving(small()).await;
+    let mut deployment = Deployment::start_serving(small_layout()).await;
     let (first, second) = (deployment.layout.callers(0), deployment.layout.callers(1));
-    let mut stream = Stream::open(&first, "question", TOKENS).await;
+    let mut stream = CompletionStream::open(&first, "question", TOKENS).await;
     stream.read(3).await;
     deployment.kill(0);
     stream.finish().await;
-    let mut resumed = Stream::resume(&second, &stream).await.unwrap();
+    let mut resumed = CompletionStream::resume(&second, &stream).await.unwrap();
     deployment.signal(1, "-TERM");
     resumed.finish().await;
-    assert!(resumed.is_whole, "cut after {} of {TOKENS} tokens", resumed.tokens);
+    assert!(resumed.is_complete, "cut after {} of {TOKENS} tokens", resumed.tokens);
     assert_eq!(resumed.text, answer::whole("question", TOKENS));
-    assert_eq!(deployment.wait_exit(1).await, Some(0), "nothing was cut");
+    assert_eq!(deployment.wait_for_exit(1).await, Some(0), "exit code 0: no request was aborted");
 }
 
 /// A planned stop does not wait for connections without a request.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_of_a_node_waits_for_no_idle_connection() {
-    let mut deployment = Deployment::serving(small()).await;
+async fn a_planned_stop_does_not_wait_for_idle_connections() {
+    let mut deployment = Deployment::start_serving(small_layout()).await;
     let address = deployment.layout.callers(0);
     let unused = TcpStream::connect(&address).await.unwrap();
     let mut used = TcpStream::connect(&address).await.unwrap();
@@ -79,27 +79,27 @@
     let mut first = [0; 12];
     used.read_exact(&mut first).await.unwrap();
     assert_eq!(&first, b"HTTP/1.1 200");
-    let began = Instant::now();
+    let stop_began = Instant::now();
     deployment.signal(0, "-TERM");
-    assert_eq!(deployment.wait_exit(0).await, Some(0), "nothing was cut");
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    assert_eq!(deployment.wait_for_exit(0).await, Some(0), "exit code 0: no request was aborted");
+    assert!(stop_began.elapsed() < Duration::from_secs(5), "{:?}", stop_began.elapsed());
     drop((unused, used));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_group_that_loses_a_member_hands_its_streams_to_another_group() {
-    let deployment = Deployment::serving(Layout::default()).await;
+async fn streams_of_a_group_that_loses_a_member_fail_over_to_another_group() {
+    let deployment = Deployment::start_serving(Layout::default()).await;
     let address = deployment.layout.callers(0);
     let mut streams = Vec::new();
     for n in 0..8 {
-        let mut stream = Stream::open(&address, &format!("question {n}"), 80).await;
+        let mut stream = CompletionStream::open(&address, &format!("question {n}"), 80).await;
         stream.read(3).await;
         streams.push(stream);
     }
     deployment.platform.inject(Fault::Kill(deployment.layout.engine_id(0))).await;
     for (n, stream) in streams.iter_mut().enumerate() {
         stream.finish().await;
-        assert!(stream.is_whole, "stream {n}: {} tokens", stream.tokens);
+        assert!(stream.is_complete, "stream {n}: {} tokens", stream.tokens);
         assert_eq!(stream.text, answer::whole(&format!("question {n}"), 80));
     }
 }
@@ -109,12 +109,12 @@
 #[case::room(16)]
 #[case::full(4)]
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_of_a_group_that_freezes_go_on_elsewhere(#[case] slots: u32) {
-    let deployment = Deployment::serving(Layout { slots, ..Layout::default() }).await;
+async fn streams_of_a_frozen_group_fail_over_to_another_group(#[case] slots: u32) {
+    let deployment = Deployment::start_serving(Layout { slots, ..Layout::default() }).await;
     let address = deployment.layout.callers(0);
     let mut streams = Vec::new();
     for n in 0..8 {
-        let mut stream = Stream::open(&address, &format!("question {n}"), 400).await;
+        let mut stream = CompletionStream::open(&address, &format!("question {n}"), 400).await;
         stream.read(3).await;
         streams.push(stream);
     }
@@ -123,23 +123,23 @@
     }
     for (n, stream) in streams.iter_mut().enumerate() {
         stream.finish().await;
-        assert!(stream.is_whole, "stream {n}: {} tokens", stream.tokens);
+        assert!(stream.is_complete, "stream {n}: {} tokens", stream.tokens);
         assert_eq!(stream.text, answer::whole(&format!("question {n}"), 400));
     }
 }
 
 /// Starts a deployment whose `upstream_silence` is shorter than the stall of
-/// [`pause_all`].
-async fn with_little_patience(layout: Layout) -> Deployment {
-    let times = TIMES.replace("upstream_silence = 3000", "upstream_silence = 800");
+/// [`stall_all_engines`].
+async fn start_with_short_stall_timeout(layout: Layout) -> Deployment {
+    let times = TIME_SETTINGS.replace("upstream_silence = 3000", "upstream_silence = 800");
     let deployment = Deployment::start_with(layout, &times, |_, settings| settings).await;
-    deployment.roll_out_first().await;
+    deployment.roll_out_first_bundle().await;
     deployment
 }
 
 /// Slows all engines so far that one step takes longer than three attempts which each end
 /// by the stall timeout.
-async fn pause_all(deployment: &Deployment) {
+async fn stall_all_engines(deployment: &Deployment) {
     let engines = || (0..deployment.layout.engines).map(|i| deployment.layout.engine_id(i));
     for engine in engines() {
         deployment.platform.inject(Fault::Slow(engine, 900)).await;
@@ -153,37 +153,37 @@
 /// Guards against cutting a stream that only stalls: no other group can take it over, or
 /// the one that could stalls as well.
 #[rstest]
-#[case::one_group(small())]
+#[case::one_group(small_layout())]
 #[case::two_groups(Layout::default())]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_falls_silent_ends_by_its_own_end(#[case] layout: Layout) {
-    let deployment = with_little_patience(layout).await;
-    let mut stream = Stream::open(&deployment.layout.callers(0), "question", 40).await;
+async fn a_stalled_stream_without_a_faster_alternative_completes(#[case] layout: Layout) {
+    let deployment = start_with_short_stall_timeout(layout).await;
+    let mut stream = CompletionStream::open(&deployment.layout.callers(0), "question", 40).await;
     stream.read(3).await;
-    pause_all(&deployment).await;
+    stall_all_engines(&deployment).await;
     stream.finish().await;
-    assert!(stream.is_whole, "cut after {} of 40 tokens", stream.tokens);
+    assert!(stream.is_complete, "cut after {} of 40 tokens", stream.tokens);
     assert_eq!(stream.text, answer::whole("question", 40));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_was_taken_up_and_falls_silent_ends_by_its_own_end() {
-    let deployment = with_little_patience(small()).await;
+async fn a_resumed_stream_that_stalls_completes() {
+    let deployment = start_with_short_stall_timeout(small_layout()).await;
     let address = deployment.layout.callers(0);
-    let mut stream = Stream::open(&address, "question", 200).await;
+    let mut stream = CompletionStream::open(&address, "question", 200).await;
     stream.read(3).await;
-    let mut resumed = Stream::resume(&address, &stream).await.unwrap();
+    let mut resumed = CompletionStream::resume(&address, &stream).await.unwrap();
     resumed.read(10).await;
-    pause_all(&deployment).await;
+    stall_all_engines(&deployment).await;
     resumed.finish().await;
-    assert!(resumed.is_whole, "cut after {} of 200 tokens", resumed.tokens);
+    assert!(resumed.is_complete, "cut after {} of 200 tokens", resumed.tokens);
     assert_eq!(resumed.text, answer::whole("question", 200));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_booking_runs_once_though_the_append_reply_is_lost_and_it_is_asked_for_elsewhere() {
-    let deployment = Deployment::serving(small()).await;
-    let key = caller::key();
+async fn a_booking_sent_to_two_nodes_runs_once_although_the_append_reply_is_lost() {
+    let deployment = Deployment::start_serving(small_layout()).await;
+    let key = caller::new_idempotency_key();
     deployment.platform.inject(Fault::LoseReplies(1)).await;
     let (first, second) = (deployment.layout.callers(0), deployment.layout.callers(1));
     let both = tokio::join!(book(&first, &key, "one seat"), book(&second, &key, "one seat"));
@@ -196,9 +196,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_elsewhere_gets_the_first_answer_and_another_request_is_refused() {
-    let deployment = Deployment::serving(small()).await;
-    let key = caller::key();
+async fn a_key_at_another_node_gets_the_first_response_and_another_request_is_refused() {
+    let deployment = Deployment::start_serving(small_layout()).await;
+    let key = caller::new_idempotency_key();
     let first = book(&deployment.layout.callers(0), &key, "gate 4").await.unwrap();
     let again = book(&deployment.layout.callers(1), &key, "gate 4").await.unwrap();
     assert_eq!((first.status, &first.body), (StatusCode::OK, &again.body));
@@ -210,32 +210,40 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_dies_with_a_key_leaves_unknown_behind_and_nobody_runs_it_again() {
-    let mut deployment = Deployment::serving(small()).await;
-    let key = caller::key();
+async fn after_the_owner_of_a_key_dies_the_result_is_unknown_and_no_node_runs_it_again() {
+    let mut deployment = Deployment::start_serving(small_layout()).await;
+    let key = caller::new_idempotency_key();
     book(&deployment.layout.callers(0), &key, "pass 9").await.unwrap();
     deployment.kill(0);
     let again = book(&deployment.layout.callers(1), &key, "pass 9").await.unwrap();
     assert_eq!(again.body["ran"], "unknown");
     deployment.start_entry(0);
-    deployment.wait("the node is back", |all| all.iter().all(|status| status.ready)).await;
+    deployment.wait("all nodes are ready", |all| all.iter().all(|status| status.ready)).await;
     let third = book(&deployment.layout.callers(0), &key, "pass 9").await.unwrap();
     assert_eq!(third.body["ran"], "unknown");
     assert_eq!(deployment.platform.observed().service_runs.get("pass 9"), Some(&1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_log_away_a_booking_is_told_not_run_at_once_and_is_not_run() {
-    let deployment = Deployment::serving(small()).await;
+async fn during_a_log_outage_a_booking_is_refused_as_not_run() {
+    let deployment = Deployment::start_serving(small_layout()).await;
     deployment.platform.inject(Fault::LogDown(true)).await;
-    deployment.wait("all notice", |all| all.iter().all(|status| !status.log_answers)).await;
-    let key = caller::key();
+    deployment
+        .wait("all nodes report that the log does not answer", |all| {
+            all.iter().all(|status| !status.log_answers)
+        })
+        .await;
+    let key = caller::new_idempotency_key();
     let told = book(&deployment.layout.callers(0), &key, "row 3").await.unwrap();
     assert_eq!(told.body["code"], "log_unavailable");
     assert_eq!(told.body["ran"], "no");
-    assert!(told.retry_after.is_some(), "it says when to come back");
+    assert!(told.retry_after.is_some(), "a Retry-After header");
     deployment.platform.inject(Fault::LogDown(false)).await;
-    deployment.wait("the log is back", |all| all.iter().all(|status| status.log_answers)).await;
+    deployment
+        .wait("all nodes report that the log answers", |all| {
+            all.iter().all(|status| status.log_answers)
+        })
+        .await;
     assert_eq!(deployment.platform.observed().service_runs.get("row 3"), None);
     let ran = book(&deployment.layout.callers(0), &key, "row 3").await.unwrap();
     assert_eq!(ran.status, StatusCode::OK);
@@ -243,10 +251,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nobody_reads_or_cancels_the_stream_of_another_team() {
-    let deployment = Deployment::serving(small()).await;
+async fn no_team_reads_or_cancels_the_stream_of_another() {
+    let deployment = Deployment::start_serving(small_layout()).await;
     let address = deployment.layout.callers(0);
-    let mut stream = Stream::open(&address, "our secret", 60).await;
+    let mut stream = CompletionStream::open(&address, "our secret", 60).await;
     stream.read(2).await;
     for method in [Method::GET, Method::DELETE] {
         let path = format!("/v1/requests/{}", stream.id);
@@ -263,10 +271,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_bad_request_gets_a_clear_refusal_and_its_neighbours_go_on() {
-    let deployment = Deployment::serving(small()).await;
+async fn invalid_requests_get_an_error_and_other_streams_go_on() {
+    let deployment = Deployment::start_serving(small_layout()).await;
     let address = deployment.layout.callers(0);
-    let mut neighbour = Stream::open(&address, "neighbour", 100).await;
+    let mut neighbour = CompletionStream::open(&address, "neighbour", 100).await;
     neighbour.read(1).await;
     let long = "x".repeat(2 * 1024 * 1024);
     let completions = "/v1/completions";
@@ -303,7 +311,8 @@
         (Method::POST, "/gate/rebook", vec![("idempotency-key", "7")], "{}", 400, "bad_request"),
     ];
     for (method, path, headers, bytes, status, code) in cases {
-        let answer = ask(&address, method, path, &headers, bytes.to_owned()).await.unwrap();
+        let answer =
+            send_request(&address, method, path, &headers, bytes.to_owned()).await.unwrap();
         let got = (answer.status.as_u16(), answer.body["code"].as_str());
         assert_eq!(got, (status, Some(code)), "{path} {headers:?}");
         assert_eq!(answer.body["ran"], "no", "{path} {headers:?}");
--- a/crates/workshold-node/tests/settings.rs
+++ b/crates/workshold-node/tests/settings.rs
@@ -7,12 +7,12 @@
 use workshold_protocol::bundle::Bundle;
 use workshold_protocol::signing::ClusterKey;
 
-fn examples() -> PathBuf {
+fn example_folder() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../config")
 }
 
 /// Writes a cluster key and the settings `text` to a folder; returns the settings' path.
-fn written(name: &str, text: &str) -> PathBuf {
+fn write_settings(name: &str, text: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("workshold-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("cluster.key"), ClusterKey::generate_text()).unwrap();
@@ -20,35 +20,35 @@
     folder.join("entry.toml")
 }
 
-fn example(name: &str) -> String {
-    std::fs::read_to_string(examples().join(name)).unwrap()
+fn read_example(name: &str) -> String {
+    std::fs::read_to_string(example_folder().join(name)).unwrap()
 }
 
 #[rstest]
 #[case("parkowisko-entry.toml")]
 #[case("sifr-entry.toml")]
-fn the_examples_are_good(#[case] name: &str) {
-    let path = written(name, &example(name));
+fn the_example_settings_are_valid(#[case] name: &str) {
+    let path = write_settings(name, &read_example(name));
     assert!(settings::load(&path).is_ok(), "{:?}", settings::load(&path).err());
 }
 
 #[rstest]
 #[case("parkowisko-bundle.toml")]
 #[case("sifr-bundle.toml")]
-fn the_example_bundles_are_good(#[case] name: &str) {
-    let bundle = Bundle::from_toml(&example(name)).unwrap();
+fn the_example_bundles_are_valid(#[case] name: &str) {
+    let bundle = Bundle::from_toml(&read_example(name)).unwrap();
     assert_eq!(bundle.faults(), Vec::new());
 }
 
 #[test]
-fn every_fault_is_named_with_its_key_in_one_go() {
-    let text = example("sifr-entry.toml")
+fn all_faults_are_reported_at_once_with_their_keys() {
+    let text = read_example("sifr-entry.toml")
         .replace("10.7.0.11:7000", "bole:7000")
         .replace("10.7.0.2:8000", "nowhere")
         .replace("cluster.key", "no.key")
         .replace("[times]", "[times]\nprobe_every = 1000\nreport_ttl = 1000")
         .replace("l2jq6ZzxOScwU6AvZmKkAnGHGxBhAd3Dh0pFC4lyFpQ=", "short");
-    let faults = settings::load(&written("faults", &text)).unwrap_err();
+    let faults = settings::load(&write_settings("faults", &text)).unwrap_err();
     let keys: Vec<_> = faults.iter().map(|fault| fault.key.as_str()).collect();
     let wanted = [
         "node.callers",
@@ -64,6 +64,6 @@
 #[case::unknown_key("[node]\ncolour = \"red\"\n")]
 #[case::no_toml("[node")]
 #[case::empty("")]
-fn what_cannot_be_read_is_refused(#[case] text: &str) {
-    assert!(settings::load(&written("unreadable", text)).is_err());
+fn invalid_settings_are_refused(#[case] text: &str) {
+    assert!(settings::load(&write_settings("unreadable", text)).is_err());
 }
--- a/crates/workshold-node/tests/support/caller.rs
+++ b/crates/workshold-node/tests/support/caller.rs
@@ -21,7 +21,7 @@
 use super::Deployment;
 
 /// How long a caller waits for a connection, a response or the next bytes of a stream.
-const WITHIN: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A response as a caller reads it.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
 }
 
 /// Sends a request of the team `travel`; `None` if there is no complete response.
-pub async fn ask(
+pub async fn send_request(
     address: &str,
     method: Method,
     path: &str,
@@ -44,8 +44,8 @@
         req = req.header(*name, *value);
     }
     let req = req.body(body::full(bytes)).unwrap();
-    let connected = client::connect(address, WITHIN).await.ok()?;
-    let (res, _driver) = connected.send(req, WITHIN).await.ok()?;
+    let connected = client::connect(address, REQUEST_TIMEOUT).await.ok()?;
+    let (res, _driver) = connected.send(req, REQUEST_TIMEOUT).await.ok()?;
     let status = res.status();
     let retry_after = res.headers().get("retry-after").map(|v| v.to_str().unwrap().to_owned());
     let bytes = res.into_body().collect().await.ok()?.to_bytes();
@@ -57,26 +57,26 @@
 /// Sends a booking under the idempotency key `key`, so that it runs at most once.
 pub async fn book(address: &str, key: &str, booking: &str) -> Option<Answer> {
     let headers = [("idempotency-key", key)];
-    ask(address, Method::POST, "/gate/rebook", &headers, booking.to_owned()).await
+    send_request(address, Method::POST, "/gate/rebook", &headers, booking.to_owned()).await
 }
 
 /// Makes a new idempotency key.
-pub fn key() -> String {
+pub fn new_idempotency_key() -> String {
     Uuid::now_v7().to_string()
 }
 
 /// A stream that a test reads token by token.
-pub struct Stream {
+pub struct CompletionStream {
     body: Incoming,
     _driver: ConnectionTask,
     buf: Vec<u8>,
     pub id: String,
     pub text: String,
     pub tokens: u32,
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Stream {
+impl CompletionStream {
     /// Requests a streamed completion of `tokens` tokens.
     pub async fn open(address: &str, prompt: &str, tokens: u32) -> Self {
         let value = serde_json::json!({
@@ -86,21 +86,21 @@
         Self::send(address, req).await.unwrap()
     }
 
-    /// Resumes a stream after the last token that `former` has read. The error is the problem in
+    /// Resumes a stream after the last token that `previous` has read. The error is the problem in
     /// the response.
-    pub async fn resume(address: &str, former: &Self) -> Result<Self, Value> {
-        let path = format!("/v1/requests/{}?from={}", former.id, former.tokens);
+    pub async fn resume(address: &str, previous: &Self) -> Result<Self, Value> {
+        let path = format!("/v1/requests/{}?from={}", previous.id, previous.tokens);
         let req = client::request::<()>(address, Method::GET, &path, None);
         let mut stream = Self::send(address, req).await?;
-        stream.text = former.text.clone();
-        stream.tokens = former.tokens;
+        stream.text = previous.text.clone();
+        stream.tokens = previous.tokens;
         Ok(stream)
     }
 
     async fn send(address: &str, mut req: Request<Body>) -> Result<Self, Value> {
         req.headers_mut().insert("workshold-team", "travel".parse().unwrap());
-        let connected = client::connect(address, WITHIN).await.unwrap();
-        let (res, driver) = connected.send(req, WITHIN).await.unwrap();
+        let connected = client::connect(address, REQUEST_TIMEOUT).await.unwrap();
+        let (res, driver) = connected.send(req, REQUEST_TIMEOUT).await.unwrap();
         let status = res.status();
         let id = res.headers().get("workshold-request-id").map(|id| id.to_str().unwrap());
         let id = id.unwrap_or_default().to_owned();
@@ -110,19 +110,19 @@
             return Err(serde_json::from_slice(&bytes).unwrap());
         }
         let (text, tokens) = (String::new(), 0);
-        Ok(Self { body, _driver: driver, buf: Vec::new(), id, text, tokens, is_whole: false })
+        Ok(Self { body, _driver: driver, buf: Vec::new(), id, text, tokens, is_complete: false })
     }
 
     /// Reads until the stream has `tokens` tokens in all, ends, breaks, or sends nothing for
     /// 30 seconds.
     pub async fn read(&mut self, tokens: u32) {
-        while self.tokens < tokens && !self.is_whole {
-            match tokio::time::timeout(WITHIN, self.body.frame()).await {
+        while self.tokens < tokens && !self.is_complete {
+            match tokio::time::timeout(REQUEST_TIMEOUT, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     self.buf.extend_from_slice(frame.data_ref().unwrap());
                     while let Some(end) = self.buf.windows(2).position(|pair| pair == b"\n\n") {
                         let event: Vec<_> = self.buf.drain(..end + 2).collect();
-                        self.take(&String::from_utf8(event).unwrap());
+                        self.on_event(&String::from_utf8(event).unwrap());
                     }
                 }
                 _ => return,
@@ -135,14 +135,14 @@
         self.read(u32::MAX).await;
     }
 
-    fn take(&mut self, event: &str) {
+    fn on_event(&mut self, event: &str) {
         for line in event.lines() {
             if let Some(id) = line.strip_prefix(": request-id ") {
                 self.id = id.to_owned();
             }
             let Some(data) = line.strip_prefix("data: ") else { continue };
             if data == "[DONE]" {
-                self.is_whole = true;
+                self.is_complete = true;
             } else if let Ok(chunk) = serde_json::from_str::<Value>(data)
                 && chunk["choices"][0]["finish_reason"].is_null()
                 && let Some(text) = chunk["choices"][0]["text"].as_str()
--- a/crates/workshold-node/tests/support/mod.rs
+++ b/crates/workshold-node/tests/support/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code, reason = "each test file uses its part of this")]
 
 pub mod caller;
-pub mod cuttable;
+pub mod tcp_proxy;
 
 use std::net::TcpListener;
 use std::path::Path;
@@ -38,26 +38,26 @@
 use workshold_standins::layout::PORTS;
 
 /// Settings of times, in milliseconds: short enough for tests, long enough for a busy machine.
-pub const TIMES: &str = "probe_every = 150\nreport_ttl = 1500\nclock_error = 100\n\
+pub const TIME_SETTINGS: &str = "probe_every = 150\nreport_ttl = 1500\nclock_error = 100\n\
     member_grace = 600\npeer_ttl = 1500\nisolation_after = 2500\nplan_every = 100\n\
     entries_ttl = 500\nupstream_silence = 3000\n";
 
 /// How long a test waits for a condition before it fails.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Pause between two checks of a condition.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Tests on this machine take one of these blocks of ports each.
 const FIRST_PORT: u16 = 10_000;
 /// The number of blocks; each has `PORTS` ports.
 const PORT_BLOCKS: u16 = 70;
 
-static TAKEN: Mutex<Vec<u16>> = Mutex::new(Vec::new());
+static TAKEN_BLOCKS: Mutex<Vec<u16>> = Mutex::new(Vec::new());
 
 /// Finds a block of free ports. Starts at a block that depends on the process id, so that
 /// test processes that run at once rarely try the same one.
 fn free_ports() -> u16 {
-    let mut taken = TAKEN.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut taken = TAKEN_BLOCKS.lock().unwrap_or_else(PoisonError::into_inner);
     let start = (std::process::id() % u32::from(PORT_BLOCKS)) as u16;
     for n in 0..PORT_BLOCKS {
         let base = FIRST_PORT + (start + n) % PORT_BLOCKS * PORTS;
@@ -81,7 +81,7 @@
 impl Deployment {
     /// Starts the stand-ins and the entry nodes, without a bundle.
     pub async fn start(layout: Layout) -> Self {
-        Self::start_with(layout, TIMES, |_, settings| settings).await
+        Self::start_with(layout, TIME_SETTINGS, |_, settings| settings).await
     }
 
     /// Like `start`, with other times, and with the settings of each node passed through
@@ -111,18 +111,20 @@
     }
 
     /// Like `start`, with the first bundle in force and all its groups serving.
-    pub async fn serving(layout: Layout) -> Self {
+    pub async fn start_serving(layout: Layout) -> Self {
         let deployment = Self::start(layout).await;
-        deployment.roll_out_first().await;
+        deployment.roll_out_first_bundle().await;
         deployment
     }
 
     /// Publishes and signs off the first bundle, and waits until all its groups serve.
-    pub async fn roll_out_first(&self) {
+    pub async fn roll_out_first_bundle(&self) {
         let hash = self.publish(&self.bundle("first", "v1")).await;
         self.sign_off("alice", hash, None).await;
         self.wait("all groups serve everywhere", |statuses| {
-            statuses.iter().all(|s| s.ready && serving(s) == usize::from(self.domains()))
+            statuses
+                .iter()
+                .all(|s| s.ready && serving_group_count(s) == usize::from(self.domains()))
         })
         .await;
     }
@@ -163,7 +165,7 @@
 
     /// Waits until an entry node's process has exited; returns its exit code, `None` if a
     /// signal ended it.
-    pub async fn wait_exit(&mut self, i: u16) -> Option<i32> {
+    pub async fn wait_for_exit(&mut self, i: u16) -> Option<i32> {
         let mut child = self.entries[usize::from(i)].take().unwrap();
         let exit = tokio::task::spawn_blocking(move || child.wait()).await.unwrap().unwrap();
         exit.code()
@@ -196,7 +198,9 @@
         let path = format!("/streams/{STREAM}/records");
         let log = self.layout.log();
         let reply: AppendReply =
-            client::call(&log, hyper::Method::POST, &path, Some(&append), PATIENCE).await.unwrap();
+            client::call(&log, hyper::Method::POST, &path, Some(&append), WAIT_TIMEOUT)
+                .await
+                .unwrap();
         reply.offset
     }
 
@@ -207,7 +211,7 @@
 
     /// A node's whole state, as the debug endpoint returns it.
     pub async fn dump(&self, i: u16) -> serde_json::Value {
-        client::get(&self.layout.operators(i), "/debug/state", PATIENCE).await.unwrap()
+        client::get(&self.layout.operators(i), "/debug/state", WAIT_TIMEOUT).await.unwrap()
     }
 
     fn running(&self) -> Vec<u16> {
@@ -215,40 +219,40 @@
         running.collect()
     }
 
-    /// Waits until all running nodes answer and `is_so` holds for their statuses.
-    pub async fn wait(&self, what: &str, is_so: impl Fn(&[Status]) -> bool) {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+    /// Waits until all running nodes answer and `condition` holds for their statuses.
+    pub async fn wait(&self, what: &str, condition: impl Fn(&[Status]) -> bool) {
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             let mut statuses = Vec::new();
             for i in self.running() {
                 statuses.extend(self.status(i).await);
             }
-            if statuses.len() == self.running().len() && is_so(&statuses) {
+            if statuses.len() == self.running().len() && condition(&statuses) {
                 return;
             }
             if tokio::time::Instant::now() > deadline {
-                self.give_up(what, &statuses);
+                self.fail_with_logs(what, &statuses);
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn give_up(&self, what: &str, statuses: &[Status]) -> ! {
+    fn fail_with_logs(&self, what: &str, statuses: &[Status]) -> ! {
         for i in 0..self.layout.entries {
             let log = std::fs::read_to_string(self.folder.join(format!("entry-{i}.log")));
             eprintln!("--- entry-{i}\n{}", log.unwrap_or_default());
         }
-        panic!("not within {PATIENCE:?}: {what}\n{statuses:#?}");
+        panic!("not within {WAIT_TIMEOUT:?}: {what}\n{statuses:#?}");
     }
 
-    /// Waits until `is_so` holds for the stand-ins.
-    pub async fn wait_platform(&self, what: &str, is_so: impl Fn(&Platform) -> bool) {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
-        while !is_so(&self.platform) {
+    /// Waits until `condition` holds for the stand-ins.
+    pub async fn wait_for_platform(&self, what: &str, condition: impl Fn(&Platform) -> bool) {
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
+        while !condition(&self.platform) {
             if tokio::time::Instant::now() > deadline {
-                self.give_up(what, &[]);
+                self.fail_with_logs(what, &[]);
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -270,11 +274,11 @@
 }
 
 /// The number of groups that serve, as a node reports it.
-pub fn serving(status: &Status) -> usize {
+pub fn serving_group_count(status: &Status) -> usize {
     status.groups.iter().filter(|group| group.serving).count()
 }
 
 /// The hash of the bundle that is in force at a node.
-pub fn in_force(status: &Status) -> Option<&str> {
+pub fn bundle_in_force(status: &Status) -> Option<&str> {
     status.bundle.as_ref().map(|bundle| bundle.hash.as_str())
 }
--- a/crates/workshold-node/tests/support/tcp_proxy.rs
+++ b/crates/workshold-node/tests/support/tcp_proxy.rs
@@ -10,13 +10,13 @@
 use tokio::net::TcpStream;
 
 /// Forwards connections from one address to another, unless it is cut.
-pub struct Cuttable {
+pub struct TcpProxy {
     is_cut: Arc<AtomicBool>,
 }
 
-impl Cuttable {
+impl TcpProxy {
     /// Starts to forward connections to `address` to `target`.
-    pub async fn at(address: &str, target: String) -> Self {
+    pub async fn start(address: &str, target: String) -> Self {
         let listener = TcpListener::bind(address).await.unwrap();
         let is_cut = Arc::new(AtomicBool::new(false));
         tokio::spawn(forward(listener, target, Arc::clone(&is_cut)));
@@ -24,7 +24,7 @@
     }
 
     /// Cuts the proxy, which also breaks open connections, or restores it.
-    pub fn cut(&self, is_cut: bool) {
+    pub fn set_cut(&self, is_cut: bool) {
         self.is_cut.store(is_cut, Ordering::SeqCst);
     }
 }
@@ -39,13 +39,13 @@
             let Ok(mut far) = TcpStream::connect(target).await else { return };
             tokio::select! {
                 _ = copy_bidirectional(&mut near, &mut far) => {}
-                () = until_cut(&is_cut) => {}
+                () = wait_until_cut(&is_cut) => {}
             }
         });
     }
 }
 
-async fn until_cut(is_cut: &AtomicBool) {
+async fn wait_until_cut(is_cut: &AtomicBool) {
     while !is_cut.load(Ordering::SeqCst) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
