--- a/crates/workshold-node/src/callers/generation.rs
+++ b/crates/workshold-node/src/callers/generation.rs
@@ -55,7 +55,7 @@
     pub share: f64,
     /// The model that generates.
     pub model: ModelName,
-    /// The adapter to load on the model; `None` for the model alone.
+    /// The adapter to apply to the model; `None` for the model alone.
     pub adapter: Option<AdapterName>,
     /// The prompt as one text, also for chat requests.
     pub prompt: String,
@@ -279,9 +279,9 @@
         let is_done = matches!(attempt_end, AttemptEnd::Lifecycle(Event::Done));
         // Streams that did not complete are cancelled, except a single one that ended before its
         // first token.
-        let is_wanted = is_done || self.lifecycle.tokens() == 0 && engine_streams.len() == 1;
+        let may_skip_cancel = is_done || self.lifecycle.tokens() == 0 && engine_streams.len() == 1;
         for engine_stream in &engine_streams {
-            if !is_wanted || matches!(attempt_end, AttemptEnd::CallerGone) {
+            if !may_skip_cancel || matches!(attempt_end, AttemptEnd::CallerGone) {
                 cancel(engine_stream.group.address.clone(), engine_stream.id);
             }
             let first_token = first_token.map(|at: Millis| at.since(engine_stream.started));
--- a/crates/workshold-node/src/callers/services.rs
+++ b/crates/workshold-node/src/callers/services.rs
@@ -70,13 +70,13 @@
     fn choose<'a>(
         &mut self,
         listed: &[&'a ListedInstance],
-        is_near: impl Fn(&ListedInstance) -> bool,
+        is_local: impl Fn(&ListedInstance) -> bool,
         now: Millis,
     ) -> Option<&'a ListedInstance> {
         let key = |candidate: &&&ListedInstance| {
             let is_ejected = self.outliers.is_ejected(&candidate.instance, now);
             let load = self.in_flight.get(&candidate.instance).copied().unwrap_or(0);
-            (is_ejected, !is_near(candidate), load)
+            (is_ejected, !is_local(candidate), load)
         };
         let chosen = *listed.iter().min_by_key(key)?;
         *self.in_flight.entry(chosen.instance.clone()).or_default() += 1;
@@ -316,10 +316,10 @@
         })
         .filter(|listed| !listed.leaving && !tried.contains(&listed.instance))
         .collect();
-    let is_near = |listed: &ListedInstance| listed.data_centre == node.settings.node.data_centre;
+    let is_local = |listed: &ListedInstance| listed.data_centre == node.settings.node.data_centre;
     let now = node.now();
     node.services.with_entry(service, ServiceBalancer::default, |balancer| {
-        balancer.choose(&usable, is_near, now).cloned()
+        balancer.choose(&usable, is_local, now).cloned()
     })
 }
 
