--- a/crates/workshold-node/tests/requests.rs
+++ b/crates/workshold-node/tests/requests.rs
@@ -189,8 +189,8 @@
     let both = tokio::join!(book(&first, &key, "one seat"), book(&second, &key, "one seat"));
     let later = book(&deployment.layout.callers(2), &key, "one seat").await.unwrap();
     for answer in [both.0.unwrap(), both.1.unwrap(), later] {
-        let told_unknown = answer.body["ran"] == "unknown";
-        assert!(answer.status == StatusCode::OK || told_unknown, "{answer:?}");
+        let says_unknown = answer.body["ran"] == "unknown";
+        assert!(answer.status == StatusCode::OK || says_unknown, "{answer:?}");
     }
     assert_eq!(deployment.platform.observed().service_runs.get("one seat"), Some(&1));
 }
@@ -234,10 +234,10 @@
         })
         .await;
     let key = caller::new_idempotency_key();
-    let told = book(&deployment.layout.callers(0), &key, "row 3").await.unwrap();
-    assert_eq!(told.body["code"], "log_unavailable");
-    assert_eq!(told.body["ran"], "no");
-    assert!(told.retry_after.is_some(), "a Retry-After header");
+    let response = book(&deployment.layout.callers(0), &key, "row 3").await.unwrap();
+    assert_eq!(response.body["code"], "log_unavailable");
+    assert_eq!(response.body["ran"], "no");
+    assert!(response.retry_after.is_some(), "a Retry-After header");
     deployment.platform.inject(Fault::LogDown(false)).await;
     deployment
         .wait("all nodes report that the log answers", |all| {
