--- a/crates/workshold-node/src/callers/sse.rs
+++ b/crates/workshold-node/src/callers/sse.rs
@@ -1,4 +1,5 @@
-//! Answers in the shape that OpenAI-style clients read.
+//! Encodes completions in the format of OpenAI-style clients: server-sent events for
+//! streams, one JSON document for whole answers.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -6,7 +7,7 @@
 
 use crate::callers::completions::CompletionFormat;
 
-/// The media type of a stream of events.
+/// The media type of server-sent events.
 pub const EVENT_STREAM: &str = "text/event-stream";
 
 #[derive(Debug, Serialize)]
@@ -28,18 +29,18 @@
 #[serde(rename_all = "snake_case")]
 enum Content<'a> {
     Text(&'a str),
-    Delta(Message<'a>),
-    Message(Message<'a>),
+    Delta(ChatMessage<'a>),
+    Message(ChatMessage<'a>),
 }
 
 #[derive(Debug, Serialize)]
-struct Message<'a> {
+struct ChatMessage<'a> {
     role: &'static str,
     content: &'a str,
 }
 
 #[derive(Debug, Serialize)]
-struct Whole<'a> {
+struct Completion<'a> {
     id: &'a str,
     object: &'static str,
     model: &'a str,
@@ -54,60 +55,63 @@
 
 const ASSISTANT: &str = "assistant";
 
-/// The event of one token; its id is the token's place, to resume after.
-pub fn token(style: CompletionFormat, model: &str, index: u32, text: &str) -> Bytes {
-    let content = match style {
+/// Encodes the event of one token. The event's id is the token's index, for clients that
+/// resume the stream.
+pub fn token(format: CompletionFormat, model: &str, index: u32, text: &str) -> Bytes {
+    let content = match format {
         CompletionFormat::Text => Content::Text(text),
-        CompletionFormat::Chat => Content::Delta(Message { role: ASSISTANT, content: text }),
+        CompletionFormat::Chat => Content::Delta(ChatMessage { role: ASSISTANT, content: text }),
     };
-    event(index, style, model, content, None)
+    event(index, format, model, content, None)
 }
 
-/// The events at the end of a whole answer of `tokens` tokens.
-pub fn done(style: CompletionFormat, model: &str, tokens: u32) -> Bytes {
-    let content = match style {
+/// Encodes the two events that end a complete answer of `tokens` tokens: a chunk with a
+/// finish reason, and `[DONE]`.
+pub fn done(format: CompletionFormat, model: &str, tokens: u32) -> Bytes {
+    let content = match format {
         CompletionFormat::Text => Content::Text(""),
-        CompletionFormat::Chat => Content::Delta(Message { role: ASSISTANT, content: "" }),
+        CompletionFormat::Chat => Content::Delta(ChatMessage { role: ASSISTANT, content: "" }),
     };
-    let mut bytes = event(tokens, style, model, content, Some("stop")).to_vec();
+    let mut bytes = event(tokens, format, model, content, Some("stop")).to_vec();
     bytes.extend_from_slice(b"data: [DONE]\n\n");
     bytes.into()
 }
 
 fn event(
     id: u32,
-    style: CompletionFormat,
+    format: CompletionFormat,
     model: &str,
     content: Content<'_>,
     finish_reason: Option<&'static str>,
 ) -> Bytes {
-    let object = style.chunk_object();
+    let object = format.chunk_object();
     let chunk = Chunk { object, model, choices: [Choice { index: 0, content, finish_reason }] };
     let mut bytes = format!("id: {id}\ndata: ").into_bytes();
-    serde_json::to_writer(&mut bytes, &chunk).expect("a chunk is text");
+    serde_json::to_writer(&mut bytes, &chunk).expect("a chunk serializes to JSON");
     bytes.extend_from_slice(b"\n\n");
     bytes.into()
 }
 
-/// A comment with the id by which the stream can be resumed from now on.
+/// Encodes a comment line with the id by which the stream can be resumed from now on.
+/// Clients that do not know it ignore it.
 pub fn request_id(id: &str) -> Bytes {
     format!(": request-id {id}\n\n").into()
 }
 
-/// The event that ends a stream which cannot be completed.
+/// Encodes the event that ends a stream which cannot be completed.
 pub fn problem(problem: &Problem) -> Bytes {
-    let text = serde_json::to_string(problem).expect("a problem is text");
+    let text = serde_json::to_string(problem).expect("a problem serializes to JSON");
     format!("event: error\ndata: {text}\n\n").into()
 }
 
-/// A whole answer in one piece.
-pub fn whole(style: CompletionFormat, model: &str, id: &str, text: &str, tokens: u32) -> Vec<u8> {
-    let content = match style {
+/// Encodes a complete answer for a request that is not streamed.
+pub fn whole(format: CompletionFormat, model: &str, id: &str, text: &str, tokens: u32) -> Vec<u8> {
+    let content = match format {
         CompletionFormat::Text => Content::Text(text),
-        CompletionFormat::Chat => Content::Message(Message { role: ASSISTANT, content: text }),
+        CompletionFormat::Chat => Content::Message(ChatMessage { role: ASSISTANT, content: text }),
     };
     let choices = [Choice { index: 0, content, finish_reason: Some("stop") }];
     let usage = Usage { completion_tokens: tokens };
-    let whole = Whole { id, object: style.whole_object(), model, choices, usage };
-    serde_json::to_vec(&whole).expect("an answer is text")
+    let whole = Completion { id, object: format.whole_object(), model, choices, usage };
+    serde_json::to_vec(&whole).expect("a completion serializes to JSON")
 }
--- a/crates/workshold-node/tests/concurrency.rs
+++ b/crates/workshold-node/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! Reading a node's state while it changes never locks it up.
+//! Reading a node's state while other threads change it does not deadlock.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -15,6 +15,7 @@
 use workshold_standins::Layout;
 use workshold_standins::commands::prepare;
 
+/// How often the state is read while the writers run.
 const ROUNDS: u32 = 3_000;
 
 fn node() -> (Arc<Node>, PathBuf) {
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn the_status_is_read_while_writers_wait() {
+fn reading_the_state_beside_writers_does_not_deadlock() {
     let (node, folder) = node();
     let is_over = Arc::new(AtomicBool::new(false));
     for _ in 0..2 {
@@ -48,5 +49,5 @@
     let read = wait.recv_timeout(Duration::from_secs(60));
     is_over.store(true, Ordering::Relaxed);
     let _ = std::fs::remove_dir_all(folder);
-    assert_eq!(read, Ok(()), "the node has locked itself up");
+    assert_eq!(read, Ok(()), "deadlock: the state was not read in time");
 }
