--- a/crates/workshold-node/src/counters.rs
+++ b/crates/workshold-node/src/counters.rs
@@ -1,4 +1,4 @@
-//! Numbers that a node counts about itself.
+//! Counters of a node, which are sent as metrics.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -7,28 +7,28 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident: $metric:literal, $text:literal;)*) => {
-        /// What a node has counted since it started.
+        /// All counters of a node; they start at 0 with the process.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
         }
 
-        /// A copy of [`Counters`] at some moment.
+        /// A snapshot of [`Counters`].
         #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
         pub struct Counts {
             $($(#[$doc])* pub $name: u64,)*
         }
 
         impl Counters {
-            /// All names under which metrics are sent, and what they count.
+            /// Name of each metric, and what it counts.
             pub const METRICS: &'static [(&'static str, &'static str)] = &[$(($metric, $text),)*];
 
-            /// The counts now.
+            /// Current values by name.
             pub fn counts(&self) -> Counts {
                 Counts { $($name: self.$name.get(),)* }
             }
 
-            /// The counts in the order of [`Self::METRICS`].
+            /// Current values in the order of [`Self::METRICS`].
             pub fn values(&self) -> Vec<u64> {
                 vec![$(self.$name.get(),)*]
             }
@@ -36,7 +36,7 @@
     };
 }
 
-/// A number that only grows.
+/// A counter that only increases.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
@@ -46,49 +46,49 @@
         self.0.fetch_add(n, Ordering::Relaxed);
     }
 
-    /// The number so far.
+    /// Current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
 counters! {
-    /// Requests that came.
-    requests: "requests", "requests that came";
-    /// Requests that ended as answered.
-    answered: "answered", "requests whose whole answer went to the caller";
-    /// Requests that ended as not run.
-    not_run: "not_run", "requests that ended as not run";
-    /// Requests that ended as unknown.
-    unknown: "unknown", "requests of which it is unknown whether they ran";
-    /// Attempts after the first.
+    /// Requests received on the callers' listener.
+    requests: "requests", "requests received from callers";
+    /// Requests whose whole answer was sent.
+    answered: "answered", "requests whose whole answer was sent to the caller";
+    /// Requests that failed without having run.
+    not_run: "not_run", "requests that failed and were not run";
+    /// Requests that failed and may have run.
+    unknown: "unknown", "requests that failed and may have run";
+    /// Attempts after the first one of a request.
     retries: "retries", "attempts after the first of a request";
-    /// Streams taken up at another node.
+    /// Streams that their callers resumed at this node.
     resumed: "resumed", "streams resumed by their callers";
-    /// Streams cancelled because the caller was gone.
+    /// Streams cancelled because the caller disconnected or stopped reading.
     cancelled: "cancelled", "streams cancelled because the caller was gone";
     /// Tokens sent to callers.
     tokens: "tokens", "tokens sent to callers";
-    /// Bytes received for control.
+    /// Bytes of control traffic received; those of probes are estimated.
     control_received: "control.received_bytes", "bytes received from peers, probes, log and list";
-    /// Bytes sent for control.
+    /// Bytes of control traffic sent; those of probes are estimated.
     control_sent: "control.sent_bytes", "bytes sent to peers, probes, log and list";
-    /// Probes sent.
-    probes: "probes", "probes of instances sent";
-    /// Questions asked of peers.
-    questions: "questions", "questions asked of other nodes";
-    /// Records applied.
+    /// Probes sent to instances.
+    probes: "probes", "probes sent to instances";
+    /// Requests sent to other nodes.
+    questions: "questions", "requests sent to other nodes";
+    /// Records of the log that were applied to the state.
     records: "records", "records of the log applied";
-    /// Records passed over.
-    records_passed_over: "records.passed_over", "records whose seal or content did not fit";
-    /// Messages between nodes dropped.
-    bad_messages: "peer.bad_messages", "messages between nodes whose seal did not fit";
-    /// Appends made.
-    appends: "appends", "appends to the log that were answered";
+    /// Records of the log that were skipped because they are invalid.
+    records_passed_over: "records.passed_over", "records skipped for an invalid seal or content";
+    /// Messages from other nodes that were dropped because they are invalid.
+    bad_messages: "peer.bad_messages", "messages between nodes dropped for an invalid seal";
+    /// Appends that the log confirmed.
+    appends: "appends", "appends that the log confirmed";
     /// Appends that failed or whose reply was lost.
-    append_failures: "append.failures", "appends to the log without a good answer";
-    /// Intents recorded.
-    intents: "intents", "intents of this node that the log took";
-    /// Orders sent.
+    append_failures: "append.failures", "appends to the log without a confirmation";
+    /// Intents of this node that were read back from the log.
+    intents: "intents", "intents of this node recorded in the log";
+    /// Orders sent to instances by this node's stewards.
     orders: "orders", "orders sent to instances";
 }
--- a/crates/workshold-node/src/events.rs
+++ b/crates/workshold-node/src/events.rs
@@ -1,6 +1,6 @@
-//! Numbered events: everything that is ever logged, in one list.
+//! All events that the node logs: number, level, text, and advice for operators.
 //!
-//! `docs/EVENTS.md` is written from this list; a test holds the two to each other.
+//! `docs/EVENTS.md` is generated from this list; a test checks that they agree.
 
 use workshold_telemetry::events::reference_page as page;
 
@@ -11,14 +11,14 @@
     Leaving = 104, Info, "a planned stop has begun", "Nothing.";
     Stopped = 105, Info, "the node has stopped", "Nothing.";
     Cut = 106, Warn, "a second signal cut what was left", "Tell the callers; the count is in the event.";
-    TaskEnded = 107, Error, "a part of the node has ended, and with it the node", "Report it; the node stops so that it can be replaced.";
-    LogUnreachable = 201, Warn, "the log does not answer", "Serving goes on; look after the log service.";
+    TaskEnded = 107, Error, "a part of the node has ended, and with it the node", "Report it as a bug; the node stops so that it can be restarted or replaced.";
+    LogUnreachable = 201, Warn, "the log does not answer", "The node keeps serving; check the log service.";
     LogBack = 202, Info, "the log answers again", "Nothing.";
     LogWentBack = 203, Error, "the log ends before what this node has read", "The log was lost or replaced. Do not restart nodes before it is clear which.";
     NoCheckpoint = 204, Error, "the log's beginning is gone and nothing retained restates it", "Raise the log's retention; start from a node that still runs.";
     CaughtUp = 205, Info, "the node has caught up with the log", "Nothing.";
     RecordPassedOver = 206, Warn, "a record was passed over: its seal or content does not fit", "Compare cluster_key and operators in the settings of all nodes.";
-    Diverged = 207, Error, "a checkpoint names another history than this node's: a broken invariant", "The node steps out. Compare the operators' keys in the settings, and report it.";
+    Diverged = 207, Error, "a checkpoint names another history than this node's: a broken invariant", "The node stops serving. Compare the operators' keys in the settings of all nodes, and report it as a bug.";
     FactRejected = 208, Debug, "a fact of this node came late and does not count", "Nothing.";
     CheckpointWritten = 209, Debug, "this node wrote a checkpoint", "Nothing.";
     FromPeers = 210, Info, "records come from a peer while the log is away", "Nothing.";
@@ -32,17 +32,17 @@
     Decided = 406, Info, "the steward decided about a group", "Nothing.";
     OrderFailed = 407, Debug, "an order got no good answer; reports will show what became of it", "Nothing.";
     StopRequested = 408, Info, "an operator wants an instance out of service", "Nothing.";
-    PeerLost = 501, Warn, "a node does not answer", "Look after the node or the network.";
+    PeerLost = 501, Warn, "a node does not answer", "Check the node and the network.";
     PeerBack = 502, Info, "a node answers", "Nothing.";
     BadSeal = 503, Warn, "a message between nodes was dropped: its seal does not fit", "Compare cluster_key in the settings of all nodes.";
-    PeerSocketLost = 505, Warn, "the socket for other nodes broke and is opened anew", "Nothing; report it if it comes often.";
-    ListUnreachable = 504, Warn, "the instance list does not answer", "What was last read goes on being used.";
+    PeerSocketLost = 505, Warn, "the socket for other nodes broke and is opened anew", "Nothing; report it as a bug if it happens often.";
+    ListUnreachable = 504, Warn, "the instance list does not answer", "The last list read stays in use; check the service.";
     RequestFailed = 601, Debug, "a request ended without an answer", "Nothing; the caller was told.";
     AttemptFailed = 602, Debug, "an attempt failed; another one follows", "Nothing.";
     CallerGone = 603, Debug, "a caller went away or stopped reading; its stream was cancelled", "Nothing.";
 }
 
-/// The text of `docs/EVENTS.md`.
+/// Returns the text of `docs/EVENTS.md`.
 pub fn reference_page() -> String {
     page("Events", rows())
 }
