--- a/crates/workshold-node/src/tasks/catch_up.rs
+++ b/crates/workshold-node/src/tasks/catch_up.rs
@@ -1,4 +1,5 @@
-//! Starting from what the log, or a peer, still has.
+//! Reads records from the log, or from a peer, and builds the first state from what the
+//! log still retains.
 
 use workshold_core::replay::Replay;
 use workshold_core::replay::ReplayStart;
@@ -18,16 +19,18 @@
 use crate::node::Node;
 use crate::tail::Tail;
 
-/// Where records come from.
+/// Where records were read from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The log itself.
+    /// The log service.
     Log,
-    /// A peer that relays them as they stand.
+    /// A peer, which sends them with their original seals.
     Peer,
 }
 
-/// Reads on from `from`: the log first, and if it does not answer, any live peer.
+/// Reads records from offset `from` on, from the log or, if it doesn't answer, from the peer
+/// that has read furthest. `wait` is how long the log may wait for new records; `None` if
+/// nobody answers.
 pub async fn read_on(node: &Node, from: Offset, wait: Millis) -> Option<(ReadReply, Source)> {
     match node.log.read(from, wait).await {
         Ok(reply) => {
@@ -39,6 +42,7 @@
     }
 }
 
+/// Asks all known nodes, one after another; takes the answer that reaches furthest.
 async fn read_from_peers(node: &Node, from: Offset) -> Option<ReadReply> {
     let within = node.settings.times.probe_every.to_duration();
     let mut best: Option<ReadReply> = None;
@@ -47,7 +51,7 @@
         let ask = PeerQuery::Records { from };
         let key = &node.checked.cluster_key;
         let asked = link.query(node.name(), ask, key, &node.counters, within).await;
-        // What a node without custody has may be older than what is in force.
+        // The records of a node without authority may lack the bundle in force.
         let Ok(PeerResponseBody::Records { records, next, custody: true }) = asked else {
             continue;
         };
@@ -65,43 +69,43 @@
     ReadReply { first, end: next, records: records.collect() }
 }
 
-/// What a node that has no state yet gathers until it has all there is.
+/// Records that a node without a state collects, until it has read to the log's end.
 #[derive(Debug, Default)]
 pub struct Gathering {
     first: Option<Offset>,
     records: Vec<ReadRecord>,
 }
 
-/// A state and the records it was made of.
+/// The first state and the records that it was replayed from.
 #[derive(Debug)]
 pub struct Started {
-    /// The fold.
+    /// The replay, up to the last record read.
     pub replay: Replay,
-    /// The records as they stand.
+    /// The sealed records, for peers.
     pub tail: Tail,
 }
 
-/// What gathering has come to.
+/// Result of adding the records of one read.
 #[derive(Debug)]
 pub enum Gathered {
-    /// There is more to read, from this offset on.
+    /// There are more records, from this offset on.
     More(Offset),
-    /// The node can start.
+    /// All records were read, and the state is complete.
     Started(Box<Started>),
-    /// Nothing that is left restates the log's beginning.
+    /// The log's beginning is no longer retained, and no usable checkpoint replaces it.
     NoCheckpoint,
-    /// There is nothing at all: no world to serve.
+    /// The log has no records, so there is nothing to serve.
     Empty,
 }
 
 impl Gathering {
-    /// Where to read on.
+    /// Offset to read from next.
     pub fn next(&self) -> Offset {
         self.records.last().map_or(Offset(0), |record| record.offset.next())
     }
 
-    /// Takes what was read. A part that does not fit what there is (the log has
-    /// dropped records meanwhile) starts it anew.
+    /// Adds the records of one read. If they don't follow the previous ones, because the
+    /// log dropped some meanwhile, it starts over with them.
     pub fn take(&mut self, node: &Node, reply: ReadReply) -> Gathered {
         let follows = reply.records.first().is_none_or(|record| record.offset == self.next());
         if !follows || self.first.is_none() {
@@ -123,6 +127,7 @@
         reply.records.last().map_or(self.next(), |record| record.offset.next())
     }
 
+    /// Replays the collected records, from the newest checkpoint that they allow.
     fn start(&self, node: &Node) -> Gathered {
         let first = self.first.unwrap_or_default();
         let opened: Vec<_> =
@@ -138,7 +143,7 @@
         let mut tail = Tail::starting_at(first);
         for (record, envelope) in opened {
             tail.push(record.offset, &record.data);
-            // A gap cannot be: the records were read without one.
+            // Fails only on a gap, which `take` has ruled out.
             if replay.take(record.offset, envelope.as_ref()).is_err() {
                 return Gathered::NoCheckpoint;
             }
@@ -147,7 +152,8 @@
     }
 }
 
-/// Opens a record; `None`, counted, for one whose seal or content does not fit.
+/// Verifies and decodes a record. One with an invalid seal or content is counted, logged
+/// and skipped: `None`.
 pub fn open(node: &Node, text: &str) -> Option<Envelope> {
     let (key, operators) = (&node.checked.cluster_key, &node.checked.operators);
     match record::open(text, key, operators) {
--- a/crates/workshold-node/src/tasks/dispatching.rs
+++ b/crates/workshold-node/src/tasks/dispatching.rs
@@ -1,4 +1,5 @@
-//! Giving turns to waiting requests when reports, not ends of requests, make room.
+//! Dispatches queued requests periodically: free slots also show up in reports of
+//! instances, not only when a request of this node ends.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,10 +9,10 @@
 use crate::node::Node;
 
 const EVERY: Duration = Duration::from_millis(50);
-/// Turns between two looks for groups that are gone.
+/// Ticks between two removals of the state of groups that are gone: one second.
 const FORGET_EVERY: u64 = 20;
 
-/// Forgets groups that the log does not have any more.
+/// Drops the routing state of groups that are no longer in the replayed state.
 fn forget_gone(node: &Node) {
     let groups: Option<BTreeSet<_>> =
         node.with_state(|state| state.fleet.groups().map(|group| group.id.clone()).collect());
@@ -19,7 +20,7 @@
     node.dispatchers.for_each(|_, desk| desk.retain(|group| groups.contains(group)));
 }
 
-/// Looks at every queue for as long as the node runs.
+/// Dispatches from all queues for as long as the node runs.
 pub async fn run(node: Arc<Node>) {
     let mut tick = tokio::time::interval(EVERY);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
--- a/crates/workshold-node/src/tasks/intents.rs
+++ b/crates/workshold-node/src/tasks/intents.rs
@@ -1,8 +1,9 @@
-//! Recording intents, many in one append.
+//! Appends intents to the log, many in one record. An intent says that a node wants to run
+//! the request with an idempotency key; the first one in the log owns the key.
 //!
-//! While one append is under way, further intents gather; they go together with
-//! the next one. An append without an answer is made again with the same text
-//! until the intents are read back or nobody waits for them any more.
+//! While one append is in progress, further intents queue up and go into the next one. An
+//! append without an answer is retried with the same text until the intents are read back
+//! from the log or nobody waits for them any more.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,38 +20,40 @@
 use crate::node::Node;
 use crate::tasks::upkeep::append;
 
-/// An intent and who waits for it.
+/// An intent to record, and the request that waits for it.
 #[derive(Debug)]
 pub struct IntentRequest {
-    /// The intent.
+    /// The intent to append.
     pub intent: Intent,
-    /// When whoever waits gives up.
+    /// When the waiting request gives up, by this node's clock.
     pub until: Millis,
-    /// Where the outcome goes.
+    /// Receives the outcome.
     pub done: oneshot::Sender<IntentOutcome>,
 }
 
-/// What became of an intent.
+/// Outcome of recording an intent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IntentOutcome {
-    /// The key is this request's: it may run.
+    /// The request owns the key and may run.
     Granted,
-    /// The key is another's, or forgotten.
+    /// Another request owns the key, or the key has expired.
     KeyUnavailable,
-    /// The log did not answer in time. The intent may stand there; it must not run.
+    /// The log did not answer in time. The intent may or may not be recorded, so the
+    /// request must not run.
     Unconfirmed,
-    /// Nothing was appended: the log is known to be away, or too much waits.
+    /// Nothing was appended, because the log is unavailable or the queue is full.
     NotAppended,
 }
 
-/// Intents in one append at the most.
+/// Most intents in one append.
 const MAX_BATCH: usize = 256;
-/// Intents that may wait for the writer.
+/// Most intents that may be queued for appending.
 pub const QUEUE_LEN: usize = 4_096;
+/// How long to wait until an append is read back before it is retried.
 const READ_BACK: Duration = Duration::from_millis(250);
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Records intents for as long as the node runs.
+/// Records queued intents for as long as the node runs.
 pub async fn run(node: Arc<Node>, mut rx: mpsc::Receiver<IntentRequest>) {
     let mut batch = Vec::new();
     while rx.recv_many(&mut batch, MAX_BATCH).await > 0 {
@@ -58,6 +61,7 @@
     }
 }
 
+/// Appends a batch of intents, and repeats that until each one is answered.
 async fn record(node: &Node, mut batch: Vec<IntentRequest>) {
     let facts = batch.iter().map(|request| Fact::Intent(request.intent.clone())).collect();
     let envelope = Envelope::new(node.clock.wall(), facts);
@@ -76,6 +80,7 @@
     }
 }
 
+/// Answers the requests whose time is up, and drops those that no longer wait.
 fn give_up_late(node: &Node, batch: &mut Vec<IntentRequest>) {
     let now = node.now();
     let late = batch.extract_if(.., |request| now >= request.until || request.done.is_closed());
@@ -84,7 +89,8 @@
     }
 }
 
-/// Waits for the append to be read back; a lost reply waits for whatever comes.
+/// Waits until the appended record is replayed. Without an offset, because the reply was
+/// lost, waits for any new record.
 async fn wait_until_read(node: &Node, offset: Option<Offset>) {
     let mut replayed = node.replayed.subscribe();
     let seen = *replayed.borrow();
@@ -92,7 +98,7 @@
     let _ = tokio::time::timeout(READ_BACK, read).await;
 }
 
-/// Answers those whose key has an owner by now, and gives back the others.
+/// Answers the requests whose keys have an owner by now, and returns the others.
 fn answer_known(node: &Node, batch: Vec<IntentRequest>) -> Vec<IntentRequest> {
     let mut unknown = Vec::new();
     for request in batch {
@@ -109,6 +115,7 @@
     unknown
 }
 
+/// The outcome of an intent by the replayed state; `None` if its key has no owner yet.
 fn outcome(node: &Node, intent: &Intent) -> Option<IntentOutcome> {
     node.with_state(|state| {
         match state.keys.status(&intent.key, intent.key_time, &intent.request) {
--- a/crates/workshold-node/src/tasks/listing.rs
+++ b/crates/workshold-node/src/tasks/listing.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's instance list.
+//! Polls the platform's instance list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,8 @@
 const EVERY: Duration = Duration::from_secs(1);
 const WITHIN: Duration = Duration::from_secs(1);
 
-/// Reads the list for as long as the node runs.
+/// Polls the list for as long as the node runs. While the service doesn't answer, the last
+/// list read stays in use.
 pub async fn run(node: Arc<Node>) {
     let mut answers = true;
     let mut tick = tokio::time::interval(EVERY);
--- a/crates/workshold-node/src/tasks/peers.rs
+++ b/crates/workshold-node/src/tasks/peers.rs
@@ -1,4 +1,4 @@
-//! Asking other nodes, and answering them.
+//! Polls other nodes for their status and reports, and answers their requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,17 +28,17 @@
 use crate::events::emit;
 use crate::node::Node;
 
-/// The socket for other nodes could not be had: {0}
+/// cannot listen for other nodes: {0}
 #[derive(Debug, Display)]
 pub struct ListenError(String);
 
 impl std::error::Error for ListenError {}
 
-/// Opens the socket on which other nodes ask.
+/// Opens the socket for requests of other nodes.
 ///
 /// # Errors
 ///
-/// [`ListenError`] if the address is taken.
+/// [`ListenError`] if the address can't be bound, such as one in use.
 pub async fn listen(node: &Node) -> Result<RepSocket, ListenError> {
     let mut socket = RepSocket::new();
     let endpoint = format!("tcp://{}", node.settings.node.peers);
@@ -48,8 +48,8 @@
 
 /// Answers other nodes for as long as this one runs.
 ///
-/// The library's socket has been seen to panic when an asker died at the wrong
-/// moment. That must not take the node with it: the socket is opened anew.
+/// The library's socket has been seen to panic when a peer died at the wrong moment. So
+/// that this doesn't end the node, the socket runs in a task of its own and is reopened.
 pub async fn answer_all(node: Arc<Node>, mut socket: RepSocket) {
     loop {
         let answering = tokio::spawn(answer_until_broken(Arc::clone(&node), socket));
@@ -65,6 +65,7 @@
     }
 }
 
+/// Pause after a failed attempt to reopen the socket.
 const REOPEN_PAUSE: Duration = Duration::from_millis(50);
 
 async fn answer_until_broken(node: Arc<Node>, mut socket: RepSocket) {
@@ -80,12 +81,12 @@
             Err(err) => {
                 node.counters.bad_messages.add(1);
                 emit(Event::BadSeal, &[("why", &err.to_string())]);
-                // The socket owes an answer before it hears the next question.
+                // The socket receives the next request only after an answer was sent.
                 Vec::new()
             }
         };
         node.counters.control_sent.add(reply.len() as u64);
-        // An asker that has gone gets nothing; the others go on.
+        // Fails if the peer has disconnected, which doesn't concern the others.
         let _ = socket.send(reply.into()).await;
     }
 }
@@ -107,6 +108,8 @@
     encode_sealed(&answer, &node.checked.cluster_key)
 }
 
+/// The answer to a poll. A node of the same data centre gets this node's own reports; one
+/// elsewhere gets a summary of this data centre's nodes and groups.
 fn digest(node: &Node, asker: &DataCentre) -> NodeSummary {
     let now = node.now();
     let is_near = asker == &node.settings.node.data_centre;
@@ -123,7 +126,7 @@
     NodeSummary { own, near, reports: Vec::new(), groups }
 }
 
-/// The groups of this data centre that serve by this node's own judgement.
+/// The groups of this data centre that can take requests, by the reports that this node has.
 fn groups(node: &Node, now: Millis) -> Vec<AgedGroup> {
     let table = Arc::clone(&node.serving.read());
     let near = table.serving.values().flatten().filter(|row| !row.is_remote);
@@ -139,6 +142,7 @@
         .collect()
 }
 
+/// Status of the live nodes of this data centre.
 fn near_nodes(node: &Node, now: Millis) -> Vec<AgedNode> {
     let rules = node.settings.membership_rules();
     let membership = node.membership.read();
@@ -152,7 +156,7 @@
     .collect()
 }
 
-/// What this node probed itself and still believes.
+/// Valid reports from this node's own probes.
 fn reports(node: &Node, now: Millis) -> Vec<AgedReport> {
     let ttl = node.settings.times.report_ttl;
     let probed = node.probed.read();
@@ -161,7 +165,7 @@
         .iter()
         .filter_map(|instance| {
             let observation = observations.fresh(instance, now, ttl)?;
-            // The lag is in the report and is taken off again by who takes it.
+            // The receiver subtracts the report's lag again, so the age is that of the probe.
             let sent = observation.true_since + observation.report.lag;
             Some(AgedReport {
                 instance: instance.clone(),
@@ -172,7 +176,7 @@
         .collect()
 }
 
-/// Asks other nodes for as long as this one runs.
+/// Polls other nodes for as long as this one runs.
 pub async fn ask_all(node: Arc<Node>) {
     let mut tick = tokio::time::interval(node.settings.times.probe_every.to_duration());
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -190,7 +194,7 @@
     }
 }
 
-/// All nodes of this data centre and a few of each other one.
+/// The nodes to poll: all of this data centre, and a few of each other one.
 fn chosen(node: &Node) -> Vec<(NodeId, String)> {
     let known = node.known_peers();
     let places = places(node, &known);
@@ -200,7 +204,8 @@
     chosen.into_iter().map(|peer| (peer.clone(), known[peer].clone())).collect()
 }
 
-/// Where each known node is, as listed; one that is not counts as near.
+/// The data centre of each known node. One that is not in the instance list counts as being
+/// in this data centre.
 fn places(
     node: &Node,
     known: &std::collections::BTreeMap<NodeId, String>,
@@ -213,6 +218,7 @@
     known.keys().map(|peer| (peer.clone(), place(peer))).collect()
 }
 
+/// Polls one node, and applies its answer.
 async fn ask(node: Arc<Node>, peer: NodeId, address: String) {
     let asked = node.now();
     let within = node.settings.times.probe_every.to_duration();
@@ -225,8 +231,9 @@
     }
 }
 
-/// Takes a digest. Ages count back from when the question was sent: whatever
-/// was `age` old when the answer was written is no older than that.
+/// Applies a peer's answer to a poll. Ages are subtracted from the time when the poll was
+/// sent, which is before the answer was written: so nothing is taken for more recent than
+/// it is.
 fn take(node: &Node, peer: &NodeId, asked: Millis, digest: NodeSummary) {
     let seen = node.now();
     node.on_peer_authority(digest.own.custody, digest.own.next);
@@ -258,6 +265,7 @@
     node.touch();
 }
 
+/// Applies a node's demand to the teams' rate limits, which are split by the demand at each node.
 fn take_demand(
     node: &Node,
     peer: &NodeId,
--- a/crates/workshold-node/src/tasks/probing.rs
+++ b/crates/workshold-node/src/tasks/probing.rs
@@ -1,4 +1,4 @@
-//! Probing instances for their reports.
+//! Probes instances: fetches their reports.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,12 +12,12 @@
 
 use crate::node::Node;
 
-/// Bytes of a probe's request, for the count of control traffic.
+/// Approximate bytes of a probe's request, for the metric of control traffic.
 const PROBE_LEN: u64 = 60;
-/// Bytes of a report's answer, for the count of control traffic.
+/// Approximate bytes of an answer with a report, for the metric of control traffic.
 const REPORT_LEN: u64 = 330;
 
-/// Probes this node's part of the instances for as long as it runs.
+/// Probes this node's share of the instances for as long as it runs.
 pub async fn run(node: Arc<Node>) {
     let mut tick = tokio::time::interval(node.settings.times.probe_every.to_duration());
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -40,7 +40,7 @@
     node.touch();
 }
 
-/// The engines of this node's data centre that fall to it.
+/// The engines of this data centre that this node has to probe.
 fn mine(node: &Node) -> Vec<ListedInstance> {
     let (now, rules) = (node.now(), node.settings.membership_rules());
     let list = Arc::clone(&node.list.read());
@@ -52,8 +52,9 @@
     near.filter(|listed| membership.is_prober_of(&listed.instance, now, &rules)).cloned().collect()
 }
 
+/// Fetches one instance's report. One that doesn't answer just gets no newer report.
 async fn probe(node: Arc<Node>, instance: InstanceId, address: String) {
-    // Read before anything is sent: the report is no older than this.
+    // Taken before the request is sent: the report is at least as recent.
     let sent = node.now();
     let within = node.settings.times.probe_every.to_duration();
     node.counters.probes.add(1);
--- a/crates/workshold-node/src/tasks/replaying.rs
+++ b/crates/workshold-node/src/tasks/replaying.rs
@@ -1,4 +1,4 @@
-//! Replaying the log, and what each record changes.
+//! Replays the log: reads its records, applies them to the state, and logs what changed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,8 +22,9 @@
 use crate::tasks::catch_up::Gathering;
 use crate::tasks::catch_up::Source;
 
-/// How long a read waits for something new; also how soon an outage shows.
+/// How long a read waits for new records; also bounds how soon an outage is noticed.
 const READ_WAIT: Millis = Millis(1_000);
+/// Pause after a read that failed, or that a peer answered without waiting.
 const PAUSE: Duration = Duration::from_millis(250);
 
 /// Replays for as long as the node runs.
@@ -34,7 +35,7 @@
     }
 }
 
-/// Gathers records until there is a state to go on from.
+/// Collects records until a first state can be built from them.
 async fn start(node: &Node) {
     let mut gathering = Gathering::default();
     let mut has_complained = false;
@@ -49,7 +50,8 @@
         match gathering.take(node, reply) {
             Gathered::More(_) => continue,
             Gathered::Started(started) => {
-                // A peer's records are only taken from one that has custody.
+                // A peer's records are only used if it has authority, so this holds for them
+                // too.
                 node.log_state.write().authority.on_log_read();
                 install(node, *started);
                 return;
@@ -65,6 +67,7 @@
     }
 }
 
+/// Makes the first state the node's state.
 fn install(node: &Node, started: catch_up::Started) {
     let next = started.replay.state().next();
     {
@@ -78,7 +81,7 @@
     changed(node, next);
 }
 
-/// Goes on until records are missing.
+/// Follows the log until records are missing: the log dropped them before they were read.
 async fn follow(node: &Node) {
     loop {
         let next = node.with_state(|state| state.next()).unwrap_or_default();
@@ -106,7 +109,7 @@
     }
 }
 
-/// Takes what was read; false if records before it are missing.
+/// Applies the records of one read; false if there is a gap before or between them.
 fn take_all(node: &Node, reply: &ReadReply, next: Offset) -> bool {
     let first = reply.records.first().map_or(next, |record| record.offset);
     if first > next || (reply.records.is_empty() && reply.first > next) {
@@ -120,6 +123,7 @@
     true
 }
 
+/// Applies one record, and logs what it changed; false if records before it are missing.
 fn take(node: &Node, record: &ReadRecord) -> bool {
     let envelope = catch_up::open(node, &record.data);
     let step = {
@@ -141,6 +145,8 @@
     true
 }
 
+/// Applies one record to the state, and keeps it for peers. Returns `None` if records before
+/// it are missing.
 fn take_locked(
     log_state: &mut LogState,
     record: &ReadRecord,
@@ -160,13 +166,14 @@
     Some(step)
 }
 
+/// Updates what depends on the state, up to the record before `next`.
 fn changed(node: &Node, next: Offset) {
     node.touch();
     node.refresh_serving();
     node.replayed.send_replace(next);
 }
 
-/// Notes whether the log answers, and says so when that changes.
+/// Records whether the log answered (`None`: neither it nor a peer), and logs changes.
 fn note_source(node: &Node, source: Option<Source>) {
     let now = node.now();
     let answers = source == Some(Source::Log);
@@ -188,6 +195,7 @@
     }
 }
 
+/// Logs the outcome of each fact in a record.
 fn note_facts(node: &Node, envelope: &Envelope, outcomes: &[Outcome]) {
     for (fact, outcome) in envelope.facts.iter().zip(outcomes) {
         match outcome {
@@ -225,6 +233,7 @@
     }
 }
 
+/// Logs the bundle in force, and a warning for each team that has no API keys.
 fn note_bundle(node: &Node) {
     let in_force = node.with_state(|state| state.bundles.in_force().cloned()).flatten();
     let Some(in_force) = in_force else { return };
--- a/crates/workshold-node/src/tasks/stewarding.rs
+++ b/crates/workshold-node/src/tasks/stewarding.rs
@@ -1,4 +1,5 @@
-//! Stewarding the domains that fall to this node.
+//! The steward of a fabric domain is the node that plans its groups and sends orders to
+//! its instances. This task does so for the domains that this node is responsible for.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,10 +24,11 @@
 use crate::tasks::upkeep::append;
 
 const ORDER_TIME: Duration = Duration::from_secs(1);
-/// How long a steward waits to read what it has appended.
+/// How long a steward waits until it has replayed what it appended, so that its next plan
+/// takes it into account.
 const READ_BACK: Duration = Duration::from_secs(2);
 
-/// Plans for as long as the node runs.
+/// Plans for each of this node's domains, for as long as the node runs.
 pub async fn run(node: Arc<Node>) {
     let mut memories: BTreeMap<FabricDomain, StewardTimers> = BTreeMap::new();
     let mut tick = tokio::time::interval(node.settings.times.plan_every.to_duration());
@@ -45,7 +47,7 @@
     }
 }
 
-/// The domains of this data centre that fall to this node.
+/// The domains of this data centre whose steward is this node; none during a planned stop.
 fn mine(node: &Node) -> BTreeSet<FabricDomain> {
     if node.is_leaving() {
         return BTreeSet::new();
@@ -63,6 +65,7 @@
     domains.into_iter().filter(|domain| membership.is_steward_for(domain, now, &rules)).collect()
 }
 
+/// Makes a plan for one domain; `None` if the replayed state is missing or wrong.
 fn plan(node: &Node, domain: &FabricDomain, timers: &mut StewardTimers) -> Option<Plan> {
     let list = Arc::clone(&node.list.read());
     let rules = node.settings.steward_rules();
@@ -82,6 +85,7 @@
     Some(steward::plan(&view, timers, &rules))
 }
 
+/// Sends the plan's orders, records its decisions, and appends its facts to the log.
 async fn carry_out(node: &Arc<Node>, plan: Plan) {
     let list = Arc::clone(&node.list.read());
     for (instance, order) in plan.orders {
@@ -96,7 +100,7 @@
         return;
     }
     let envelope = Envelope::new(node.clock.wall(), plan.facts);
-    // Without an answer the next plan says the same again, if it still holds.
+    // After a failure, the next plan has the same facts again if they still apply.
     if let Some(offset) = append(node, &envelope).await {
         let mut replayed = node.replayed.subscribe();
         let read_back = replayed.wait_for(|next| *next > offset);
@@ -104,6 +108,7 @@
     }
 }
 
+/// Sends one order to an instance, without a retry: the next plans repeat it.
 async fn send_order(node: Arc<Node>, address: String, instance: InstanceId, order: Order) {
     node.counters.orders.add(1);
     let sent: Result<serde_json::Value, _> =
--- a/crates/workshold-node/src/tasks/upkeep.rs
+++ b/crates/workshold-node/src/tasks/upkeep.rs
@@ -1,4 +1,5 @@
-//! Keeping the log in order: checkpoints, forgotten keys, and appends in general.
+//! Log maintenance: writes checkpoints and expires idempotency keys. Also has the function
+//! with which all tasks append to the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +16,8 @@
 
 const EVERY: Duration = Duration::from_secs(1);
 
-/// Writes what is due for as long as the node runs.
+/// Appends the maintenance records that are due, for as long as the node runs and if it is
+/// the one node that maintains the log.
 pub async fn run(node: Arc<Node>) {
     let mut tick = tokio::time::interval(EVERY);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -35,6 +37,7 @@
     }
 }
 
+/// Whether this node maintains the log: one of the live nodes does.
 fn is_keeper(node: &Node) -> bool {
     let (now, rules) = (node.now(), node.settings.membership_rules());
     let membership = node.membership.read();
@@ -42,6 +45,8 @@
     checkpointing::log_maintainer(live.chain([node.name()])) == Some(node.name())
 }
 
+/// The checkpoint or expiry of keys that is due now; nothing while the replayed state may be
+/// wrong or out of date.
 fn due(node: &Node) -> Vec<workshold_protocol::record::Fact> {
     let log_state = node.log_state.read();
     let Some(replay) = &log_state.replay else { return Vec::new() };
@@ -58,7 +63,8 @@
     checkpointing::due(&view, &node.settings.log_maintenance_rules())
 }
 
-/// Appends once; without an answer it may stand in the log or not.
+/// Seals and appends a record, without a retry. On `None` it may or may not have been
+/// appended.
 pub async fn append(node: &Node, envelope: &Envelope) -> Option<Offset> {
     let text = seal_as_node(envelope, &node.checked.cluster_key);
     node.counters.control_sent.add(text.len() as u64);
