--- a/crates/workshold-node/src/callers.rs
+++ b/crates/workshold-node/src/callers.rs
@@ -1,4 +1,5 @@
-//! Answering callers over HTTP.
+//! HTTP API for callers: completions, plain services, resuming and cancelling streams,
+//! and information about the node.
 
 pub mod at_most_once;
 pub mod authentication;
@@ -29,7 +30,7 @@
 use crate::node::Node;
 use crate::node::Unready;
 
-/// Answers one request of a caller.
+/// Answers one request of a caller; problems become `application/problem+json`.
 pub async fn handle(node: Arc<Node>, req: Request<Incoming>) -> Response<Body> {
     node.counters.requests.add(1);
     match route(&node, req).await {
@@ -75,11 +76,11 @@
     Problem::not_run(ProblemCode::MethodNotAllowed, format!("this path takes {right}"))
 }
 
-/// Refuses at once if this node does not serve, and says who does.
+/// Checks that this node serves.
 ///
 /// # Errors
 ///
-/// The final answer, with the other nodes' addresses.
+/// The final answer if it doesn't, with the addresses of nodes that do.
 fn check_ready(node: &Node) -> Result<(), Problem> {
     let Err(why) = node.can_serve() else { return Ok(()) };
     let code = if why == Unready::Leaving { ProblemCode::Leaving } else { ProblemCode::NotReady };
@@ -88,13 +89,14 @@
     Err(problem)
 }
 
+/// Retry-After of a node that doesn't serve; other nodes can be tried at once.
 const RETRY_ELSEWHERE: Millis = Millis(1_000);
 
-/// Reads a request's body within the node's bounds.
+/// Reads a request's body within the node's limits of size and time.
 ///
 /// # Errors
 ///
-/// The final answer for a body that is too large, too slow or broken off.
+/// The final answer for a body that is too large, too slow or incomplete.
 async fn read_body(node: &Node, body: Incoming) -> Result<bytes::Bytes, Problem> {
     let bounds = &node.settings.bounds;
     let read = body::read(body, bounds.body_len, bounds.read_time.to_duration()).await;
--- a/crates/workshold-node/src/daemon.rs
+++ b/crates/workshold-node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting a node, and ending it with a plan.
+//! Starts a node, and stops it in a planned way: it drains its requests before it ends.
 
 use std::io;
 use std::sync::Arc;
@@ -36,33 +36,34 @@
 use crate::tasks::intents::QUEUE_LEN;
 use crate::tasks::peers::ListenError;
 
-/// Why a node did not start, or ended without being told to.
+/// Why a node did not start, or ended without a signal.
 #[derive(Debug, Display)]
 pub enum DaemonError {
-    /// {address} cannot be listened on: {why}
+    /// cannot listen on {address}: {why}
     Listen {
-        /// The address.
+        /// The address in the settings.
         address: String,
-        /// What the machine said.
+        /// Error of the operating system, or of parsing the address.
         why: io::Error,
     },
     /// {0}
     Peers(ListenError),
-    /// signals cannot be waited for: {0}
+    /// cannot install the signal handlers: {0}
     Signals(io::Error),
-    /// a part of the node has ended
+    /// a background task of the node has ended
     TaskEnded,
 }
 
 impl std::error::Error for DaemonError {}
 
-/// How a planned stop went.
+/// Result of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ended {
-    /// Connections that were cut.
+    /// Requests or connections that were aborted; 0 if all finished.
     pub cut: usize,
 }
 
+/// The callers' server, and the channel that tells both servers to drain or to abort.
 struct Servers {
     callers: JoinHandle<usize>,
     stage: watch::Sender<ServerState>,
@@ -76,7 +77,7 @@
 ///
 /// # Errors
 ///
-/// [`DaemonError`] if it cannot start, or a part of it ends.
+/// [`DaemonError`] if it cannot start, or one of its background tasks ends.
 pub async fn run(checked: CheckedSettings) -> Result<Ended, DaemonError> {
     let mut signals = Signals::new().map_err(DaemonError::Signals)?;
     let (intents, intents_rx) = mpsc::channel(QUEUE_LEN);
@@ -92,7 +93,7 @@
             }
             wanted = signals.next() => match wanted {
                 SignalAction::Dump => print_dump(&node),
-                // Its settings are read at a start only.
+                // Ignored: settings are only read at the start.
                 SignalAction::Reload => {}
                 SignalAction::Stop => break,
             },
@@ -103,18 +104,19 @@
     Ok(ended)
 }
 
-/// Waits for a signal to stop; prints the state for those that ask for it.
+/// Waits for a signal to stop; meanwhile prints the state for each signal that asks for it.
 async fn wait_for_stop(signals: &mut Signals, node: &Node) {
     loop {
         match signals.next().await {
             SignalAction::Stop => return,
             SignalAction::Dump => print_dump(node),
-            // Its settings are read at a start only.
+            // Ignored: settings are only read at the start.
             SignalAction::Reload => {}
         }
     }
 }
 
+/// Starts the HTTP servers for callers and for operators.
 async fn start_servers(node: &Arc<Node>) -> Result<Servers, DaemonError> {
     let (stage, rx) = watch::channel(ServerState::Running);
     let bounds = ServerLimits {
@@ -143,9 +145,10 @@
     bound.map_err(|why| DaemonError::Listen { address: address.to_owned(), why })
 }
 
-/// What is sent but not yet read by one caller, in bytes.
+/// Send buffer of one caller's connection, in bytes: bounds what is sent but not yet read.
 const SEND_BUFFER: u32 = 128 * 1024;
 
+/// Starts all background tasks. The node ends with an error if one of them ends.
 async fn start_tasks(
     node: &Arc<Node>,
     intents: mpsc::Receiver<IntentRequest>,
@@ -168,7 +171,7 @@
     Ok(parts)
 }
 
-/// Says so whenever the node begins or ceases to serve callers.
+/// Logs an event whenever the node begins or ceases to serve callers, or the reason changes.
 async fn report_readiness(node: Arc<Node>) {
     let mut last = None;
     loop {
@@ -184,6 +187,7 @@
     }
 }
 
+/// Sends metrics periodically. If that isn't possible, does nothing, without an error.
 async fn send_metrics(node: Arc<Node>, address: String) {
     let Ok(mut sender) = MetricsSender::new(&address) else {
         return std::future::pending().await;
@@ -198,12 +202,13 @@
 fn print_dump(node: &Node) {
     match serde_json::to_string(&dump::dump(node)) {
         Ok(text) => println!("{text}"),
-        Err(err) => println!("the state cannot be written: {err}"),
+        Err(err) => println!("cannot serialise the state: {err}"),
     }
 }
 
-/// Leaves the addresses, waits until callers have forgotten this one, finishes
-/// what is in flight, and ends. A second signal cuts what is left.
+/// Stops in a planned way: withdraws this node's address, waits until callers' copies of
+/// it have expired, finishes the requests in flight, and closes the connections. A second
+/// signal, or the end of `stop_patience`, aborts what is left.
 async fn stop(node: &Arc<Node>, mut servers: Servers, signals: &mut Signals) -> Ended {
     node.leaving.store(true, Ordering::Relaxed);
     emit(Event::Leaving, &[]);
@@ -225,18 +230,18 @@
     Ended { cut: cut.max(unfinished) }
 }
 
-/// Time for connections to be cut.
+/// Time for the server to abort its connections.
 const CUT_TIME: Duration = Duration::from_secs(2);
 
-/// Finishes what is in flight; false if that takes too long.
+/// Drains the node; false if requests are still in flight after `stop_patience`.
 async fn finish(node: &Node, servers: &mut Servers) -> bool {
     let times = &node.settings.times;
-    // Others hear of it within one question, and callers keep what they were
-    // told for the time it is good for.
+    // Other nodes learn of it from the next poll, which starts within one interval and takes
+    // at most another; callers then use the addresses that they got until these expire.
     let forgotten = node.now() + times.probe_every + times.probe_every + times.entries_ttl;
     let patience = forgotten + times.stop_patience;
     wait_until(node, forgotten).await;
-    // Whoever comes now did not heed the addresses, and is told others.
+    // A caller that still comes ignored the expiry; it is refused and given other addresses.
     node.closing.store(true, Ordering::Relaxed);
     wait_until_idle(node, patience).await;
     if !node.in_flight.is_empty() {
@@ -246,8 +251,9 @@
     end_connections(node, servers, patience).await
 }
 
-/// Waits until all connections have ended: an answer ends with its own, also one that
-/// stood in no table yet. Whoever does not read on is waited for as long as ever.
+/// Waits until all connections have closed; each closes after its answer, which includes
+/// requests that were not in the table of requests in flight yet. A caller that has stopped
+/// reading is given the usual `caller_stall`.
 async fn end_connections(node: &Node, servers: &mut Servers, patience: Millis) -> bool {
     let stall = node.settings.times.caller_stall;
     loop {
--- a/crates/workshold-node/src/dispatcher.rs
+++ b/crates/workshold-node/src/dispatcher.rs
@@ -1,4 +1,5 @@
-//! The desk of one model: who goes to which group, and who waits.
+//! Routing and queueing of one model's requests at this node: picks a group for each
+//! request, or queues it until a group has a free slot.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,48 +24,48 @@
 use crate::serving::ServingGroup;
 use crate::serving::ServingTable;
 
-/// What a waiting request is told.
+/// How a queued request's wait ends.
 #[derive(Debug)]
 pub enum QueueOutcome {
-    /// It goes to this group, and is counted there.
+    /// It is sent to this group; the router already counts it there.
     Dispatched(Box<ServingGroup>),
-    /// It has waited past its time.
+    /// Its deadline for starting has passed.
     Expired,
 }
 
-/// A request that waits.
+/// A queued request: its prefix for routing, and the channel to the task that waits.
 #[derive(Debug)]
 pub struct Waiter {
     chain: Arc<PrefixChain>,
     turn: oneshot::Sender<QueueOutcome>,
 }
 
-/// Where a request goes.
+/// Result of trying to send a new request to a group.
 #[derive(Debug)]
 pub enum Placement {
-    /// To this group, at once.
+    /// A group has a free slot; the router already counts the request there.
     Dispatched(Box<ServingGroup>),
-    /// It waits here for its turn.
+    /// It is queued; the outcome arrives on this channel.
     Queued(oneshot::Receiver<QueueOutcome>),
     /// No group serves the model.
     NoGroup,
-    /// It could not start in time.
+    /// The queue refused it, because it could not start in time.
     Refused(Refused),
 }
 
-/// Routing and queue of one model at this node.
+/// Router, admission queue and outlier detector of one model at this node.
 #[derive(Debug)]
 pub struct ModelDispatcher {
     router: Router,
     queue: FairQueue<Waiter>,
     outliers: OutlierDetector<GroupId>,
-    /// When a request last failed at a group: until all of its members have been
-    /// heard since, it gets no other.
+    /// When a request last failed at each group. The group gets no new request until all
+    /// its members have sent a report from after that time.
     failed_at: HashMap<GroupId, Millis>,
     service_time: Option<Millis>,
 }
 
-/// Weight of the newest request in the average time of service.
+/// Divisor of the moving average of the service time: the newest request weighs 1/10.
 const SERVICE_TIME_PART: u64 = 10;
 
 impl Default for ModelDispatcher {
@@ -79,21 +80,22 @@
     }
 }
 
-/// What a desk looks at when it places a request.
+/// What routing a request depends on, besides the state kept per model.
 #[derive(Debug, Clone, Copy)]
 pub struct DispatchContext<'a> {
     /// The model.
     pub model: &'a ModelName,
-    /// The version that the bundle in force asks for.
+    /// The version that the bundle in force asks for; its groups are preferred.
     pub version: &'a Version,
-    /// Which groups serve.
+    /// The groups that can take requests.
     pub table: &'a ServingTable,
-    /// The node's clock.
+    /// Time of the node's clock.
     pub now: Millis,
 }
 
 impl ModelDispatcher {
-    /// Finds a group with room for a new request, or lets it wait.
+    /// Sends a new request to a group with a free slot, or queues it. It is queued too
+    /// while others wait, so that it doesn't overtake them.
     pub fn place(
         &mut self,
         view: &DispatchContext<'_>,
@@ -116,7 +118,8 @@
         }
     }
 
-    /// Gives turns to those who wait, as far as there is room.
+    /// Removes abandoned and expired requests from the queue and sends the others to
+    /// groups, as long as there are free slots.
     pub fn dispatch(&mut self, view: &DispatchContext<'_>) {
         self.queue.remove_gone(|waiter| waiter.turn.is_closed());
         while let Some(waiter) = self.queue.pop_expired(view.now) {
@@ -133,7 +136,8 @@
         }
     }
 
-    /// A request at `group` is over; its first token took so long.
+    /// A request at `group` has ended without a fault of the group. `first_token` and
+    /// `took` are times since its start; without a first token no time is recorded.
     pub fn on_done(
         &mut self,
         group: &GroupId,
@@ -150,53 +154,57 @@
         }
     }
 
-    /// A request at `group` failed.
+    /// A request at `group` failed: counts against the group in outlier detection, and
+    /// holds back new requests until its members have reported again.
     pub fn on_failed(&mut self, group: &GroupId, now: Millis) {
         self.router.on_done(group, now);
         self.outliers.on_failure(group, now);
         self.failed_at.insert(group.clone(), now);
     }
 
-    /// A group refused a request before it started: what its members reported
-    /// does not hold any more.
+    /// A group refused a request before it started, so its members' last reports are out
+    /// of date: it gets no new request until they have reported again.
     pub fn on_refused(&mut self, group: &GroupId, now: Millis) {
         self.router.on_done(group, now);
         self.failed_at.insert(group.clone(), now);
     }
 
-    /// A request at `group` hears nothing: until all members have been heard since, the
-    /// group gets no other.
+    /// A stream from `group` has stalled: the group gets no new request until all its
+    /// members have reported again. The request itself still counts there.
     pub fn on_stalled(&mut self, group: &GroupId, now: Millis) {
         self.failed_at.insert(group.clone(), now);
     }
 
-    /// What a request takes on average, once it has started.
+    /// Moving average of the time from the start of a request to its end; zero before the
+    /// first one has ended.
     pub fn service_time(&self) -> Millis {
         self.service_time.unwrap_or_default()
     }
 
-    /// How many wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Forgets groups that are gone.
+    /// Drops the state of groups for which `is_there` is false.
     pub fn retain(&mut self, is_there: impl Fn(&GroupId) -> bool) {
         self.router.retain(&is_there);
         self.failed_at.retain(|group, _| is_there(group));
         self.outliers.retain(is_there);
     }
 
+    /// Sends a queued request to a group and tells the waiting task.
     fn give_turn(&mut self, view: &DispatchContext<'_>, waiter: Waiter) {
         let Some(group) = self.start(view, &waiter.chain) else { return };
         if let Err(QueueOutcome::Dispatched(group)) =
             waiter.turn.send(QueueOutcome::Dispatched(group))
         {
-            // The caller went away between the two.
+            // The caller disconnected after abandoned requests were removed.
             self.router.on_done(&group.group, view.now);
         }
     }
 
+    /// Routes a request to a group with a free slot, if there is one, and counts it there.
     fn start(
         &mut self,
         view: &DispatchContext<'_>,
@@ -214,7 +222,7 @@
         !self.with_room(view).is_empty()
     }
 
-    /// Groups with a free slot; those of the wanted version if there are any.
+    /// Groups with a free slot: those of the wanted version, or all if it has none.
     fn with_room<'a>(&self, view: &DispatchContext<'a>) -> Vec<&'a ServingGroup> {
         let rows = view.table.groups_for(view.model, view.now);
         let rows: Vec<_> = rows
@@ -226,6 +234,7 @@
         if wanted.is_empty() { rows } else { wanted }
     }
 
+    /// Whether a request failed at the group after the oldest of its members' reports.
     fn is_suspect(&self, row: &ServingGroup) -> bool {
         self.failed_at.get(&row.group).is_some_and(|failed_at| row.proved_since <= *failed_at)
     }
--- a/crates/workshold-node/src/dump.rs
+++ b/crates/workshold-node/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a node on request. It has no prompt, answer or key in it.
+//! The state of a node for operators, as JSON. It contains no prompts, answers or keys.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,135 +19,135 @@
 use crate::node::Node;
 use crate::requests::InFlight;
 
-/// What an operator needs to know of the whole system, as one node sees it.
+/// State of the whole deployment, as one node sees it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Status {
-    /// The node that says it.
+    /// The node that reports this.
     pub node: String,
-    /// Whether it serves callers.
+    /// Whether it serves callers and its address is given out.
     pub ready: bool,
-    /// Why not.
+    /// The reason if it doesn't.
     pub why_not: Option<String>,
-    /// The bundle in force.
+    /// The bundle in force; `None` if none was signed off.
     pub bundle: Option<BundleRow>,
-    /// Bundles that were published, by hash.
+    /// Names of the bundles that were published, by hash.
     pub published: BTreeMap<String, String>,
-    /// The first offset of the log that is not read.
+    /// Offset in the log of the next record to replay.
     pub next: u64,
-    /// Whether the log answers.
+    /// Whether the log answered the last read.
     pub log_answers: bool,
     /// This node and the others.
     pub nodes: Vec<NodeRow>,
-    /// All groups.
+    /// All groups, also those that are draining or dissolved.
     pub groups: Vec<GroupRow>,
-    /// All engines that are listed.
+    /// All engines in the instance list.
     pub instances: Vec<InstanceRow>,
 }
 
 /// The bundle in force.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BundleRow {
-    /// Its name.
+    /// Name that its authors gave it.
     pub name: String,
-    /// Its hash.
+    /// Hash of its content.
     pub hash: String,
-    /// How many sign-offs there were.
+    /// Number of sign-offs up to this one.
     pub generation: u64,
-    /// The offset of its sign-off.
+    /// Offset in the log of its sign-off.
     pub since: u64,
-    /// Groups that it asks for, by model.
+    /// Number of groups that it asks for, by model.
     pub wanted: BTreeMap<String, u16>,
 }
 
-/// A node.
+/// Status of one node.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct NodeRow {
-    /// Its name.
+    /// Name of the node.
     pub node: String,
-    /// Its data centre.
+    /// Data centre that it runs in.
     pub data_centre: String,
-    /// How long ago it was asked; nothing for this node itself.
+    /// Time since the poll that it last answered; `None` for this node itself.
     pub asked_ms_ago: Option<Millis>,
-    /// Whether it serves.
+    /// Whether it serves callers.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether its planned stop has begun.
     pub leaving: bool,
-    /// The hash of the bundle it runs.
+    /// Hash of the bundle that it has in force.
     pub bundle: Option<String>,
-    /// How far it has read the log.
+    /// Offset of the next record that it will replay.
     pub next: u64,
-    /// What it has under way.
+    /// Number of its requests in flight.
     pub in_flight: u32,
 }
 
-/// A group.
+/// State of one group.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GroupRow {
-    /// Its name.
+    /// Name of the group.
     pub group: GroupId,
-    /// Its model.
+    /// Model that it serves.
     pub model: String,
-    /// The version it runs.
+    /// Version of the model.
     pub version: String,
-    /// Its role.
+    /// Role of the bundle that it fills.
     pub role: String,
-    /// Its fabric domain.
+    /// Fabric domain of its members.
     pub domain: String,
-    /// Its fencing number.
+    /// Its fencing token.
     pub fence: u64,
-    /// Its members.
+    /// Its member instances, the head first.
     pub members: Vec<InstanceId>,
     /// `active`, `draining` or `dissolved`.
     pub phase: String,
-    /// Whether it serves here.
+    /// Whether this node sends it requests.
     pub serving: bool,
-    /// Why not.
+    /// The reason if it doesn't.
     pub why_not: Option<String>,
 }
 
-/// An engine.
+/// State of one engine instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct InstanceRow {
-    /// Its name.
+    /// Name in the instance list.
     pub instance: InstanceId,
-    /// Its fabric domain.
+    /// Fabric domain that it is in.
     pub domain: String,
-    /// The group that claims it.
+    /// The group that claims it in the log.
     pub claimed_by: Option<GroupId>,
-    /// The group it says it is in.
+    /// The group and readiness in its last report.
     pub says: Option<String>,
-    /// How old its last report is.
+    /// Age of its last report.
     pub report_age_ms: Option<Millis>,
-    /// Whether the platform takes it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
-    /// Whether an operator wants it out of service.
+    /// Whether an operator has asked to take it out of service.
     pub stopping: bool,
 }
 
-/// All of a node's state.
+/// The whole state of a node, for fault finding.
 #[derive(Debug, Serialize)]
 pub struct Dump {
-    /// What operators need.
+    /// State of the deployment as this node sees it.
     pub status: Status,
-    /// What the node has counted.
+    /// Values of the node's counters.
     pub counts: Counts,
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: Vec<InFlight>,
-    /// Requests that wait, by model.
+    /// Number of queued requests, by model.
     pub waiting: BTreeMap<String, usize>,
-    /// Idempotency keys in the state, and answers kept here.
+    /// Number of idempotency keys in the replayed state, and of those claimed at this node.
     pub keys: [usize; 2],
-    /// Records kept for peers: the first offset, and the next.
+    /// Records kept for peers: the offset of the first one, and the offset after the last.
     pub tail: [u64; 2],
-    /// Memory of the process, in KiB.
+    /// Resident memory of the process, in KiB.
     pub memory_kib: u64,
 }
 
-/// The status as this node sees it.
+/// State of the deployment as this node sees it.
 pub fn status(node: &Node) -> Status {
     let readiness = node.readiness();
-    // Read here and not below: a lock taken within the value that is returned
-    // would be held while its other parts are read.
+    // Not read in the struct expression below: the lock guard would live until the end of
+    // that expression, and thus be held while the other fields are computed.
     let log_answers = node.log_state.read().log_answers;
     let (bundle, published, groups, next) = node
         .with_state(|state| {
@@ -262,7 +262,7 @@
     rows.unwrap_or_default()
 }
 
-/// All of the node's state.
+/// The whole state of the node, for fault finding.
 pub fn dump(node: &Node) -> Dump {
     let mut waiting = BTreeMap::new();
     node.dispatchers.for_each(|model, desk| {
@@ -284,7 +284,8 @@
     }
 }
 
-/// What was decided about a group, newest last.
+/// The decisions of this node's stewards about a group, newest last; `None` if there are
+/// none.
 pub fn explain(node: &Node, group: &str) -> Option<Value> {
     let decisions = node.decisions.lock();
     let id = GroupId::new(group).ok()?;
@@ -295,7 +296,7 @@
     Some(rows.collect())
 }
 
-/// The memory that the machine says this process has in use.
+/// Resident memory of this process in KiB, from `/proc`; 0 if it can't be read.
 fn memory_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/workshold-node/src/key_table.rs
+++ b/crates/workshold-node/src/key_table.rs
@@ -1,4 +1,4 @@
-//! What became of the requests that this node runs at most once.
+//! Idempotency keys that this node has claimed, with the answers of their requests.
 
 use tokio::sync::watch;
 use workshold_protocol::Millis;
@@ -10,7 +10,7 @@
 
 use crate::shards::Shards;
 
-/// The longest answer that is kept for who asks again, in bytes.
+/// Longest answer body that is stored for repeated requests, in bytes.
 const MAX_KEPT_LEN: usize = 64 * 1024;
 
 #[derive(Debug)]
@@ -19,30 +19,30 @@
     answer: watch::Receiver<Option<StoredResponse>>,
 }
 
-/// The keys that this node has taken up since it started.
+/// The idempotency keys that this node has claimed since it started.
 #[derive(Debug, Default)]
 pub struct KeyTable {
     entries: Shards<KeyDigest, Entry>,
 }
 
-/// What a request finds under its key at this node.
+/// Result of claiming an idempotency key at this node.
 #[derive(Debug)]
 pub enum KeyClaim {
-    /// Nothing: it is this request's to run. The answer goes in here.
+    /// The key was free and now belongs to this request, which stores its answer here.
     Claimed(Running),
-    /// Another request with the key is running or done; its answer comes here.
+    /// Another request with the key is running or done; its answer arrives here.
     AlreadyClaimed(watch::Receiver<Option<StoredResponse>>),
 }
 
-/// A request that runs under its key. Dropped without an answer, it leaves
-/// "unknown" behind.
+/// A request that owns its key. If it is dropped without an answer, the stored answer says
+/// that the request may have run.
 #[derive(Debug)]
 pub struct Running {
     answer: watch::Sender<Option<StoredResponse>>,
 }
 
 impl KeyTable {
-    /// Takes up a key, or finds who did.
+    /// Claims a key. `key_time` is the time in the key, by which it expires.
     pub fn claim(&self, key: &KeyDigest, key_time: Millis) -> KeyClaim {
         self.entries.with_shard(key, |shard| {
             if let Some(entry) = shard.get(key) {
@@ -54,34 +54,36 @@
         })
     }
 
-    /// The answer under a key, if it was taken up here and is there.
+    /// The answer stored for a key; `None` if this node hasn't claimed it, or its request
+    /// is still running.
     pub fn answer(&self, key: &KeyDigest) -> Option<StoredResponse> {
         self.entries.get(key, |entry| entry.answer.borrow().clone()).flatten()
     }
 
-    /// Forgets a key under which nothing was begun here.
+    /// Releases a key whose request was not started, so that it can be claimed again.
     pub fn discard(&self, key: &KeyDigest) {
         self.entries.with_shard(key, |shard| shard.remove(key));
     }
 
-    /// Forgets keys that everybody refuses.
+    /// Drops the keys made before `floor`, which all nodes reject as expired.
     pub fn forget_before(&self, floor: Millis) {
         self.entries.retain(|_, entry| entry.key_time >= floor);
     }
 
-    /// How many keys are kept.
+    /// Number of claimed keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is kept.
+    /// Whether no key is claimed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
 impl Running {
-    /// Keeps the answer for whoever asks again.
+    /// Stores the answer for repeated requests with the same key. One that is longer than
+    /// the limit is replaced by a problem that says so.
     pub fn finish(self, answer: &StoredResponse) {
         let kept = if answer.body.len() <= MAX_KEPT_LEN {
             answer.clone()
@@ -107,11 +109,11 @@
     }
 }
 
-/// A problem as an answer.
+/// Makes a problem the answer of a request, as `application/problem+json`.
 pub fn problem_response(problem: &Problem) -> StoredResponse {
     StoredResponse {
         status: problem.status,
         content_type: PROBLEM_JSON.to_owned(),
-        body: serde_json::to_vec(problem).expect("a problem is text"),
+        body: serde_json::to_vec(problem).expect("a problem always serialises"),
     }
 }
--- a/crates/workshold-node/src/lib.rs
+++ b/crates/workshold-node/src/lib.rs
@@ -1,11 +1,12 @@
-//! The entry node: serves callers, watches upstreams, keeps groups whole.
+//! The entry node: serves callers, probes instances, and replaces groups that have lost a
+//! member.
 //!
 //! - [`settings`] are read and checked before anything starts.
-//! - [`node::Node`] is what all parts share, in shards, each under its own lock.
-//! - [`tasks`] run beside the callers: replaying the log, probing instances,
-//!   asking peers, stewarding domains, keeping the log in order.
-//! - [`callers`] and [`operators`] answer over HTTP.
-//! - [`daemon`] starts and ends it all.
+//! - [`node::Node`] is the shared state, each part of it under its own lock.
+//! - [`tasks`] run in the background: replaying the log, probing instances, polling other
+//!   nodes, planning for fabric domains as their steward, and maintaining the log.
+//! - [`callers`] and [`operators`] are the HTTP APIs.
+//! - [`daemon`] starts and stops the node.
 
 pub mod callers;
 pub mod counters;
--- a/crates/workshold-node/src/log_client.rs
+++ b/crates/workshold-node/src/log_client.rs
@@ -1,4 +1,4 @@
-//! The platform's log service as a node uses it.
+//! Client of the platform's log service.
 
 use std::time::Duration;
 
@@ -12,34 +12,35 @@
 use workshold_protocol::log_api::ReadReply;
 use workshold_protocol::log_api::STREAM;
 
-/// A client of the log service.
+/// Reads and appends records of the cluster's stream in the log service.
 #[derive(Debug, Clone)]
 pub struct LogClient {
     address: String,
 }
 
-/// Beyond what a read was asked to wait.
+/// Timeout of a read, beyond the time for which it may wait for new records.
 const READ_SLACK: Duration = Duration::from_millis(1_500);
 const APPEND_TIME: Duration = Duration::from_millis(1_000);
 
 impl LogClient {
-    /// A client of the service at `address`.
+    /// Makes a client of the service at `address` (`ip:port`); connects on each call.
     pub fn new(address: &str) -> Self {
         Self { address: address.to_owned() }
     }
 
-    /// Reads from `from` on; waits up to `wait` for something new.
+    /// Reads records from offset `from` on. If there are none, waits for new ones up to
+    /// `wait` (a long poll).
     ///
     /// # Errors
     ///
-    /// [`CallError`] if the log does not answer.
+    /// [`CallError`] if the log does not answer in time, or refuses.
     pub async fn read(&self, from: Offset, wait: Millis) -> Result<ReadReply, CallError> {
         let path = format!("/streams/{STREAM}/records?from={from}&wait_ms={}", wait.0);
         client::get(&self.address, &path, wait.to_duration() + READ_SLACK).await
     }
 
-    /// Appends one sealed record. Without an answer it may stand there or not;
-    /// appending the same text again does no harm.
+    /// Appends one sealed record and returns its offset. After an error the record may or
+    /// may not have been appended; appending the same text again is harmless.
     ///
     /// # Errors
     ///
--- a/crates/workshold-node/src/logging.rs
+++ b/crates/workshold-node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Setting up `fern`: one line an event, text or JSON, to standard error.
+//! Sets up logging with `fern`: one line per event, as text or JSON, to standard error.
 
 use fern::Dispatch;
 use log::LevelFilter;
@@ -10,11 +10,12 @@
 use crate::settings::LogLevel;
 use crate::settings::LogSettings;
 
-/// Sends all events where the settings say.
+/// Installs the process's logger with the level and format of the settings. Each line
+/// carries the wall-clock time and the name of the node.
 ///
 /// # Errors
 ///
-/// If logging was set up before in this process.
+/// If a logger is installed already in this process.
 pub fn init(settings: &LogSettings, node: &str) -> Result<(), log::SetLoggerError> {
     let clock = SystemClock::default();
     let format = settings.format;
--- a/crates/workshold-node/src/main.rs
+++ b/crates/workshold-node/src/main.rs
@@ -1,4 +1,4 @@
-//! `workshold-entry`: one entry node.
+//! The `workshold-entry` binary: runs one entry node.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,9 +8,11 @@
 use workshold_node::logging;
 use workshold_node::settings;
 
-/// The node stopped as planned.
+/// A signal stopped the node, but some requests or connections were aborted.
 const EXIT_CUT: u8 = 3;
+/// The node could not start, or a background task ended.
 const EXIT_FAILED: u8 = 1;
+/// The settings are invalid.
 const EXIT_SETTINGS: u8 = 2;
 
 fn options() -> bpaf::OptionParser<PathBuf> {
@@ -24,7 +26,7 @@
         .version(env!("CARGO_PKG_VERSION"))
 }
 
-#[expect(clippy::print_stderr, reason = "there are no logs yet")]
+#[expect(clippy::print_stderr, reason = "logging is not set up yet")]
 #[tokio::main]
 async fn main() -> ExitCode {
     let file = options().run();
@@ -36,7 +38,7 @@
         }
     };
     if let Err(err) = logging::init(&checked.settings.log, checked.settings.node.name.as_str()) {
-        eprintln!("logs cannot be written: {err}");
+        eprintln!("cannot set up logging: {err}");
         return ExitCode::from(EXIT_FAILED);
     }
     match daemon::run(checked).await {
--- a/crates/workshold-node/src/metrics.rs
+++ b/crates/workshold-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Sending counters to a statsd server with `cadence`.
+//! Sends the counters to a statsd server with `cadence`.
 
 use std::fmt::Write as _;
 use std::net::UdpSocket;
@@ -9,10 +9,10 @@
 
 use crate::counters::Counters;
 
-/// The beginning of every metric's name.
+/// Prefix of all metric names.
 pub const PREFIX: &str = "workshold";
 
-/// Sends what has changed since the last time.
+/// Sends the increase of each counter since it was last sent.
 #[derive(Debug)]
 pub struct MetricsSender {
     client: StatsdClient,
@@ -20,11 +20,11 @@
 }
 
 impl MetricsSender {
-    /// A sender to `address`.
+    /// Makes a sender to the statsd server at `address` (`ip:port`).
     ///
     /// # Errors
     ///
-    /// What the machine says if no socket can be had.
+    /// The error of the operating system if no UDP socket can be opened.
     pub fn new(address: &str) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("0.0.0.0:0")?;
         socket.set_nonblocking(true)?;
@@ -33,7 +33,7 @@
         Ok(Self { client, last: vec![0; Counters::METRICS.len()] })
     }
 
-    /// Sends the changes; a metric that is lost is not sent again.
+    /// Sends the increases over UDP. One that is lost is not sent again.
     pub fn send(&mut self, counters: &Counters) {
         let values = counters.values();
         let changes = Counters::METRICS.iter().zip(values.iter().zip(&self.last));
@@ -47,7 +47,7 @@
     }
 }
 
-/// The text of `docs/METRICS.md`.
+/// Returns the text of `docs/METRICS.md`.
 pub fn reference_page() -> String {
     let mut text = String::from(
         "# Metrics\n\nSent to the statsd server of the settings every ten seconds, as counters.\n\n\
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of a node share.
+//! State that the node's tasks and its request handlers share.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -56,28 +56,29 @@
 use crate::tail::Tail;
 use crate::tasks::intents::IntentRequest;
 
-/// What lasts, as this node has read it.
+/// The state replayed from the log, and how current it is.
 #[derive(Debug, Default)]
 pub struct LogState {
-    /// The fold; none until the node could start from somewhere.
+    /// The replay; `None` until a checkpoint, or the log's first record, was read.
     pub replay: Option<Replay>,
-    /// The records as they stand, for peers.
+    /// Sealed records as read, to send to peers that can't reach the log.
     pub tail: Tail,
-    /// Whether what was read may be taken for what is in force.
+    /// Whether the bundle that was read may be treated as the one in force.
     pub authority: Authority,
-    /// Whether a checkpoint named another history.
+    /// Whether a checkpoint in the log contradicts the state that this node replayed.
     pub is_diverged: bool,
-    /// When the log last answered; none if it never did.
+    /// When the log last answered; `None` if it never did.
     pub log_heard: Option<Millis>,
-    /// Whether the log answered the last time.
+    /// Whether the log answered the last read.
     pub log_answers: bool,
-    /// When the last checkpoint was seen.
+    /// When the last checkpoint was read.
     pub checkpoint_seen: Millis,
-    /// Since when reports name records that this node has not read.
+    /// Since when instances report fencing tokens from records that this node has not
+    /// read; `None` if it has read them all.
     pub behind_since: Option<Millis>,
 }
 
-/// Why a node does not serve callers.
+/// Why a node does not serve callers. The texts are part of answers over HTTP.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Unready {
     /// neither the log nor a peer has said what to serve
@@ -96,88 +97,90 @@
     Leaving,
 }
 
-/// A team's allowance at this node.
+/// A team's rate limits and retry budget at this node.
 #[derive(Debug)]
 pub struct TeamLimits {
-    /// Requests a second.
+    /// Limit of requests per second.
     pub requests: TeamRateLimiter,
-    /// Tokens a second.
+    /// Limit of generated tokens per second.
     pub tokens: TeamRateLimiter,
-    /// Retries.
+    /// Budget of retries, which grows with the team's requests.
     pub retries: RetryBudget,
 }
 
-/// A decision of a steward of this node and when it was made, in wall time.
+/// A past decision of the steward on this node, kept for operators.
 #[derive(Debug, Clone)]
 pub struct PastDecision {
-    /// When.
+    /// Wall-clock time of the decision.
     pub at: Millis,
-    /// What.
+    /// The decision and its group.
     pub decision: Decision,
 }
 
-/// All that the parts of a node share, each part under its own lock.
+/// State shared by all tasks and request handlers, each part under its own lock.
 pub struct Node {
-    /// The settings.
+    /// The node's settings.
     pub settings: Settings,
-    /// Keys that the settings name.
+    /// The settings as checked, with the keys read from the files that they name.
     pub checked: CheckedSettings,
-    /// The clock.
+    /// Source of the node's monotonic time and of wall-clock time.
     pub clock: Arc<dyn Clock>,
-    /// Which life of the node this is.
+    /// Random number of this run of the process.
     pub incarnation: Incarnation,
-    /// Numbers that it counts.
+    /// Counters sent as metrics.
     pub counters: Counters,
-    /// The log.
+    /// Client of the platform's log service.
     pub log: LogClient,
-    /// What lasts.
+    /// State replayed from the log.
     pub log_state: RwLock<LogState>,
-    /// Says how far the log was replayed.
+    /// Publishes the offset of the next record to replay.
     pub replayed: watch::Sender<Offset>,
-    /// What instances said.
+    /// Reports of instances, and of other data centres on their groups.
     pub observations: RwLock<Observations>,
-    /// Instances that this node probed itself of late.
+    /// Instances that this node probes itself; it shares only their reports with peers.
     pub probed: RwLock<BTreeSet<InstanceId>>,
-    /// The other nodes.
+    /// Status of the other nodes, and which of them are live.
     pub membership: RwLock<ClusterMembership>,
-    /// Links to them.
+    /// Connections to the other nodes, by name.
     pub links: Mutex<BTreeMap<NodeId, Arc<PeerLink>>>,
     /// The platform's instance list as last read.
     pub list: RwLock<Arc<InstanceList>>,
-    /// Which groups serve.
+    /// The groups that can take requests.
     pub serving: RwLock<Arc<ServingTable>>,
-    /// Routing and queue of each model.
+    /// Routing and queueing of each model.
     pub dispatchers: Shards<ModelName, ModelDispatcher>,
-    /// Instances of each plain service.
+    /// Load balancing of each plain service.
     pub services: Shards<ServiceName, ServiceBalancer>,
-    /// Allowances of each team.
+    /// Rate limits and retry budget of each team.
     pub teams: Shards<TeamName, TeamLimits>,
-    /// Requests that run at most once.
+    /// Idempotency keys that this node has claimed.
     pub keys: KeyTable,
-    /// Requests under way.
+    /// Requests in flight at this node.
     pub in_flight: InFlightTable,
-    /// Where intents go to be recorded.
+    /// Queue of intents to append to the log.
     pub intents: mpsc::Sender<IntentRequest>,
-    /// What the stewards of this node decided.
+    /// Latest decisions of this node's stewards, by group.
     pub decisions: Mutex<BTreeMap<GroupId, VecDeque<PastDecision>>>,
-    /// Whether a planned stop has begun: the address is not given out any more.
+    /// Whether a planned stop has begun: other nodes and callers are no longer given this
+    /// node's address, but requests are still served.
     pub leaving: AtomicBool,
-    /// Whether callers have had the time to forget the address.
+    /// Whether the addresses given to callers have expired during a planned stop: new
+    /// requests are refused from then on.
     pub closing: AtomicBool,
     is_stale: AtomicBool,
 }
 
-/// Decisions that are kept for each group.
+/// Decisions kept for each group.
 const DECISIONS_KEPT: usize = 16;
-/// Groups whose decisions are kept.
+/// Groups whose decisions are kept; the group without a decision for longest goes first.
 const DECIDED_GROUPS_KEPT: usize = 256;
-/// How long reports may name unread records before the node steps out.
+/// How long instances may report records that this node hasn't read before it stops serving.
 const MAX_BEHIND: Millis = Millis(5_000);
-/// How long a report that nobody renews is kept for the dump.
+/// How long the last report of an instance is kept for the dump.
 const REPORT_KEPT: Millis = Millis(120_000);
 
 impl Node {
-    /// A node that has not started anything yet.
+    /// Makes a node with empty state and a random incarnation. Starts no task.
     pub fn new(
         checked: CheckedSettings,
         clock: Arc<dyn Clock>,
@@ -213,12 +216,12 @@
         })
     }
 
-    /// This node's name.
+    /// This node's name in the platform's instance list.
     pub fn name(&self) -> &NodeId {
         &self.settings.node.name
     }
 
-    /// The time by the node's clock.
+    /// Monotonic time of the node's clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
@@ -228,33 +231,34 @@
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Reads the state, if there is one.
+    /// Runs `read` on the replayed state, under its lock; `None` before the replay started.
     pub fn with_state<R>(&self, read: impl FnOnce(&State) -> R) -> Option<R> {
         self.log_state.read().replay.as_ref().map(|replay| read(replay.state()))
     }
 
-    /// The bundle in force.
+    /// The bundle in force; `None` before the replay started or if none was signed off.
     pub fn bundle(&self) -> Option<Arc<Bundle>> {
         let in_force =
             |state: &State| state.bundles.in_force().map(|in_force| Arc::clone(&in_force.bundle));
         self.with_state(in_force).flatten()
     }
 
-    /// Whether callers may be sent here.
+    /// Checks whether callers may be given this node's address: it serves, and no planned
+    /// stop has begun.
     ///
     /// # Errors
     ///
-    /// Why not.
+    /// The reason why they may not.
     pub fn readiness(&self) -> Result<(), Unready> {
         if self.is_leaving() { Err(Unready::Leaving) } else { self.can_serve() }
     }
 
-    /// Whether a caller who came here is served. A node that is about to stop
-    /// does so until callers have had the time to forget its address.
+    /// Checks whether this node serves requests that reach it. During a planned stop it
+    /// does so until the addresses that callers were given have expired.
     ///
     /// # Errors
     ///
-    /// Why not.
+    /// The reason why it does not.
     pub fn can_serve(&self) -> Result<(), Unready> {
         if self.closing.load(Ordering::Relaxed) {
             return Err(Unready::Leaving);
@@ -280,7 +284,7 @@
         if authority.is_held() { Ok(()) } else { Err(Unready::NoAuthority) }
     }
 
-    /// Whether other nodes may take what this one has read for what is in force.
+    /// Whether other nodes may treat the bundle that this one has read as the one in force.
     pub fn is_authoritative(&self) -> bool {
         let rules = self.settings.membership_rules();
         let (log_heard, authority, is_diverged) = {
@@ -291,7 +295,7 @@
         authority.is_held() && !is_isolated && !is_diverged
     }
 
-    /// Gives custody up once this node has been cut off for too long.
+    /// Gives up authority if this node is isolated from the log and all other nodes.
     pub fn note_isolation(&self) {
         let rules = self.settings.membership_rules();
         let log_heard = self.log_state.read().log_heard.unwrap_or_default();
@@ -300,14 +304,14 @@
         }
     }
 
-    /// Hears what another node says of its custody.
+    /// Takes into account whether another node has authority, and how far it has read.
     pub fn on_peer_authority(&self, is_held: bool, peer_next: Offset) {
         let mut log_state = self.log_state.write();
         let own_next = log_state.replay.as_ref().map_or(Offset(0), |replay| replay.state().next());
         log_state.authority.on_peer(is_held, peer_next, own_next);
     }
 
-    /// What this node tells others of itself.
+    /// The status that this node sends to others.
     pub fn status(&self) -> NodeStatus {
         let now = self.now();
         let (bundle, next) = self
@@ -332,7 +336,7 @@
         }
     }
 
-    /// The addresses for callers.
+    /// The addresses of nodes that callers may use, with their weights.
     pub fn entries(&self) -> Vec<EntryAddress> {
         let own = self.readiness().is_ok().then(|| {
             let entry = EntryAddress {
@@ -346,12 +350,13 @@
         self.membership.read().entries(own, self.now(), &rules)
     }
 
-    /// How many nodes share a team's allowance.
+    /// Number of nodes, listed or live, among which a team's rate limits are divided.
     pub fn node_count(&self) -> usize {
         self.membership.read().count(self.now(), &self.settings.membership_rules())
     }
 
-    /// The other nodes that are known, with where they listen for this one.
+    /// Peer addresses of the other nodes, from the settings and the instance list. The
+    /// list takes precedence.
     pub fn known_peers(&self) -> BTreeMap<NodeId, String> {
         let mut known = self.settings.peers.clone();
         for listed in self.list.read().iter() {
@@ -365,7 +370,7 @@
         known
     }
 
-    /// The link to a node; a new one if it has moved.
+    /// The connection to a node; a new one if its address has changed.
     pub fn link(&self, node: &NodeId, address: &str) -> Arc<PeerLink> {
         let mut links = self.links.lock();
         let link = links.entry(node.clone()).or_insert_with(|| Arc::new(PeerLink::new(address)));
@@ -375,12 +380,13 @@
         Arc::clone(link)
     }
 
-    /// Says that something has changed that the serving table is made of.
+    /// Marks the serving table as out of date, because one of its inputs has changed.
     pub fn touch(&self) {
         self.is_stale.store(true, Ordering::Relaxed);
     }
 
-    /// Makes the serving table anew if something has changed, or rows ran out.
+    /// Rebuilds the serving table if an input has changed or a row has expired, and logs
+    /// which groups began or ceased to serve.
     pub fn refresh_serving(&self) {
         let now = self.now();
         let table = Arc::clone(&self.serving.read());
@@ -404,7 +410,8 @@
         *self.serving.write() = Arc::new(made);
     }
 
-    /// Notes what instances' reports say of records that this node has not read.
+    /// Updates `behind_since`. A fencing token is the offset of the record with the group's
+    /// claim, so this node lags behind if an instance reports one that it hasn't replayed.
     pub fn update_replay_lag(&self) {
         let now = self.now();
         let ttl = self.settings.times.report_ttl;
@@ -424,7 +431,7 @@
             if is_behind { Some(log_state.behind_since.unwrap_or(now)) } else { None };
     }
 
-    /// Forgets reports and nodes that are long gone.
+    /// Drops old reports, nodes that have gone and expired idempotency keys.
     pub fn forget_gone(&self) {
         let now = self.now();
         self.observations.write().remove_older_than(now, REPORT_KEPT);
@@ -434,7 +441,7 @@
         }
     }
 
-    /// Keeps a decision for operators.
+    /// Stores a steward's decision for operators, unless it repeats the group's last one.
     pub fn remember(&self, decision: Decision) {
         let mut decisions = self.decisions.lock();
         let past = decisions.entry(decision.group.clone()).or_default();
@@ -456,7 +463,8 @@
         }
     }
 
-    /// Runs `work` on a team's allowance, made from the bundle in force.
+    /// Runs `work` on a team's rate limits and retry budget, after adjusting the limits to
+    /// `bundle` and the number of nodes. `None` if the bundle doesn't have the team.
     pub fn with_team_limits<R>(
         &self,
         name: &TeamName,
@@ -489,6 +497,7 @@
     }
 }
 
+/// Logs which groups began and which ceased to serve.
 fn report_changes(old: &ServingTable, new: &ServingTable) {
     let before = old.serving_ids();
     let after = new.serving_ids();
--- a/crates/workshold-node/src/operators.rs
+++ b/crates/workshold-node/src/operators.rs
@@ -1,4 +1,5 @@
-//! What operators can ask a node, on a listener of their own.
+//! HTTP API for operators, on its own listener: the node's status and state, and the
+//! decisions about a group.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
 use crate::dump;
 use crate::node::Node;
 
-/// Answers one question of an operator.
+/// Answers one request of an operator. All of them only read.
 pub async fn handle(node: Arc<Node>, req: Request<Incoming>) -> Response<Body> {
     let path = req.uri().path();
     match (req.method(), path) {
--- a/crates/workshold-node/src/peer_link.rs
+++ b/crates/workshold-node/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! Asking another node over a `zeromq` socket.
+//! Client for requests to another node, over a `zeromq` socket.
 
 use std::time::Duration;
 
@@ -19,20 +19,20 @@
 
 use crate::counters::Counters;
 
-/// Why a peer gave no answer.
+/// Why a request to a peer failed.
 #[derive(Debug, Display)]
 pub enum AskError {
-    /// the peer cannot be reached: {0}
+    /// cannot reach the peer: {0}
     Unreachable(String),
     /// the peer did not answer in time
     TimedOut,
-    /// the peer's answer is to another question, or its seal does not fit
+    /// the peer's answer has another nonce or an invalid seal
     BadAnswer,
 }
 
 impl std::error::Error for AskError {}
 
-/// A link to one other node; asks one question at a time.
+/// A connection to one other node. Requests are sent one at a time; others wait.
 pub struct PeerLink {
     address: String,
     socket: tokio::sync::Mutex<Option<ReqSocket>>,
@@ -45,22 +45,22 @@
 }
 
 impl PeerLink {
-    /// A link to the node at `address`; connects when it is first used.
+    /// Makes a link to the node at `address` (`ip:port`); connects on first use.
     pub fn new(address: &str) -> Self {
         Self { address: address.to_owned(), socket: tokio::sync::Mutex::default() }
     }
 
-    /// Where it leads.
+    /// Address of the other node.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Asks, and waits for the answer no longer than `within`.
+    /// Sends a request, and waits for the answer up to `within`.
     ///
     /// # Errors
     ///
-    /// [`AskError`]; the link is then made anew by the next question, so that a
-    /// late answer meets nobody.
+    /// [`AskError`]. The socket is then closed and the next request connects anew, so that
+    /// a late answer can't be taken for that of a later request.
     pub async fn query(
         &self,
         from: &NodeId,
@@ -100,6 +100,7 @@
     }
 }
 
+/// Sends a sealed request and receives the sealed answer.
 async fn exchange(socket: &mut ReqSocket, question: Vec<u8>) -> Result<Vec<u8>, AskError> {
     let unreachable = |err: zeromq::ZmqError| AskError::Unreachable(err.to_string());
     socket.send(question.into()).await.map_err(unreachable)?;
--- a/crates/workshold-node/src/requests.rs
+++ b/crates/workshold-node/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests under way, and the ids by which callers resume them.
+//! Requests in flight, and the request ids by which callers resume or cancel streams.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -16,32 +16,32 @@
 
 use crate::shards::Shards;
 
-/// Where a stream runs. Sealed, it is the id that its caller gets, so that any
-/// node can find the stream and only its own team can ask for it.
+/// Where a stream runs. Its caller gets it as the request id, with a seal by the cluster
+/// key, so that any node can find the stream, and only for the team that it belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamLocation {
-    /// The stream's name at the engine; unguessable.
+    /// Random id of the stream at the engine.
     pub stream: Uuid,
-    /// Whose it is.
+    /// Team that sent the request.
     pub team: TeamName,
-    /// What it asks.
+    /// Model that generates it.
     pub model: ModelName,
-    /// The instance that generates it.
+    /// Instance that runs the stream: the head of its group.
     pub instance: InstanceId,
-    /// Whether it goes to a caller that reads chat chunks.
+    /// Whether the caller used the chat API, and so gets chat chunks.
     pub is_chat: bool,
 }
 
 impl StreamLocation {
-    /// The id for the caller.
+    /// The request id for the caller: seal and content in URL-safe base64.
     pub fn seal(&self, key: &ClusterKey) -> String {
-        let body = postcard::to_stdvec(self).expect("a place has only sized parts");
+        let body = postcard::to_stdvec(self).expect("a location always serialises");
         let mut bytes = key.seal(SealPurpose::RequestId, &body).to_vec();
         bytes.extend_from_slice(&body);
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Reads an id; `None` for one that no node of this deployment gave out.
+    /// Decodes a request id; `None` if no node of this deployment issued it.
     pub fn open(text: &str, key: &ClusterKey) -> Option<Self> {
         let bytes = URL_SAFE_NO_PAD.decode(text).ok()?;
         let (seal, body) = bytes.split_at_checked(KEY_LEN)?;
@@ -52,20 +52,20 @@
     }
 }
 
-/// A request under way, for the dump.
+/// A request in flight, for the dump of the node's state.
 #[derive(Debug, Clone, Serialize)]
 pub struct InFlight {
-    /// Whose it is.
+    /// Team that sent the request.
     pub team: TeamName,
-    /// The model, or the plain service.
+    /// Name of the model or plain service.
     pub target: String,
-    /// The group that works on it, once there is one.
+    /// Group that it was sent to; `None` while it waits, and for plain services.
     pub group: Option<GroupId>,
-    /// When it came, by this node's clock.
+    /// When it arrived, by this node's clock.
     pub since: Millis,
 }
 
-/// All requests under way at this node.
+/// All requests in flight at this node; a planned stop waits until it is empty.
 #[derive(Debug, Default)]
 pub struct InFlightTable {
     entries: Shards<Uuid, InFlight>,
@@ -79,24 +79,24 @@
 }
 
 impl InFlightTable {
-    /// Enters a request.
+    /// Adds a request, which stays in the table until the guard is dropped.
     pub fn track(&self, request: InFlight) -> InFlightGuard<'_> {
         let id = Uuid::new_v4();
         self.entries.with_entry(&id, || request, |_| ());
         InFlightGuard { table: self, id }
     }
 
-    /// How many there are.
+    /// Number of requests in flight.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether no request is in flight.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Copies of all of them.
+    /// Copies of all requests in flight, in no order.
     pub fn all(&self) -> Vec<InFlight> {
         let mut all = Vec::new();
         self.entries.for_each(|_, request| all.push(request.clone()));
@@ -105,7 +105,7 @@
 }
 
 impl InFlightGuard<'_> {
-    /// Notes which group works on the request.
+    /// Sets the group that the request was sent to.
     pub fn set_group(&self, group: &GroupId) {
         self.table.entries.get(&self.id, |request| request.group = Some(group.clone()));
     }
--- a/crates/workshold-node/src/serving.rs
+++ b/crates/workshold-node/src/serving.rs
@@ -1,7 +1,7 @@
-//! The table of groups that serve, made anew whenever something changed.
+//! The table of groups that can take requests. It is rebuilt when its inputs change.
 //!
-//! Each row says until when it may be used: the freshness of the oldest report
-//! that it stands on. So a row is never believed longer than a report is.
+//! Each row expires when the oldest report it is based on does, so a group is never
+//! used on reports that have expired.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,63 +22,63 @@
 use workshold_protocol::ids::ModelName;
 use workshold_protocol::ids::Version;
 
-/// A group that serves.
+/// A group that can take requests.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServingGroup {
     /// Its name.
     pub group: GroupId,
-    /// Its fencing number.
+    /// Its fencing token.
     pub fence: FencingToken,
-    /// The member that serves callers.
+    /// The member that requests are sent to.
     pub head: InstanceId,
-    /// Where that listens.
+    /// Address of the head, as `ip:port`.
     pub address: String,
     /// The version it runs.
     pub version: Version,
-    /// Share of a full group's worth.
+    /// Utility of its role as a fraction of the best role's, as the bundle sets it.
     pub worth: f64,
-    /// Requests that it works on at once.
+    /// Requests that it can run at once.
     pub slots: u32,
-    /// Requests in it when it last reported.
+    /// Running and queued requests in the head's last report.
     pub reported: u32,
-    /// Since when that is true.
+    /// Time by this node's clock that `reported` and `slots` date from.
     pub true_since: Millis,
-    /// Since when all of the members' reports are true.
+    /// Time by this node's clock of the oldest of the members' reports.
     pub proved_since: Millis,
-    /// Until when it may be sent work on these reports.
+    /// When the oldest report expires; from then on the group gets no requests.
     pub valid_until: Millis,
     /// Whether it is in another data centre.
     pub is_remote: bool,
 }
 
-/// All groups, those that serve and those that do not.
+/// All groups: those that can take requests, and those that can't.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct ServingTable {
-    /// Those that serve, by model.
+    /// Groups that can take requests, by model.
     pub serving: BTreeMap<ModelName, Vec<ServingGroup>>,
-    /// Those that do not, and why.
+    /// Groups that can't, with the reason.
     pub closed: BTreeMap<GroupId, GroupNotReady>,
 }
 
-/// What a table is made of.
+/// Inputs of a serving table.
 #[derive(Debug, Clone, Copy)]
 pub struct Sources<'a> {
-    /// What lasts.
+    /// State replayed from the log: groups and the bundle in force.
     pub state: &'a State,
-    /// What instances said.
+    /// Reports of instances, and what other data centres report of their groups.
     pub observations: &'a Observations,
-    /// The platform's list.
+    /// The platform's instance list.
     pub list: &'a InstanceList,
     /// This node's data centre.
     pub data_centre: &'a DataCentre,
-    /// Its clock.
+    /// Time of this node's clock.
     pub now: Millis,
-    /// How groups are judged.
+    /// How long a report is valid.
     pub rules: GroupReadinessRules,
 }
 
 impl ServingTable {
-    /// Judges every group.
+    /// Checks every group, and puts it in the table with its address and load.
     pub fn make(sources: &Sources<'_>) -> Self {
         let leaving: BTreeSet<_> = sources
             .list
@@ -98,7 +98,7 @@
         table
     }
 
-    /// The groups that serve `model` at `now`.
+    /// The groups of `model` whose rows haven't expired at `now`.
     pub fn groups_for(
         &self,
         model: &ModelName,
@@ -108,13 +108,13 @@
         rows.iter().filter(move |row| now < row.valid_until)
     }
 
-    /// The names of all groups that serve.
+    /// Names of all groups that can take requests, also of rows that have expired.
     pub fn serving_ids(&self) -> BTreeSet<GroupId> {
         self.serving.values().flatten().map(|row| row.group.clone()).collect()
     }
 }
 
-/// What a row stands on.
+/// Load of a group and the times its reports date from, by this node's clock.
 struct Basis {
     proved_since: Millis,
     load_since: Millis,
@@ -154,7 +154,8 @@
         })
     }
 
-    /// By the members' own reports.
+    /// For a group in this data centre: from its members' own reports. The load is the
+    /// head's; the age of the evidence is that of the oldest report.
     fn reported(&self, group: &Group) -> Option<Basis> {
         let members = group.members.iter();
         let reports = members.map(|member| self.observations.get(&member.instance));
@@ -168,7 +169,7 @@
         })
     }
 
-    /// By what a node of its own data centre vouches for.
+    /// For a group in another data centre: from what a node there has observed.
     fn vouched(
         &self,
         group: &Group,
--- a/crates/workshold-node/src/settings.rs
+++ b/crates/workshold-node/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: TOML, unknown keys refused, every fault named at once.
+//! The node's settings, read from a TOML file. Unknown keys are errors, and all invalid
+//! values are reported at once.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -24,106 +25,111 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who and where this node is.
+    /// Name, data centre and addresses of this node.
     pub node: NodeSettings,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Whom it trusts.
+    /// Keys of the cluster and of operators.
     pub trust: TrustSettings,
-    /// Other nodes to ask before the instance list was read.
+    /// Peer addresses of other nodes, used until the instance list has been read.
     #[serde(default)]
     pub peers: BTreeMap<NodeId, String>,
-    /// Times it keeps to.
+    /// Intervals, timeouts and lifetimes.
     #[serde(default)]
     pub times: TimeSettings,
-    /// What callers may use up.
+    /// Limits on callers' requests, checkpoints and loading of weights.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// What is expected of instances that go missing.
+    /// Statistics about instances that go missing, for the choice of a repair.
     #[serde(default)]
     pub expectations: Expectations,
-    /// Its logs.
+    /// Level and format of log lines.
     #[serde(default)]
     pub log: LogSettings,
-    /// Its metrics.
+    /// Where metrics are sent.
     #[serde(default)]
     pub metrics: MetricsSettings,
 }
 
-/// Who and where a node is.
+/// Name, data centre and addresses of a node.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Its name, as the platform lists it.
+    /// Name in the platform's instance list.
     pub name: NodeId,
-    /// Its data centre.
+    /// Data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Where it listens for callers, as `ip:port`.
+    /// Address to listen on for callers, as `ip:port`; also given out to callers.
     pub callers: String,
-    /// Where it listens for other nodes.
+    /// Address to listen on for other nodes, as `ip:port`.
     pub peers: String,
-    /// Where it listens for operators.
+    /// Address to listen on for operators, as `ip:port`.
     pub operators: String,
 }
 
-/// Where the platform's services are.
+/// Addresses of the platform's services.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The log service, as `ip:port`.
+    /// Address of the log service, as `ip:port`.
     pub log: String,
-    /// The instance list, as `ip:port`.
+    /// Address of the service with the instance list, as `ip:port`.
     pub instances: String,
 }
 
-/// Whom a node trusts.
+/// Keys that a node trusts.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrustSettings {
-    /// A file with the key that all nodes share, in base64.
+    /// File with the secret key that all nodes share, in base64. A relative path starts at
+    /// the directory of the settings file.
     pub cluster_key_file: PathBuf,
-    /// The operators' public keys, in base64.
+    /// The operators' public keys, in base64; bundles are signed with them.
     pub operators: BTreeMap<OperatorName, PublicKey>,
 }
 
-/// Times, all in milliseconds.
+/// Intervals, timeouts and lifetimes, all in milliseconds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TimeSettings {
-    /// Between two probes of an instance, and between two questions to a peer.
+    /// Interval between probes of an instance and between polls of a peer, and the timeout
+    /// of one probe or poll.
     pub probe_every: Millis,
-    /// How long a report is believed.
+    /// How long a report of an instance is valid.
     pub report_ttl: Millis,
-    /// How far two clocks may drift apart over that time.
+    /// How far two clocks may drift apart during `report_ttl`.
     pub clock_error: Millis,
-    /// How long a member may be silent before its group counts as broken.
+    /// How long a member may be lost before its group counts as broken. Starts when its
+    /// last report expires.
     pub member_grace: Millis,
-    /// How long an instance must be off the list before its claim is dropped.
+    /// How long an instance must be neither listed nor heard from before its claim is
+    /// dropped.
     pub gone_after: Millis,
-    /// Between two plans of a steward.
+    /// Interval between a steward's planning rounds.
     pub plan_every: Millis,
-    /// How long a node counts as live after it answered.
+    /// How long a node counts as live after the poll that it last answered.
     pub peer_ttl: Millis,
-    /// How long without log and peers before a node steps out.
+    /// How long a node serves after it was cut off from the log and all other nodes.
     pub isolation_after: Millis,
-    /// How long callers may keep the addresses they were given.
+    /// How long callers may use the addresses that they were given.
     pub entries_ttl: Millis,
-    /// The deadline of a request that names none.
+    /// Deadline of a request that doesn't specify one.
     pub default_deadline: Millis,
-    /// The longest deadline that a request may name.
+    /// Longest deadline that a request may specify.
     pub max_deadline: Millis,
-    /// How long a caller may not read before its request is cancelled.
+    /// How long a caller may stop reading before its request is cancelled.
     pub caller_stall: Millis,
-    /// How long an upstream may say nothing before an attempt has failed.
+    /// How long an upstream may send nothing before its stream counts as stalled; a hedge
+    /// may start then.
     pub upstream_silence: Millis,
-    /// How long an intent may take to be recorded.
+    /// How long a request waits until its intent is recorded in the log.
     pub intent_wait: Millis,
-    /// Between checkpoints; keep well below half of the log's retention.
+    /// Time between checkpoints; must stay well below half of the log's retention.
     pub checkpoint_every: Millis,
-    /// How long idempotency keys are remembered.
+    /// How long idempotency keys are kept.
     pub key_window: Millis,
-    /// How long a planned stop waits for what is in flight, after callers have
-    /// forgotten the address.
+    /// How long a planned stop waits for requests in flight, after the addresses given to
+    /// callers have expired.
     pub stop_patience: Millis,
 }
 
@@ -151,23 +157,23 @@
     }
 }
 
-/// What callers may use up.
+/// Limits on callers' requests, checkpoints and loading of weights.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BoundSettings {
-    /// Connections at once.
+    /// Callers' connections at once.
     pub connections: usize,
-    /// Bytes of a request's body.
+    /// Largest body of a request, in bytes.
     pub body_len: usize,
-    /// Time for a request's head, and again for its body.
+    /// Timeout for reading a request's head, and again for reading its body.
     pub read_time: Millis,
-    /// Bytes of a plain service's answer.
+    /// Largest answer of a plain service, in bytes.
     pub answer_len: usize,
-    /// Tokens of one answer.
+    /// Most tokens that a request may ask for.
     pub max_tokens: u32,
-    /// Records between checkpoints.
+    /// Records between checkpoints; bounds what a new node has to replay.
     pub checkpoint_records: u64,
-    /// What one instance reads from the weight store in a second, in MiB.
+    /// Rate at which one instance reads from the weight store, in MiB/s.
     pub load_mib_per_s: u32,
 }
 
@@ -185,58 +191,58 @@
     }
 }
 
-/// How logs are written, to standard error.
+/// Level and format of log lines, which go to standard error.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// The least level that is written.
+    /// Lowest level that is written.
     pub level: LogLevel,
-    /// Text or JSON.
+    /// Format of a line.
     pub format: LogFormat,
 }
 
-/// Levels of events.
+/// Severity of an event.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Something needs a person.
+    /// An operator has to act.
     Error,
-    /// Something is wrong for now.
+    /// A fault that may pass by itself.
     Warn,
-    /// What happened.
+    /// Normal changes of state.
     #[default]
     Info,
-    /// What was thought about it.
+    /// Details of single requests and records, for fault finding.
     Debug,
 }
 
-/// Forms of a log line.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// For programs.
+    /// One JSON object per line.
     Json,
 }
 
-/// Where metrics go.
+/// Where metrics are sent.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MetricsSettings {
-    /// A statsd server, as `ip:port`; none switches them off.
+    /// Address of a statsd server, as `ip:port`; `None` disables metrics.
     pub statsd: Option<String>,
 }
 
-/// Something wrong with the settings, and where.
+/// An invalid value in the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// The file.
+    /// The settings file.
     pub file: PathBuf,
-    /// The key, or nothing if the text as a whole is broken.
+    /// The key, such as `times.peer_ttl`; `-` if the file can't be read or parsed.
     pub key: String,
-    /// What is wrong.
+    /// Explanation for the operator.
     pub why: String,
 }
 
@@ -246,14 +252,14 @@
     }
 }
 
-/// Settings that were checked, with the keys they name.
+/// Settings that passed all checks, with the keys that they name.
 #[derive(Debug, Clone)]
 pub struct CheckedSettings {
-    /// The settings.
+    /// The settings as read.
     pub settings: Settings,
-    /// The key that all nodes share.
+    /// The secret key that all nodes share.
     pub cluster_key: ClusterKey,
-    /// The operators.
+    /// The operators' public keys.
     pub operators: TrustedOperators,
 }
 
@@ -261,7 +267,7 @@
 ///
 /// # Errors
 ///
-/// Every fault that was found.
+/// All invalid values that were found.
 pub fn load(file: &Path) -> Result<CheckedSettings, Vec<SettingsFault>> {
     let fault = |key: &str, why: String| SettingsFault {
         file: file.to_path_buf(),
@@ -290,14 +296,17 @@
 }
 
 impl Settings {
-    /// What is wrong with the values, each with its key.
+    /// Checks values that parsing doesn't: returns the key and an explanation of each
+    /// invalid one.
     pub fn faults(&self) -> Vec<(&'static str, String)> {
         let mut faults = Vec::new();
         self.check_addresses(&mut faults);
         self.check_times(&mut faults);
         if self.trust.operators.is_empty() {
-            faults
-                .push(("trust.operators", "there is none; nobody could sign a bundle".to_owned()));
+            faults.push((
+                "trust.operators",
+                "it must not be empty: nobody could sign a bundle".to_owned(),
+            ));
         }
         if self.bounds.connections == 0 || self.bounds.body_len == 0 {
             faults.push(("bounds", "connections and body_len must be above 0".to_owned()));
@@ -339,12 +348,12 @@
             (
                 times.member_grace.0 + times.report_ttl.0 <= MAX_DETECTION_MS,
                 "times.member_grace",
-                "with report_ttl it must stay within a minute",
+                "its sum with report_ttl must not exceed one minute",
             ),
             (
                 times.default_deadline <= times.max_deadline,
                 "times.default_deadline",
-                "it must not be above max_deadline",
+                "it must not exceed max_deadline",
             ),
             (
                 times.clock_error.0 * 100 >= times.report_ttl.0,
@@ -365,12 +374,13 @@
         ClusterKey::from_text(&text).map_err(|err| err.to_string())
     }
 
-    /// How groups are judged.
+    /// Rules for the check of groups' readiness.
     pub fn group_readiness_rules(&self) -> GroupReadinessRules {
         GroupReadinessRules { report_ttl: self.times.report_ttl }
     }
 
-    /// What a steward keeps to.
+    /// Rules for the steward's plans. An instance is released only once its old report has
+    /// expired on every node, so the wait includes the drift of clocks.
     pub fn steward_rules(&self) -> StewardRules {
         StewardRules {
             group_readiness: self.group_readiness_rules(),
@@ -383,7 +393,7 @@
         }
     }
 
-    /// How other nodes are judged.
+    /// Rules for liveness and for polls of other nodes.
     pub fn membership_rules(&self) -> MembershipRules {
         MembershipRules {
             peer_ttl: self.times.peer_ttl,
@@ -393,7 +403,7 @@
         }
     }
 
-    /// How the log is kept in order.
+    /// Rules for checkpoints and for the expiry of idempotency keys.
     pub fn log_maintenance_rules(&self) -> LogMaintenanceRules {
         LogMaintenanceRules {
             checkpoint_every: self.times.checkpoint_every,
@@ -404,8 +414,9 @@
     }
 }
 
+/// Longest time in which a lost member must be detected.
 const MAX_DETECTION_MS: u64 = 60_000;
-/// Two, so that one that dies leaves no gap.
+/// Nodes of a data centre that probe each instance: two, so that probes go on when one dies.
 const PROBERS: usize = 2;
-/// Two, so that one that dies leaves no gap.
+/// Nodes polled in each other data centre: two, so that polls go on when one dies.
 const ASKED_REMOTELY: usize = 2;
--- a/crates/workshold-node/src/shards.rs
+++ b/crates/workshold-node/src/shards.rs
@@ -1,4 +1,4 @@
-//! A map in shards, each under its own lock.
+//! A hash map divided into shards, each under its own lock.
 
 use std::collections::HashMap;
 use std::hash::BuildHasher;
@@ -7,10 +7,11 @@
 use parking_lot::Mutex;
 use xxhash_rust::xxh3::Xxh3Builder;
 
-/// Shards of a map; more than the cores of an entry instance.
+/// Shards of a map: more than an entry node has cores, to keep contention low.
 const SHARDS: usize = 16;
 
-/// A map whose entries are locked by shard.
+/// A hash map whose entries are locked by shard. The closures run under the lock of one
+/// shard and must not use the map again, or they may deadlock.
 #[derive(Debug)]
 pub struct Shards<K, V> {
     shards: Vec<Mutex<HashMap<K, V>>>,
@@ -23,7 +24,7 @@
 }
 
 impl<K: Hash + Eq + Clone, V> Shards<K, V> {
-    /// Runs `work` on the entry of `key`, made by `make` if there is none.
+    /// Runs `work` on the entry of `key`, inserted with `make` if there is none.
     pub fn with_entry<R>(
         &self,
         key: &K,
@@ -34,36 +35,36 @@
         work(shard.entry(key.clone()).or_insert_with(make))
     }
 
-    /// Runs `work` on the entry of `key`, if there is one.
+    /// Runs `work` on the entry of `key`; `None` if there is none.
     pub fn get<R>(&self, key: &K, work: impl FnOnce(&mut V) -> R) -> Option<R> {
         self.shard(key).lock().get_mut(key).map(work)
     }
 
-    /// Runs `work` on the shard that `key` is in.
+    /// Runs `work` on the whole shard of `key`, for checks and inserts under one lock.
     pub fn with_shard<R>(&self, key: &K, work: impl FnOnce(&mut HashMap<K, V>) -> R) -> R {
         work(&mut self.shard(key).lock())
     }
 
-    /// Runs `work` on every entry, shard by shard.
+    /// Runs `work` on every entry, locking one shard at a time.
     pub fn for_each(&self, mut work: impl FnMut(&K, &mut V)) {
         for shard in &self.shards {
             shard.lock().iter_mut().for_each(|(key, value)| work(key, value));
         }
     }
 
-    /// Keeps only the entries that `keep` wants.
+    /// Removes the entries for which `keep` is false.
     pub fn retain(&self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         for shard in &self.shards {
             shard.lock().retain(|key, value| keep(key, value));
         }
     }
 
-    /// How many entries there are.
+    /// Number of entries; other threads may change it while it is counted.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().len()).sum()
     }
 
-    /// Whether there is none.
+    /// Whether the map has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/workshold-node/src/tail.rs
+++ b/crates/workshold-node/src/tail.rs
@@ -1,51 +1,50 @@
-//! The records since the last checkpoint as they stand, for peers that cannot
-//! reach the log.
+//! The sealed records since the last checkpoint, for peers that cannot reach the log.
 
 use std::collections::VecDeque;
 
 use workshold_protocol::ids::Offset;
 
-/// Records without gaps from some offset on.
+/// Sealed records at consecutive offsets.
 #[derive(Debug, Default)]
 pub struct Tail {
     first: Offset,
     records: VecDeque<String>,
 }
 
-/// Bytes of records in one answer to a peer.
+/// Most bytes of records in one answer to a peer; a single longer record is sent alone.
 const MAX_PART_LEN: usize = 1024 * 1024;
 
 impl Tail {
-    /// Nothing yet; `first` comes next.
+    /// Makes an empty tail; the record at `first` comes next.
     pub fn starting_at(first: Offset) -> Self {
         Self { first, records: VecDeque::new() }
     }
 
-    /// The first offset it has.
+    /// Offset of the first record; equals `next` if there is none.
     pub fn first(&self) -> Offset {
         self.first
     }
 
-    /// The first offset it has not.
+    /// Offset after the last record.
     pub fn next(&self) -> Offset {
         Offset(self.first.0 + self.records.len() as u64)
     }
 
-    /// Adds the record at `offset` if it is the next one.
+    /// Appends the record at `offset`; ignored if it isn't the next one.
     pub fn push(&mut self, offset: Offset, text: &str) {
         if offset == self.next() {
             self.records.push_back(text.to_owned());
         }
     }
 
-    /// Drops what a checkpoint covers.
+    /// Drops the records before `offset`, which a checkpoint covers.
     pub fn drop_before(&mut self, offset: Offset) {
         while self.first < offset && self.records.pop_front().is_some() {
             self.first = self.first.next();
         }
     }
 
-    /// Records from `from` on, or from the first it has, up to a bounded size.
+    /// Copies records from `from` on, or from the first one kept, up to a bounded size.
     pub fn part(&self, from: Offset) -> Vec<(Offset, String)> {
         let start = from.max(self.first);
         let skip = (start.0 - self.first.0) as usize;
--- a/crates/workshold-node/src/tasks.rs
+++ b/crates/workshold-node/src/tasks.rs
@@ -1,4 +1,4 @@
-//! What a node does beside answering callers.
+//! Background tasks of a node; each runs as long as the node does.
 
 pub mod catch_up;
 pub mod dispatching;
