--- a/crates/workshold-node/src/daemon.rs
+++ b/crates/workshold-node/src/daemon.rs
@@ -33,7 +33,7 @@
 use crate::settings::CheckedSettings;
 use crate::tasks;
 use crate::tasks::intents::IntentRequest;
-use crate::tasks::intents::QUEUE_LEN;
+use crate::tasks::intents::MAX_QUEUED_INTENTS;
 use crate::tasks::peers::ListenError;
 
 /// Why a node did not start, or ended without a signal.
@@ -58,9 +58,9 @@
 
 /// Result of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ended {
+pub struct StopSummary {
     /// Requests or connections that were aborted; 0 if all finished.
-    pub cut: usize,
+    pub aborted: usize,
 }
 
 /// The callers' server, and the channel that tells both servers to drain or to abort.
@@ -69,29 +69,29 @@
     stage: watch::Sender<ServerState>,
 }
 
-const METRICS_EVERY: Duration = Duration::from_secs(10);
-const READY_EVERY: Duration = Duration::from_millis(100);
-const STOP_POLL: Duration = Duration::from_millis(20);
+const METRICS_INTERVAL: Duration = Duration::from_secs(10);
+const READINESS_INTERVAL: Duration = Duration::from_millis(100);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs a node until a signal stops it.
 ///
 /// # Errors
 ///
 /// [`DaemonError`] if it cannot start, or one of its background tasks ends.
-pub async fn run(checked: CheckedSettings) -> Result<Ended, DaemonError> {
+pub async fn run(checked: CheckedSettings) -> Result<StopSummary, DaemonError> {
     let mut signals = Signals::new().map_err(DaemonError::Signals)?;
-    let (intents, intents_rx) = mpsc::channel(QUEUE_LEN);
+    let (intents, intents_rx) = mpsc::channel(MAX_QUEUED_INTENTS);
     let node = Node::new(checked, Arc::new(SystemClock::default()), intents);
     let servers = start_servers(&node).await?;
-    let mut parts = start_tasks(&node, intents_rx).await?;
+    let mut background = start_tasks(&node, intents_rx).await?;
     emit(Event::Started, &[("callers", &node.settings.node.callers)]);
     loop {
         tokio::select! {
-            _ = parts.join_next() => {
+            _ = background.join_next() => {
                 emit(Event::TaskEnded, &[]);
                 return Err(DaemonError::TaskEnded);
             }
-            wanted = signals.next() => match wanted {
+            action = signals.next() => match action {
                 SignalAction::Dump => print_dump(&node),
                 // Ignored: settings are only read at the start.
                 SignalAction::Reload => {}
@@ -100,7 +100,7 @@
         }
     }
     let ended = stop(&node, servers, &mut signals).await;
-    emit(Event::Stopped, &[("cut", &ended.cut.to_string())]);
+    emit(Event::Stopped, &[("cut", &ended.aborted.to_string())]);
     Ok(ended)
 }
 
@@ -125,15 +125,15 @@
         ..ServerLimits::default()
     };
     let listener = bind(&node.settings.node.callers)?;
-    let for_callers = Arc::clone(node);
+    let callers_node = Arc::clone(node);
     let service = service_fn(move |req: Request<Incoming>| {
-        infallible(callers::handle(Arc::clone(&for_callers), req))
+        infallible(callers::handle(Arc::clone(&callers_node), req))
     });
     let callers = tokio::spawn(server::serve(listener, bounds, service, rx.clone()));
     let listener = bind(&node.settings.node.operators)?;
-    let for_operators = Arc::clone(node);
+    let operators_node = Arc::clone(node);
     let service = service_fn(move |req: Request<Incoming>| {
-        infallible(operators::handle(Arc::clone(&for_operators), req))
+        infallible(operators::handle(Arc::clone(&operators_node), req))
     });
     tokio::spawn(server::serve(listener, ServerLimits::default(), service, rx));
     Ok(Servers { callers, stage })
@@ -141,12 +141,12 @@
 
 fn bind(address: &str) -> Result<TcpListener, DaemonError> {
     let parsed = address.parse().map_err(io::Error::other);
-    let bound = parsed.and_then(|address| server::bind(address, SEND_BUFFER));
+    let bound = parsed.and_then(|address| server::bind(address, SEND_BUFFER_LEN));
     bound.map_err(|why| DaemonError::Listen { address: address.to_owned(), why })
 }
 
 /// Send buffer of one caller's connection, in bytes: bounds what is sent but not yet read.
-const SEND_BUFFER: u32 = 128 * 1024;
+const SEND_BUFFER_LEN: u32 = 128 * 1024;
 
 /// Starts all background tasks. The node ends with an error if one of them ends.
 async fn start_tasks(
@@ -154,21 +154,21 @@
     intents: mpsc::Receiver<IntentRequest>,
 ) -> Result<JoinSet<()>, DaemonError> {
     let socket = tasks::peers::listen(node).await.map_err(DaemonError::Peers)?;
-    let mut parts = JoinSet::new();
-    parts.spawn(tasks::peers::answer_all(Arc::clone(node), socket));
-    parts.spawn(tasks::peers::ask_all(Arc::clone(node)));
-    parts.spawn(tasks::listing::run(Arc::clone(node)));
-    parts.spawn(tasks::probing::run(Arc::clone(node)));
-    parts.spawn(tasks::replaying::run(Arc::clone(node)));
-    parts.spawn(tasks::stewarding::run(Arc::clone(node)));
-    parts.spawn(tasks::upkeep::run(Arc::clone(node)));
-    parts.spawn(tasks::dispatching::run(Arc::clone(node)));
-    parts.spawn(tasks::intents::run(Arc::clone(node), intents));
-    parts.spawn(report_readiness(Arc::clone(node)));
+    let mut background = JoinSet::new();
+    background.spawn(tasks::peers::answer_requests(Arc::clone(node), socket));
+    background.spawn(tasks::peers::poll_peers(Arc::clone(node)));
+    background.spawn(tasks::listing::run(Arc::clone(node)));
+    background.spawn(tasks::probing::run(Arc::clone(node)));
+    background.spawn(tasks::replaying::run(Arc::clone(node)));
+    background.spawn(tasks::stewarding::run(Arc::clone(node)));
+    background.spawn(tasks::upkeep::run(Arc::clone(node)));
+    background.spawn(tasks::dispatching::run(Arc::clone(node)));
+    background.spawn(tasks::intents::run(Arc::clone(node), intents));
+    background.spawn(report_readiness(Arc::clone(node)));
     if let Some(address) = &node.settings.metrics.statsd {
-        parts.spawn(send_metrics(Arc::clone(node), address.clone()));
+        background.spawn(send_metrics(Arc::clone(node), address.clone()));
     }
-    Ok(parts)
+    Ok(background)
 }
 
 /// Logs an event whenever the node begins or ceases to serve callers, or the reason changes.
@@ -183,7 +183,7 @@
             }
             last = Some(now);
         }
-        tokio::time::sleep(READY_EVERY).await;
+        tokio::time::sleep(READINESS_INTERVAL).await;
     }
 }
 
@@ -193,7 +193,7 @@
         return std::future::pending().await;
     };
     loop {
-        tokio::time::sleep(METRICS_EVERY).await;
+        tokio::time::sleep(METRICS_INTERVAL).await;
         sender.send(&node.counters);
     }
 }
@@ -209,59 +209,60 @@
 /// Stops in a planned way: withdraws this node's address, waits until callers' copies of
 /// it have expired, finishes the requests in flight, and closes the connections. A second
 /// signal, or the end of `stop_patience`, aborts what is left.
-async fn stop(node: &Arc<Node>, mut servers: Servers, signals: &mut Signals) -> Ended {
+async fn stop(node: &Arc<Node>, mut servers: Servers, signals: &mut Signals) -> StopSummary {
     node.leaving.store(true, Ordering::Relaxed);
     emit(Event::Leaving, &[]);
-    let is_finished = tokio::select! {
-        is_finished = finish(node, &mut servers) => is_finished,
+    let is_drained = tokio::select! {
+        is_drained = drain(node, &mut servers) => is_drained,
         () = wait_for_stop(signals, node) => {
             let left = node.in_flight.len().to_string();
             emit(Event::Cut, &[("in_flight", &left)]);
             false
         }
     };
-    if is_finished {
-        return Ended { cut: 0 };
+    if is_drained {
+        return StopSummary { aborted: 0 };
     }
-    let cut = node.in_flight.len();
+    let aborted = node.in_flight.len();
     servers.stage.send_replace(ServerState::Aborting);
-    let ended = tokio::time::timeout(CUT_TIME, servers.callers).await;
+    let ended = tokio::time::timeout(ABORT_TIMEOUT, servers.callers).await;
     let unfinished = ended.ok().and_then(Result::ok).unwrap_or(0);
-    Ended { cut: cut.max(unfinished) }
+    StopSummary { aborted: aborted.max(unfinished) }
 }
 
 /// Time for the server to abort its connections.
-const CUT_TIME: Duration = Duration::from_secs(2);
+const ABORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Drains the node; false if requests are still in flight after `stop_patience`.
-async fn finish(node: &Node, servers: &mut Servers) -> bool {
+async fn drain(node: &Node, servers: &mut Servers) -> bool {
     let times = &node.settings.times;
     // Other nodes learn of it from the next poll, which starts within one interval and takes
     // at most another; callers then use the addresses that they got until these expire.
-    let forgotten = node.now() + times.probe_every + times.probe_every + times.entries_ttl;
-    let patience = forgotten + times.stop_patience;
-    wait_until(node, forgotten).await;
+    let addresses_expire_at =
+        node.now() + times.probe_every + times.probe_every + times.entries_ttl;
+    let drain_deadline = addresses_expire_at + times.stop_patience;
+    wait_until(node, addresses_expire_at).await;
     // A caller that still comes ignored the expiry; it is refused and given other addresses.
     node.closing.store(true, Ordering::Relaxed);
-    wait_until_idle(node, patience).await;
+    wait_until_idle(node, drain_deadline).await;
     if !node.in_flight.is_empty() {
         return false;
     }
     servers.stage.send_replace(ServerState::Draining);
-    end_connections(node, servers, patience).await
+    close_connections(node, servers, drain_deadline).await
 }
 
 /// Waits until all connections have closed; each closes after its answer, which includes
 /// requests that were not in the table of requests in flight yet. A caller that has stopped
 /// reading is given the usual `caller_stall`.
-async fn end_connections(node: &Node, servers: &mut Servers, patience: Millis) -> bool {
+async fn close_connections(node: &Node, servers: &mut Servers, drain_deadline: Millis) -> bool {
     let stall = node.settings.times.caller_stall;
     loop {
-        let left = patience.since(node.now()).min(stall);
+        let left = drain_deadline.since(node.now()).min(stall);
         if tokio::time::timeout(left.to_duration(), &mut servers.callers).await.is_ok() {
             return true;
         }
-        if node.in_flight.is_empty() || node.now() >= patience {
+        if node.in_flight.is_empty() || node.now() >= drain_deadline {
             return false;
         }
     }
@@ -269,12 +270,12 @@
 
 async fn wait_until(node: &Node, time: Millis) {
     while node.now() < time {
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
 
 async fn wait_until_idle(node: &Node, not_after: Millis) {
     while !node.in_flight.is_empty() && node.now() < not_after {
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
--- a/crates/workshold-node/src/dispatcher.rs
+++ b/crates/workshold-node/src/dispatcher.rs
@@ -35,9 +35,9 @@
 
 /// A queued request: its prefix for routing, and the channel to the task that waits.
 #[derive(Debug)]
-pub struct Waiter {
+pub struct QueuedRequest {
     chain: Arc<PrefixChain>,
-    turn: oneshot::Sender<QueueOutcome>,
+    outcome_tx: oneshot::Sender<QueueOutcome>,
 }
 
 /// Result of trying to send a new request to a group.
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct ModelDispatcher {
     router: Router,
-    queue: FairQueue<Waiter>,
+    queue: FairQueue<QueuedRequest>,
     outliers: OutlierDetector<GroupId>,
     /// When a request last failed at each group. The group gets no new request until all
     /// its members have sent a report from after that time.
@@ -66,7 +66,7 @@
 }
 
 /// Divisor of the moving average of the service time: the newest request weighs 1/10.
-const SERVICE_TIME_PART: u64 = 10;
+const SERVICE_TIME_DIVISOR: u64 = 10;
 
 impl Default for ModelDispatcher {
     fn default() -> Self {
@@ -98,21 +98,21 @@
     /// while others wait, so that it doesn't overtake them.
     pub fn place(
         &mut self,
-        view: &DispatchContext<'_>,
+        cx: &DispatchContext<'_>,
         chain: &Arc<PrefixChain>,
         arrival: &Arrival<'_>,
     ) -> Placement {
-        if view.table.groups_for(view.model, view.now).next().is_none() {
+        if cx.table.groups_for(cx.model, cx.now).next().is_none() {
             return Placement::NoGroup;
         }
         if self.queue.is_empty()
-            && let Some(group) = self.start(view, chain)
+            && let Some(group) = self.start_at_free_group(cx, chain)
         {
             return Placement::Dispatched(group);
         }
-        let (turn, rx) = oneshot::channel();
-        let waiter = Waiter { chain: Arc::clone(chain), turn };
-        match self.queue.push(arrival, waiter, view.now) {
+        let (outcome_tx, rx) = oneshot::channel();
+        let queued = QueuedRequest { chain: Arc::clone(chain), outcome_tx };
+        match self.queue.push(arrival, queued, cx.now) {
             Ok(()) => Placement::Queued(rx),
             Err(refused) => Placement::Refused(refused),
         }
@@ -120,16 +120,16 @@
 
     /// Removes abandoned and expired requests from the queue and sends the others to
     /// groups, as long as there are free slots.
-    pub fn dispatch(&mut self, view: &DispatchContext<'_>) {
-        self.queue.remove_gone(|waiter| waiter.turn.is_closed());
-        while let Some(waiter) = self.queue.pop_expired(view.now) {
-            let _ = waiter.turn.send(QueueOutcome::Expired);
+    pub fn dispatch(&mut self, cx: &DispatchContext<'_>) {
+        self.queue.remove_gone(|queued| queued.outcome_tx.is_closed());
+        while let Some(queued) = self.queue.pop_expired(cx.now) {
+            let _ = queued.outcome_tx.send(QueueOutcome::Expired);
         }
-        while !self.queue.is_empty() && self.has_room(view) {
-            match self.queue.pop(view.now) {
-                Some(Dequeued::Start(waiter)) => self.give_turn(view, waiter),
-                Some(Dequeued::Expired(waiter)) => {
-                    let _ = waiter.turn.send(QueueOutcome::Expired);
+        while !self.queue.is_empty() && self.has_free_group(cx) {
+            match self.queue.pop(cx.now) {
+                Some(Dequeued::Start(queued)) => self.dispatch_next(cx, queued),
+                Some(Dequeued::Expired(queued)) => {
+                    let _ = queued.outcome_tx.send(QueueOutcome::Expired);
                 }
                 None => return,
             }
@@ -149,7 +149,7 @@
         if let Some(first_token) = first_token {
             self.outliers.on_answer(group, first_token, now);
             let mean = self.service_time.unwrap_or(took).0;
-            let mean = (mean * (SERVICE_TIME_PART - 1) + took.0) / SERVICE_TIME_PART;
+            let mean = (mean * (SERVICE_TIME_DIVISOR - 1) + took.0) / SERVICE_TIME_DIVISOR;
             self.service_time = Some(Millis(mean));
         }
     }
@@ -182,7 +182,7 @@
     }
 
     /// Number of queued requests.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
@@ -194,48 +194,48 @@
     }
 
     /// Sends a queued request to a group and tells the waiting task.
-    fn give_turn(&mut self, view: &DispatchContext<'_>, waiter: Waiter) {
-        let Some(group) = self.start(view, &waiter.chain) else { return };
+    fn dispatch_next(&mut self, cx: &DispatchContext<'_>, queued: QueuedRequest) {
+        let Some(group) = self.start_at_free_group(cx, &queued.chain) else { return };
         if let Err(QueueOutcome::Dispatched(group)) =
-            waiter.turn.send(QueueOutcome::Dispatched(group))
+            queued.outcome_tx.send(QueueOutcome::Dispatched(group))
         {
             // The caller disconnected after abandoned requests were removed.
-            self.router.on_done(&group.group, view.now);
+            self.router.on_done(&group.group, cx.now);
         }
     }
 
     /// Routes a request to a group with a free slot, if there is one, and counts it there.
-    fn start(
+    fn start_at_free_group(
         &mut self,
-        view: &DispatchContext<'_>,
+        cx: &DispatchContext<'_>,
         chain: &PrefixChain,
     ) -> Option<Box<ServingGroup>> {
-        let rows = self.with_room(view);
-        let candidates: Vec<_> = rows.iter().map(|row| self.candidate(row, view.now)).collect();
+        let rows = self.free_groups(cx);
+        let candidates: Vec<_> = rows.iter().map(|row| self.candidate(row, cx.now)).collect();
         let chosen = self.router.choose(chain, &candidates)?.clone();
         let row = rows.into_iter().find(|row| row.group == chosen)?.clone();
-        self.router.on_sent(chain, &chosen, view.now);
+        self.router.on_sent(chain, &chosen, cx.now);
         Some(Box::new(row))
     }
 
-    fn has_room(&self, view: &DispatchContext<'_>) -> bool {
-        !self.with_room(view).is_empty()
+    fn has_free_group(&self, cx: &DispatchContext<'_>) -> bool {
+        !self.free_groups(cx).is_empty()
     }
 
     /// Groups with a free slot: those of the wanted version, or all if it has none.
-    fn with_room<'a>(&self, view: &DispatchContext<'a>) -> Vec<&'a ServingGroup> {
-        let rows = view.table.groups_for(view.model, view.now);
+    fn free_groups<'a>(&self, cx: &DispatchContext<'a>) -> Vec<&'a ServingGroup> {
+        let rows = cx.table.groups_for(cx.model, cx.now);
         let rows: Vec<_> = rows
-            .filter(|row| !self.is_suspect(row))
-            .filter(|row| self.router.load(&self.candidate(row, view.now)) < f64::from(row.slots))
+            .filter(|row| !self.awaits_new_reports(row))
+            .filter(|row| self.router.load(&self.candidate(row, cx.now)) < f64::from(row.slots))
             .collect();
         let wanted: Vec<_> =
-            rows.iter().filter(|row| &row.version == view.version).copied().collect();
+            rows.iter().filter(|row| &row.version == cx.version).copied().collect();
         if wanted.is_empty() { rows } else { wanted }
     }
 
     /// Whether a request failed at the group after the oldest of its members' reports.
-    fn is_suspect(&self, row: &ServingGroup) -> bool {
+    fn awaits_new_reports(&self, row: &ServingGroup) -> bool {
         self.failed_at.get(&row.group).is_some_and(|failed_at| row.proved_since <= *failed_at)
     }
 
--- a/crates/workshold-node/src/dump.rs
+++ b/crates/workshold-node/src/dump.rs
@@ -265,8 +265,8 @@
 /// The whole state of the node, for fault finding.
 pub fn dump(node: &Node) -> Dump {
     let mut waiting = BTreeMap::new();
-    node.dispatchers.for_each(|model, desk| {
-        waiting.insert(model.to_string(), desk.waiting());
+    node.dispatchers.for_each(|model, dispatcher| {
+        waiting.insert(model.to_string(), dispatcher.queue_len());
     });
     let keys = node.with_state(|state| state.keys.len()).unwrap_or(0);
     let tail = {
--- a/crates/workshold-node/src/key_table.rs
+++ b/crates/workshold-node/src/key_table.rs
@@ -11,7 +11,7 @@
 use crate::shards::Shards;
 
 /// Longest answer body that is stored for repeated requests, in bytes.
-const MAX_KEPT_LEN: usize = 64 * 1024;
+const MAX_STORED_LEN: usize = 64 * 1024;
 
 #[derive(Debug)]
 struct Entry {
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub enum KeyClaim {
     /// The key was free and now belongs to this request, which stores its answer here.
-    Claimed(Running),
+    Claimed(RunningRequest),
     /// Another request with the key is running or done; its answer arrives here.
     AlreadyClaimed(watch::Receiver<Option<StoredResponse>>),
 }
@@ -37,7 +37,7 @@
 /// A request that owns its key. If it is dropped without an answer, the stored answer says
 /// that the request may have run.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningRequest {
     answer: watch::Sender<Option<StoredResponse>>,
 }
 
@@ -50,7 +50,7 @@
             }
             let (tx, rx) = watch::channel(None);
             shard.insert(*key, Entry { key_time, answer: rx });
-            KeyClaim::Claimed(Running { answer: tx })
+            KeyClaim::Claimed(RunningRequest { answer: tx })
         })
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Drops the keys made before `floor`, which all nodes reject as expired.
-    pub fn forget_before(&self, floor: Millis) {
+    pub fn expire_before(&self, floor: Millis) {
         self.entries.retain(|_, entry| entry.key_time >= floor);
     }
 
@@ -81,11 +81,11 @@
     }
 }
 
-impl Running {
+impl RunningRequest {
     /// Stores the answer for repeated requests with the same key. One that is longer than
     /// the limit is replaced by a problem that says so.
     pub fn finish(self, answer: &StoredResponse) {
-        let kept = if answer.body.len() <= MAX_KEPT_LEN {
+        let stored = if answer.body.len() <= MAX_STORED_LEN {
             answer.clone()
         } else {
             problem_response(&Problem::may_have_run(
@@ -93,11 +93,11 @@
                 "it ran, but its answer was too long to keep",
             ))
         };
-        self.answer.send_replace(Some(kept));
+        self.answer.send_replace(Some(stored));
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         if self.answer.borrow().is_none() {
             let problem = Problem::may_have_run(
--- a/crates/workshold-node/src/log_client.rs
+++ b/crates/workshold-node/src/log_client.rs
@@ -19,8 +19,8 @@
 }
 
 /// Timeout of a read, beyond the time for which it may wait for new records.
-const READ_SLACK: Duration = Duration::from_millis(1_500);
-const APPEND_TIME: Duration = Duration::from_millis(1_000);
+const READ_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_500);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl LogClient {
     /// Makes a client of the service at `address` (`ip:port`); connects on each call.
@@ -36,7 +36,7 @@
     /// [`CallError`] if the log does not answer in time, or refuses.
     pub async fn read(&self, from: Offset, wait: Millis) -> Result<ReadReply, CallError> {
         let path = format!("/streams/{STREAM}/records?from={from}&wait_ms={}", wait.0);
-        client::get(&self.address, &path, wait.to_duration() + READ_SLACK).await
+        client::get(&self.address, &path, wait.to_duration() + READ_TIMEOUT_MARGIN).await
     }
 
     /// Appends one sealed record and returns its offset. After an error the record may or
@@ -49,7 +49,7 @@
         let path = format!("/streams/{STREAM}/records");
         let append = AppendRequest { data: data.to_owned() };
         let reply: AppendReply =
-            client::call(&self.address, Method::POST, &path, Some(&append), APPEND_TIME).await?;
+            client::call(&self.address, Method::POST, &path, Some(&append), APPEND_TIMEOUT).await?;
         Ok(reply.offset)
     }
 }
--- a/crates/workshold-node/src/main.rs
+++ b/crates/workshold-node/src/main.rs
@@ -9,7 +9,7 @@
 use workshold_node::settings;
 
 /// A signal stopped the node, but some requests or connections were aborted.
-const EXIT_CUT: u8 = 3;
+const EXIT_ABORTED: u8 = 3;
 /// The node could not start, or a background task ended.
 const EXIT_FAILED: u8 = 1;
 /// The settings are invalid.
@@ -42,8 +42,8 @@
         return ExitCode::from(EXIT_FAILED);
     }
     match daemon::run(checked).await {
-        Ok(ended) if ended.cut == 0 => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(EXIT_CUT),
+        Ok(summary) if summary.aborted == 0 => ExitCode::SUCCESS,
+        Ok(_) => ExitCode::from(EXIT_ABORTED),
         Err(err) => {
             eprintln!("{err}");
             ExitCode::from(EXIT_FAILED)
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -49,7 +49,7 @@
 use crate::peer_link::PeerLink;
 use crate::requests::InFlightTable;
 use crate::serving::ServingTable;
-use crate::serving::Sources;
+use crate::serving::TableInputs;
 use crate::settings::CheckedSettings;
 use crate::settings::Settings;
 use crate::shards::Shards;
@@ -167,17 +167,17 @@
     /// Whether the addresses given to callers have expired during a planned stop: new
     /// requests are refused from then on.
     pub closing: AtomicBool,
-    is_stale: AtomicBool,
+    is_serving_stale: AtomicBool,
 }
 
 /// Decisions kept for each group.
-const DECISIONS_KEPT: usize = 16;
+const MAX_DECISIONS_PER_GROUP: usize = 16;
 /// Groups whose decisions are kept; the group without a decision for longest goes first.
-const DECIDED_GROUPS_KEPT: usize = 256;
+const MAX_DECIDED_GROUPS: usize = 256;
 /// How long instances may report records that this node hasn't read before it stops serving.
-const MAX_BEHIND: Millis = Millis(5_000);
+const MAX_REPLAY_LAG: Millis = Millis(5_000);
 /// How long the last report of an instance is kept for the dump.
-const REPORT_KEPT: Millis = Millis(120_000);
+const REPORT_MAX_AGE: Millis = Millis(120_000);
 
 impl Node {
     /// Makes a node with empty state and a random incarnation. Starts no task.
@@ -187,10 +187,10 @@
         intents: mpsc::Sender<IntentRequest>,
     ) -> Arc<Self> {
         let settings = checked.settings.clone();
-        let (name, place) = (settings.node.name.clone(), settings.node.data_centre.clone());
+        let (name, data_centre) = (settings.node.name.clone(), settings.node.data_centre.clone());
         Arc::new(Self {
             log: LogClient::new(&settings.platform.log),
-            membership: RwLock::new(ClusterMembership::new(name, place)),
+            membership: RwLock::new(ClusterMembership::new(name, data_centre)),
             settings,
             checked,
             clock,
@@ -212,7 +212,7 @@
             decisions: Mutex::default(),
             leaving: AtomicBool::new(false),
             closing: AtomicBool::new(false),
-            is_stale: AtomicBool::new(true),
+            is_serving_stale: AtomicBool::new(true),
         })
     }
 
@@ -270,7 +270,7 @@
         if log_state.is_diverged {
             return Err(Unready::Diverged);
         }
-        if log_state.behind_since.is_some_and(|since| now.since(since) > MAX_BEHIND) {
+        if log_state.behind_since.is_some_and(|since| now.since(since) > MAX_REPLAY_LAG) {
             return Err(Unready::Behind);
         }
         if replay.state().bundles.in_force().is_none() {
@@ -296,7 +296,7 @@
     }
 
     /// Gives up authority if this node is isolated from the log and all other nodes.
-    pub fn note_isolation(&self) {
+    pub fn check_isolation(&self) {
         let rules = self.settings.membership_rules();
         let log_heard = self.log_state.read().log_heard.unwrap_or_default();
         if self.membership.read().is_isolated(log_heard, self.now(), &rules) {
@@ -318,8 +318,8 @@
             .with_state(|state| (state.bundles.in_force().map(|b| b.hash), state.next()))
             .unwrap_or((None, Offset(0)));
         let mut demand = Vec::new();
-        self.teams.for_each(|team, desk| {
-            let requests_per_s = desk.requests.demand(now) as f32;
+        self.teams.for_each(|team, team_limits| {
+            let requests_per_s = team_limits.requests.demand(now) as f32;
             demand.push(TeamDemand { team: team.clone(), requests_per_s });
         });
         NodeStatus {
@@ -381,8 +381,8 @@
     }
 
     /// Marks the serving table as out of date, because one of its inputs has changed.
-    pub fn touch(&self) {
-        self.is_stale.store(true, Ordering::Relaxed);
+    pub fn mark_serving_stale(&self) {
+        self.is_serving_stale.store(true, Ordering::Relaxed);
     }
 
     /// Rebuilds the serving table if an input has changed or a row has expired, and logs
@@ -390,13 +390,13 @@
     pub fn refresh_serving(&self) {
         let now = self.now();
         let table = Arc::clone(&self.serving.read());
-        let ran_out = table.serving.values().flatten().any(|row| row.valid_until <= now);
-        if !self.is_stale.swap(false, Ordering::Relaxed) && !ran_out {
+        let has_expired_row = table.serving.values().flatten().any(|row| row.valid_until <= now);
+        if !self.is_serving_stale.swap(false, Ordering::Relaxed) && !has_expired_row {
             return;
         }
         let list = Arc::clone(&self.list.read());
-        let made = self.with_state(|state| {
-            ServingTable::make(&Sources {
+        let rebuilt = self.with_state(|state| {
+            ServingTable::build(&TableInputs {
                 state,
                 observations: &self.observations.read(),
                 list: &list,
@@ -405,9 +405,9 @@
                 rules: self.settings.group_readiness_rules(),
             })
         });
-        let Some(made) = made else { return };
-        report_changes(&table, &made);
-        *self.serving.write() = Arc::new(made);
+        let Some(rebuilt) = rebuilt else { return };
+        report_changes(&table, &rebuilt);
+        *self.serving.write() = Arc::new(rebuilt);
     }
 
     /// Updates `behind_since`. A fencing token is the offset of the record with the group's
@@ -432,28 +432,28 @@
     }
 
     /// Drops old reports, nodes that have gone and expired idempotency keys.
-    pub fn forget_gone(&self) {
+    pub fn drop_expired(&self) {
         let now = self.now();
-        self.observations.write().remove_older_than(now, REPORT_KEPT);
+        self.observations.write().remove_older_than(now, REPORT_MAX_AGE);
         self.membership.write().forget_gone(now, &self.settings.membership_rules());
         if let Some(floor) = self.with_state(|state| state.keys.floor()) {
-            self.keys.forget_before(floor);
+            self.keys.expire_before(floor);
         }
     }
 
     /// Stores a steward's decision for operators, unless it repeats the group's last one.
-    pub fn remember(&self, decision: Decision) {
+    pub fn record_decision(&self, decision: Decision) {
         let mut decisions = self.decisions.lock();
         let past = decisions.entry(decision.group.clone()).or_default();
         if past.back().is_some_and(|last| last.decision.what == decision.what) {
             return;
         }
         emit(Event::Decided, &[("group", decision.group.as_str()), ("what", &decision.what)]);
-        if past.len() == DECISIONS_KEPT {
+        if past.len() == MAX_DECISIONS_PER_GROUP {
             past.pop_front();
         }
         past.push_back(PastDecision { at: self.clock.wall(), decision });
-        while decisions.len() > DECIDED_GROUPS_KEPT {
+        while decisions.len() > MAX_DECIDED_GROUPS {
             let oldest = decisions
                 .iter()
                 .min_by_key(|(_, past)| past.back().map(|last| last.at))
@@ -463,13 +463,13 @@
         }
     }
 
-    /// Runs `work` on a team's rate limits and retry budget, after adjusting the limits to
+    /// Runs `f` on a team's rate limits and retry budget, after adjusting the limits to
     /// `bundle` and the number of nodes. `None` if the bundle doesn't have the team.
     pub fn with_team_limits<R>(
         &self,
         name: &TeamName,
         bundle: &Bundle,
-        work: impl FnOnce(&mut TeamLimits) -> R,
+        f: impl FnOnce(&mut TeamLimits) -> R,
     ) -> Option<R> {
         let team = bundle.teams.get(name)?;
         let (now, nodes) = (self.now(), self.node_count());
@@ -483,10 +483,10 @@
             tokens: TeamRateLimiter::new(TeamRateRules::default(), team.tokens_per_s, nodes, now),
             retries: RetryBudget::new(RetryRules::default()),
         };
-        Some(self.teams.with_entry(name, make, |desk| {
-            desk.requests.adjust(team.requests_per_s, nodes);
-            desk.tokens.adjust(team.tokens_per_s, nodes);
-            work(desk)
+        Some(self.teams.with_entry(name, make, |team_limits| {
+            team_limits.requests.adjust(team.requests_per_s, nodes);
+            team_limits.tokens.adjust(team.tokens_per_s, nodes);
+            f(team_limits)
         }))
     }
 }
--- a/crates/workshold-node/src/peer_link.rs
+++ b/crates/workshold-node/src/peer_link.rs
@@ -21,7 +21,7 @@
 
 /// Why a request to a peer failed.
 #[derive(Debug, Display)]
-pub enum AskError {
+pub enum PeerQueryError {
     /// cannot reach the peer: {0}
     Unreachable(String),
     /// the peer did not answer in time
@@ -30,7 +30,7 @@
     BadAnswer,
 }
 
-impl std::error::Error for AskError {}
+impl std::error::Error for PeerQueryError {}
 
 /// A connection to one other node. Requests are sent one at a time; others wait.
 pub struct PeerLink {
@@ -59,51 +59,52 @@
     ///
     /// # Errors
     ///
-    /// [`AskError`]. The socket is then closed and the next request connects anew, so that
+    /// [`PeerQueryError`]. The socket is then closed and the next request connects anew, so that
     /// a late answer can't be taken for that of a later request.
     pub async fn query(
         &self,
         from: &NodeId,
-        ask: PeerQuery,
+        query: PeerQuery,
         key: &ClusterKey,
         counters: &Counters,
         within: Duration,
-    ) -> Result<PeerResponseBody, AskError> {
+    ) -> Result<PeerResponseBody, PeerQueryError> {
         let mut slot = self.socket.lock().await;
         let mut socket = match slot.take() {
             Some(socket) => socket,
             None => self.connect(within).await?,
         };
         let nonce = rand::random();
-        let question = encode_sealed(&PeerRequest { nonce, from: from.clone(), ask }, key);
+        let question = encode_sealed(&PeerRequest { nonce, from: from.clone(), ask: query }, key);
         counters.questions.add(1);
         counters.control_sent.add(question.len() as u64);
         let exchange = timeout(within, exchange(&mut socket, question)).await;
-        let bytes = exchange.map_err(|_| AskError::TimedOut)??;
+        let bytes = exchange.map_err(|_| PeerQueryError::TimedOut)??;
         counters.control_received.add(bytes.len() as u64);
-        let answer: PeerResponse = decode_sealed(&bytes, key).map_err(|_| AskError::BadAnswer)?;
+        let answer: PeerResponse =
+            decode_sealed(&bytes, key).map_err(|_| PeerQueryError::BadAnswer)?;
         if answer.nonce != nonce {
-            return Err(AskError::BadAnswer);
+            return Err(PeerQueryError::BadAnswer);
         }
         *slot = Some(socket);
         Ok(answer.body)
     }
 
-    async fn connect(&self, within: Duration) -> Result<ReqSocket, AskError> {
+    async fn connect(&self, within: Duration) -> Result<ReqSocket, PeerQueryError> {
         let mut socket = ReqSocket::new();
         let endpoint = format!("tcp://{}", self.address);
         match timeout(within, socket.connect(&endpoint)).await {
-            Err(_) => Err(AskError::TimedOut),
-            Ok(Err(err)) => Err(AskError::Unreachable(err.to_string())),
+            Err(_) => Err(PeerQueryError::TimedOut),
+            Ok(Err(err)) => Err(PeerQueryError::Unreachable(err.to_string())),
             Ok(Ok(())) => Ok(socket),
         }
     }
 }
 
 /// Sends a sealed request and receives the sealed answer.
-async fn exchange(socket: &mut ReqSocket, question: Vec<u8>) -> Result<Vec<u8>, AskError> {
-    let unreachable = |err: zeromq::ZmqError| AskError::Unreachable(err.to_string());
+async fn exchange(socket: &mut ReqSocket, question: Vec<u8>) -> Result<Vec<u8>, PeerQueryError> {
+    let unreachable = |err: zeromq::ZmqError| PeerQueryError::Unreachable(err.to_string());
     socket.send(question.into()).await.map_err(unreachable)?;
     let message = socket.recv().await.map_err(unreachable)?;
-    message.get(0).map(|frame| frame.to_vec()).ok_or(AskError::BadAnswer)
+    message.get(0).map(|frame| frame.to_vec()).ok_or(PeerQueryError::BadAnswer)
 }
--- a/crates/workshold-node/src/serving.rs
+++ b/crates/workshold-node/src/serving.rs
@@ -62,7 +62,7 @@
 
 /// Inputs of a serving table.
 #[derive(Debug, Clone, Copy)]
-pub struct Sources<'a> {
+pub struct TableInputs<'a> {
     /// State replayed from the log: groups and the bundle in force.
     pub state: &'a State,
     /// Reports of instances, and what other data centres report of their groups.
@@ -79,16 +79,16 @@
 
 impl ServingTable {
     /// Checks every group, and puts it in the table with its address and load.
-    pub fn make(sources: &Sources<'_>) -> Self {
-        let leaving: BTreeSet<_> = sources
+    pub fn build(inputs: &TableInputs<'_>) -> Self {
+        let leaving: BTreeSet<_> = inputs
             .list
             .iter()
             .filter(|listed| listed.leaving)
             .map(|listed| listed.instance.clone())
             .collect();
         let mut table = Self::default();
-        for group in sources.state.fleet.groups() {
-            match sources.row(group, &leaving) {
+        for group in inputs.state.fleet.groups() {
+            match inputs.serving_group(group, &leaving) {
                 Ok(row) => table.serving.entry(group.model.clone()).or_default().push(row),
                 Err(why) => {
                     table.closed.insert(group.id.clone(), why);
@@ -115,15 +115,15 @@
 }
 
 /// Load of a group and the times its reports date from, by this node's clock.
-struct Basis {
+struct GroupLoad {
     proved_since: Millis,
     load_since: Millis,
     reported: u32,
     slots: u32,
 }
 
-impl Sources<'_> {
-    fn row(
+impl TableInputs<'_> {
+    fn serving_group(
         &self,
         group: &Group,
         leaving: &BTreeSet<InstanceId>,
@@ -132,11 +132,11 @@
         let unseen = || GroupNotReady::Unseen(head.clone());
         let listed = self.list.find(head).ok_or_else(unseen)?;
         let is_remote = &listed.data_centre != self.data_centre;
-        let basis = if is_remote {
-            self.vouched(group, leaving)?
+        let load = if is_remote {
+            self.remote_load(group, leaving)?
         } else {
             group_readiness::check_group(group, self.observations, leaving, self.now, self.rules)?;
-            self.reported(group).ok_or_else(unseen)?
+            self.local_load(group).ok_or_else(unseen)?
         };
         Ok(ServingGroup {
             group: group.id.clone(),
@@ -145,23 +145,23 @@
             address: listed.address.clone(),
             version: group.version.clone(),
             worth: self.worth(group),
-            slots: basis.slots,
-            reported: basis.reported,
-            true_since: basis.load_since,
-            proved_since: basis.proved_since,
-            valid_until: basis.proved_since + self.rules.report_ttl,
+            slots: load.slots,
+            reported: load.reported,
+            true_since: load.load_since,
+            proved_since: load.proved_since,
+            valid_until: load.proved_since + self.rules.report_ttl,
             is_remote,
         })
     }
 
     /// For a group in this data centre: from its members' own reports. The load is the
     /// head's; the age of the evidence is that of the oldest report.
-    fn reported(&self, group: &Group) -> Option<Basis> {
+    fn local_load(&self, group: &Group) -> Option<GroupLoad> {
         let members = group.members.iter();
         let reports = members.map(|member| self.observations.get(&member.instance));
         let oldest = reports.map(|observation| observation.map(|w| w.true_since)).min()??;
         let head = self.observations.get(&group.head().instance)?;
-        Some(Basis {
+        Some(GroupLoad {
             proved_since: oldest,
             load_since: head.true_since,
             reported: head.report.running + head.report.queued,
@@ -170,11 +170,11 @@
     }
 
     /// For a group in another data centre: from what a node there has observed.
-    fn vouched(
+    fn remote_load(
         &self,
         group: &Group,
         leaving: &BTreeSet<InstanceId>,
-    ) -> Result<Basis, GroupNotReady> {
+    ) -> Result<GroupLoad, GroupNotReady> {
         let group_observation = group_readiness::check_remote_group(
             group,
             self.observations,
@@ -182,7 +182,7 @@
             self.now,
             self.rules,
         )?;
-        Ok(Basis {
+        Ok(GroupLoad {
             proved_since: group_observation.true_since,
             load_since: group_observation.load_since,
             reported: group_observation.reported,
--- a/crates/workshold-node/src/settings.rs
+++ b/crates/workshold-node/src/settings.rs
@@ -398,7 +398,7 @@
         MembershipRules {
             peer_ttl: self.times.peer_ttl,
             probers: PROBERS,
-            remote_polls: ASKED_REMOTELY,
+            remote_polls: REMOTE_POLLS,
             isolation_after: self.times.isolation_after,
         }
     }
@@ -419,4 +419,4 @@
 /// Nodes of a data centre that probe each instance: two, so that probes go on when one dies.
 const PROBERS: usize = 2;
 /// Nodes polled in each other data centre: two, so that polls go on when one dies.
-const ASKED_REMOTELY: usize = 2;
+const REMOTE_POLLS: usize = 2;
--- a/crates/workshold-node/src/shards.rs
+++ b/crates/workshold-node/src/shards.rs
@@ -24,38 +24,38 @@
 }
 
 impl<K: Hash + Eq + Clone, V> Shards<K, V> {
-    /// Runs `work` on the entry of `key`, inserted with `make` if there is none.
+    /// Runs `f` on the entry of `key`, inserted with `make` if there is none.
     pub fn with_entry<R>(
         &self,
         key: &K,
         make: impl FnOnce() -> V,
-        work: impl FnOnce(&mut V) -> R,
+        f: impl FnOnce(&mut V) -> R,
     ) -> R {
         let mut shard = self.shard(key).lock();
-        work(shard.entry(key.clone()).or_insert_with(make))
+        f(shard.entry(key.clone()).or_insert_with(make))
     }
 
-    /// Runs `work` on the entry of `key`; `None` if there is none.
-    pub fn get<R>(&self, key: &K, work: impl FnOnce(&mut V) -> R) -> Option<R> {
-        self.shard(key).lock().get_mut(key).map(work)
+    /// Runs `f` on the entry of `key`; `None` if there is none.
+    pub fn get<R>(&self, key: &K, f: impl FnOnce(&mut V) -> R) -> Option<R> {
+        self.shard(key).lock().get_mut(key).map(f)
     }
 
-    /// Runs `work` on the whole shard of `key`, for checks and inserts under one lock.
-    pub fn with_shard<R>(&self, key: &K, work: impl FnOnce(&mut HashMap<K, V>) -> R) -> R {
-        work(&mut self.shard(key).lock())
+    /// Runs `f` on the whole shard of `key`, for checks and inserts under one lock.
+    pub fn with_shard<R>(&self, key: &K, f: impl FnOnce(&mut HashMap<K, V>) -> R) -> R {
+        f(&mut self.shard(key).lock())
     }
 
-    /// Runs `work` on every entry, locking one shard at a time.
-    pub fn for_each(&self, mut work: impl FnMut(&K, &mut V)) {
+    /// Runs `f` on every entry, locking one shard at a time.
+    pub fn for_each(&self, mut f: impl FnMut(&K, &mut V)) {
         for shard in &self.shards {
-            shard.lock().iter_mut().for_each(|(key, value)| work(key, value));
+            shard.lock().iter_mut().for_each(|(key, value)| f(key, value));
         }
     }
 
-    /// Removes the entries for which `keep` is false.
-    pub fn retain(&self, mut keep: impl FnMut(&K, &mut V) -> bool) {
+    /// Removes the entries for which `predicate` is false.
+    pub fn retain(&self, mut predicate: impl FnMut(&K, &mut V) -> bool) {
         for shard in &self.shards {
-            shard.lock().retain(|key, value| keep(key, value));
+            shard.lock().retain(|key, value| predicate(key, value));
         }
     }
 
--- a/crates/workshold-node/src/tail.rs
+++ b/crates/workshold-node/src/tail.rs
@@ -12,7 +12,7 @@
 }
 
 /// Most bytes of records in one answer to a peer; a single longer record is sent alone.
-const MAX_PART_LEN: usize = 1024 * 1024;
+const MAX_CHUNK_LEN: usize = 1024 * 1024;
 
 impl Tail {
     /// Makes an empty tail; the record at `first` comes next.
@@ -45,16 +45,16 @@
     }
 
     /// Copies records from `from` on, or from the first one kept, up to a bounded size.
-    pub fn part(&self, from: Offset) -> Vec<(Offset, String)> {
+    pub fn chunk(&self, from: Offset) -> Vec<(Offset, String)> {
         let start = from.max(self.first);
         let skip = (start.0 - self.first.0) as usize;
         let mut len = 0;
         let within = |text: &&String| {
-            let fits = len == 0 || len + text.len() <= MAX_PART_LEN;
+            let fits = len == 0 || len + text.len() <= MAX_CHUNK_LEN;
             len += text.len();
             fits
         };
-        let part = self.records.iter().skip(skip).take_while(within);
-        (start.0..).map(Offset).zip(part.cloned()).collect()
+        let chunk = self.records.iter().skip(skip).take_while(within);
+        (start.0..).map(Offset).zip(chunk.cloned()).collect()
     }
 }
--- a/crates/workshold-node/src/tasks/intents.rs
+++ b/crates/workshold-node/src/tasks/intents.rs
@@ -48,9 +48,9 @@
 /// Most intents in one append.
 const MAX_BATCH: usize = 256;
 /// Most intents that may be queued for appending.
-pub const QUEUE_LEN: usize = 4_096;
+pub const MAX_QUEUED_INTENTS: usize = 4_096;
 /// How long to wait until an append is read back before it is retried.
-const READ_BACK: Duration = Duration::from_millis(250);
+const READ_BACK_TIMEOUT: Duration = Duration::from_millis(250);
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Records queued intents for as long as the node runs.
@@ -66,13 +66,13 @@
     let facts = batch.iter().map(|request| Fact::Intent(request.intent.clone())).collect();
     let envelope = Envelope::new(node.clock.wall(), facts);
     loop {
-        give_up_late(node, &mut batch);
+        expire_requests(node, &mut batch);
         if batch.is_empty() {
             return;
         }
         let offset = append(node, &envelope).await;
         wait_until_read(node, offset).await;
-        batch = answer_known(node, batch);
+        batch = answer_decided(node, batch);
         if batch.is_empty() {
             return;
         }
@@ -81,10 +81,10 @@
 }
 
 /// Answers the requests whose time is up, and drops those that no longer wait.
-fn give_up_late(node: &Node, batch: &mut Vec<IntentRequest>) {
+fn expire_requests(node: &Node, batch: &mut Vec<IntentRequest>) {
     let now = node.now();
-    let late = batch.extract_if(.., |request| now >= request.until || request.done.is_closed());
-    for request in late {
+    let expired = batch.extract_if(.., |request| now >= request.until || request.done.is_closed());
+    for request in expired {
         let _ = request.done.send(IntentOutcome::Unconfirmed);
     }
 }
@@ -95,12 +95,12 @@
     let mut replayed = node.replayed.subscribe();
     let seen = *replayed.borrow();
     let read = replayed.wait_for(|next| offset.map_or(*next > seen, |offset| *next > offset));
-    let _ = tokio::time::timeout(READ_BACK, read).await;
+    let _ = tokio::time::timeout(READ_BACK_TIMEOUT, read).await;
 }
 
 /// Answers the requests whose keys have an owner by now, and returns the others.
-fn answer_known(node: &Node, batch: Vec<IntentRequest>) -> Vec<IntentRequest> {
-    let mut unknown = Vec::new();
+fn answer_decided(node: &Node, batch: Vec<IntentRequest>) -> Vec<IntentRequest> {
+    let mut undecided = Vec::new();
     for request in batch {
         match outcome(node, &request.intent) {
             Some(outcome) => {
@@ -109,10 +109,10 @@
                 }
                 let _ = request.done.send(outcome);
             }
-            None => unknown.push(request),
+            None => undecided.push(request),
         }
     }
-    unknown
+    undecided
 }
 
 /// The outcome of an intent by the replayed state; `None` if its key has no owner yet.
--- a/crates/workshold-node/src/tasks/peers.rs
+++ b/crates/workshold-node/src/tasks/peers.rs
@@ -50,9 +50,9 @@
 ///
 /// The library's socket has been seen to panic when a peer died at the wrong moment. So
 /// that this doesn't end the node, the socket runs in a task of its own and is reopened.
-pub async fn answer_all(node: Arc<Node>, mut socket: RepSocket) {
+pub async fn answer_requests(node: Arc<Node>, mut socket: RepSocket) {
     loop {
-        let answering = tokio::spawn(answer_until_broken(Arc::clone(&node), socket));
+        let answering = tokio::spawn(answer_until_panic(Arc::clone(&node), socket));
         if let Err(err) = answering.await {
             emit(Event::PeerSocketLost, &[("why", &err.to_string())]);
         }
@@ -68,7 +68,7 @@
 /// Pause after a failed attempt to reopen the socket.
 const REOPEN_PAUSE: Duration = Duration::from_millis(50);
 
-async fn answer_until_broken(node: Arc<Node>, mut socket: RepSocket) {
+async fn answer_until_panic(node: Arc<Node>, mut socket: RepSocket) {
     loop {
         let Ok(message) = socket.recv().await else {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -100,7 +100,7 @@
             let custody = node.is_authoritative();
             let log_state = node.log_state.read();
             let next = log_state.tail.next();
-            PeerResponseBody::Records { records: log_state.tail.part(from), next, custody }
+            PeerResponseBody::Records { records: log_state.tail.chunk(from), next, custody }
         }
         PeerQuery::KeyResult { key } => PeerResponseBody::KeyResult(node.keys.answer(&key)),
     };
@@ -112,9 +112,9 @@
 /// elsewhere gets a summary of this data centre's nodes and groups.
 fn digest(node: &Node, asker: &DataCentre) -> NodeSummary {
     let now = node.now();
-    let is_near = asker == &node.settings.node.data_centre;
+    let is_local = asker == &node.settings.node.data_centre;
     let own = node.status();
-    if is_near {
+    if is_local {
         return NodeSummary {
             own,
             near: Vec::new(),
@@ -122,7 +122,7 @@
             groups: Vec::new(),
         };
     }
-    let (near, groups) = (near_nodes(node, now), groups(node, now));
+    let (near, groups) = (local_nodes(node, now), groups(node, now));
     NodeSummary { own, near, reports: Vec::new(), groups }
 }
 
@@ -143,7 +143,7 @@
 }
 
 /// Status of the live nodes of this data centre.
-fn near_nodes(node: &Node, now: Millis) -> Vec<AgedNode> {
+fn local_nodes(node: &Node, now: Millis) -> Vec<AgedNode> {
     let rules = node.settings.membership_rules();
     let membership = node.membership.read();
     let live = membership.live(now, &rules);
@@ -177,73 +177,74 @@
 }
 
 /// Polls other nodes for as long as this one runs.
-pub async fn ask_all(node: Arc<Node>) {
+pub async fn poll_peers(node: Arc<Node>) {
     let mut tick = tokio::time::interval(node.settings.times.probe_every.to_duration());
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let known: Vec<_> = node.known_peers().into_keys().collect();
     node.membership.write().expect(known);
     loop {
         tick.tick().await;
-        let mut asking = JoinSet::new();
-        for (peer, address) in chosen(&node) {
-            asking.spawn(ask(Arc::clone(&node), peer, address));
+        let mut polls = JoinSet::new();
+        for (peer, address) in peers_to_poll(&node) {
+            polls.spawn(poll_peer(Arc::clone(&node), peer, address));
         }
-        while asking.join_next().await.is_some() {}
-        node.note_isolation();
-        node.forget_gone();
+        while polls.join_next().await.is_some() {}
+        node.check_isolation();
+        node.drop_expired();
     }
 }
 
 /// The nodes to poll: all of this data centre, and a few of each other one.
-fn chosen(node: &Node) -> Vec<(NodeId, String)> {
+fn peers_to_poll(node: &Node) -> Vec<(NodeId, String)> {
     let known = node.known_peers();
-    let places = places(node, &known);
+    let data_centres = data_centres(node, &known);
     let rules = node.settings.membership_rules();
     let membership = node.membership.read();
-    let chosen = membership.poll_targets(places.iter().map(|(peer, place)| (peer, place)), &rules);
-    chosen.into_iter().map(|peer| (peer.clone(), known[peer].clone())).collect()
+    let peers_to_poll = membership
+        .poll_targets(data_centres.iter().map(|(peer, data_centre)| (peer, data_centre)), &rules);
+    peers_to_poll.into_iter().map(|peer| (peer.clone(), known[peer].clone())).collect()
 }
 
 /// The data centre of each known node. One that is not in the instance list counts as being
 /// in this data centre.
-fn places(
+fn data_centres(
     node: &Node,
     known: &std::collections::BTreeMap<NodeId, String>,
 ) -> Vec<(NodeId, DataCentre)> {
     let list = Arc::clone(&node.list.read());
-    let place = |peer: &NodeId| {
+    let data_centre = |peer: &NodeId| {
         let listed = list.iter().find(|listed| listed.instance.as_str() == peer.as_str());
         listed.map_or(&node.settings.node.data_centre, |listed| &listed.data_centre).clone()
     };
-    known.keys().map(|peer| (peer.clone(), place(peer))).collect()
+    known.keys().map(|peer| (peer.clone(), data_centre(peer))).collect()
 }
 
 /// Polls one node, and applies its answer.
-async fn ask(node: Arc<Node>, peer: NodeId, address: String) {
+async fn poll_peer(node: Arc<Node>, peer: NodeId, address: String) {
     let asked = node.now();
     let within = node.settings.times.probe_every.to_duration();
-    let ask = PeerQuery::Digest { data_centre: node.settings.node.data_centre.clone() };
+    let query = PeerQuery::Digest { data_centre: node.settings.node.data_centre.clone() };
     let link = node.link(&peer, &address);
     let key = &node.checked.cluster_key;
-    let answer = link.query(node.name(), ask, key, &node.counters, within).await;
+    let answer = link.query(node.name(), query, key, &node.counters, within).await;
     if let Ok(PeerResponseBody::Digest(digest)) = answer {
-        take(&node, &peer, asked, *digest);
+        apply_summary(&node, &peer, asked, *digest);
     }
 }
 
 /// Applies a peer's answer to a poll. Ages are subtracted from the time when the poll was
 /// sent, which is before the answer was written: so nothing is taken for more recent than
 /// it is.
-fn take(node: &Node, peer: &NodeId, asked: Millis, digest: NodeSummary) {
+fn apply_summary(node: &Node, peer: &NodeId, asked: Millis, digest: NodeSummary) {
     let seen = node.now();
     node.on_peer_authority(digest.own.custody, digest.own.next);
     {
         let mut membership = node.membership.write();
-        take_demand(node, peer, &digest.own.demand, asked);
+        apply_demand(node, peer, &digest.own.demand, asked);
         membership.on_answer(peer, digest.own, asked);
         for near in digest.near {
             let asked = asked - near.age;
-            take_demand(node, &near.node, &near.status.demand, asked);
+            apply_demand(node, &near.node, &near.status.demand, asked);
             membership.on_answer(&near.node, near.status, asked);
         }
     }
@@ -262,11 +263,11 @@
         observations.record_group(&aged.group, group_observation);
     }
     drop(observations);
-    node.touch();
+    node.mark_serving_stale();
 }
 
 /// Applies a node's demand to the teams' rate limits, which are split by the demand at each node.
-fn take_demand(
+fn apply_demand(
     node: &Node,
     peer: &NodeId,
     demand: &[workshold_protocol::peer::TeamDemand],
--- a/crates/workshold-node/src/tasks/replaying.rs
+++ b/crates/workshold-node/src/tasks/replaying.rs
@@ -18,14 +18,14 @@
 use crate::node::LogState;
 use crate::node::Node;
 use crate::tasks::catch_up;
-use crate::tasks::catch_up::Gathered;
-use crate::tasks::catch_up::Gathering;
-use crate::tasks::catch_up::Source;
+use crate::tasks::catch_up::Collected;
+use crate::tasks::catch_up::RecordCollector;
+use crate::tasks::catch_up::RecordSource;
 
 /// How long a read waits for new records; also bounds how soon an outage is noticed.
 const READ_WAIT: Millis = Millis(1_000);
 /// Pause after a read that failed, or that a peer answered without waiting.
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// Replays for as long as the node runs.
 pub async fn run(node: Arc<Node>) {
@@ -37,86 +37,87 @@
 
 /// Collects records until a first state can be built from them.
 async fn start(node: &Node) {
-    let mut gathering = Gathering::default();
-    let mut has_complained = false;
+    let mut collector = RecordCollector::default();
+    let mut has_warned = false;
     loop {
-        let Some((reply, source)) = catch_up::read_on(node, gathering.next(), Millis::ZERO).await
+        let Some((reply, source)) =
+            catch_up::read_records(node, collector.next(), Millis::ZERO).await
         else {
-            note_source(node, None);
-            tokio::time::sleep(PAUSE).await;
+            update_log_availability(node, None);
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        note_source(node, Some(source));
-        match gathering.take(node, reply) {
-            Gathered::More(_) => continue,
-            Gathered::Started(started) => {
+        update_log_availability(node, Some(source));
+        match collector.add(node, reply) {
+            Collected::More(_) => continue,
+            Collected::Complete(initial) => {
                 // A peer's records are only used if it has authority, so this holds for them
                 // too.
                 node.log_state.write().authority.on_log_read();
-                install(node, *started);
+                install(node, *initial);
                 return;
             }
-            Gathered::NoCheckpoint if !has_complained => {
-                has_complained = true;
+            Collected::NoCheckpoint if !has_warned => {
+                has_warned = true;
                 emit(Event::NoCheckpoint, &[]);
             }
-            Gathered::NoCheckpoint | Gathered::Empty => {}
+            Collected::NoCheckpoint | Collected::Empty => {}
         }
-        gathering = Gathering::default();
-        tokio::time::sleep(PAUSE).await;
+        collector = RecordCollector::default();
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
 /// Makes the first state the node's state.
-fn install(node: &Node, started: catch_up::Started) {
-    let next = started.replay.state().next();
+fn install(node: &Node, initial: catch_up::InitialState) {
+    let next = initial.replay.state().next();
     {
         let mut log_state = node.log_state.write();
-        log_state.tail = started.tail;
-        log_state.replay = Some(started.replay);
+        log_state.tail = initial.tail;
+        log_state.replay = Some(initial.replay);
         log_state.checkpoint_seen = node.now();
     }
     emit(Event::CaughtUp, &[("next", &next.to_string())]);
-    note_bundle(node);
-    changed(node, next);
+    log_bundle(node);
+    on_state_changed(node, next);
 }
 
 /// Follows the log until records are missing: the log dropped them before they were read.
 async fn follow(node: &Node) {
     loop {
         let next = node.with_state(|state| state.next()).unwrap_or_default();
-        let Some((reply, source)) = catch_up::read_on(node, next, READ_WAIT).await else {
-            note_source(node, None);
-            tokio::time::sleep(PAUSE).await;
+        let Some((reply, source)) = catch_up::read_records(node, next, READ_WAIT).await else {
+            update_log_availability(node, None);
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        note_source(node, Some(source));
-        if source == Source::Peer {
-            tokio::time::sleep(PAUSE).await;
+        update_log_availability(node, Some(source));
+        if source == RecordSource::Peer {
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
-        if source == Source::Log && reply.end < next {
+        if source == RecordSource::Log && reply.end < next {
             let fields = [("end", reply.end.to_string()), ("next", next.to_string())];
             emit(Event::LogWentBack, &[("end", &fields[0].1), ("next", &fields[1].1)]);
             tokio::time::sleep(READ_WAIT.to_duration()).await;
             continue;
         }
-        if !take_all(node, &reply, next) {
+        if !apply_all(node, &reply, next) {
             return;
         }
-        if source == Source::Log && node.with_state(|state| state.next()) == Some(reply.end) {
+        if source == RecordSource::Log && node.with_state(|state| state.next()) == Some(reply.end) {
             node.log_state.write().authority.on_log_read();
         }
     }
 }
 
 /// Applies the records of one read; false if there is a gap before or between them.
-fn take_all(node: &Node, reply: &ReadReply, next: Offset) -> bool {
+fn apply_all(node: &Node, reply: &ReadReply, next: Offset) -> bool {
     let first = reply.records.first().map_or(next, |record| record.offset);
     if first > next || (reply.records.is_empty() && reply.first > next) {
         return false;
     }
     for record in &reply.records {
-        if !take(node, record) {
+        if !apply(node, record) {
             return false;
         }
     }
@@ -124,11 +125,11 @@
 }
 
 /// Applies one record, and logs what it changed; false if records before it are missing.
-fn take(node: &Node, record: &ReadRecord) -> bool {
-    let envelope = catch_up::open(node, &record.data);
+fn apply(node: &Node, record: &ReadRecord) -> bool {
+    let envelope = catch_up::open_record(node, &record.data);
     let step = {
         let mut log_state = node.log_state.write();
-        take_locked(&mut log_state, record, envelope.as_ref(), node.now())
+        apply_locked(&mut log_state, record, envelope.as_ref(), node.now())
     };
     let Some(step) = step else { return false };
     match step {
@@ -137,9 +138,9 @@
         ReplayOutcome::Applied(outcomes) => {
             node.counters.records.add(1);
             if let Some(envelope) = &envelope {
-                note_facts(node, envelope, &outcomes);
+                log_facts(node, envelope, &outcomes);
             }
-            changed(node, record.offset.next());
+            on_state_changed(node, record.offset.next());
         }
     }
     true
@@ -147,7 +148,7 @@
 
 /// Applies one record to the state, and keeps it for peers. Returns `None` if records before
 /// it are missing.
-fn take_locked(
+fn apply_locked(
     log_state: &mut LogState,
     record: &ReadRecord,
     envelope: Option<&Envelope>,
@@ -167,39 +168,39 @@
 }
 
 /// Updates what depends on the state, up to the record before `next`.
-fn changed(node: &Node, next: Offset) {
-    node.touch();
+fn on_state_changed(node: &Node, next: Offset) {
+    node.mark_serving_stale();
     node.refresh_serving();
     node.replayed.send_replace(next);
 }
 
 /// Records whether the log answered (`None`: neither it nor a peer), and logs changes.
-fn note_source(node: &Node, source: Option<Source>) {
+fn update_log_availability(node: &Node, source: Option<RecordSource>) {
     let now = node.now();
-    let answers = source == Some(Source::Log);
+    let answers = source == Some(RecordSource::Log);
     let mut log_state = node.log_state.write();
-    let did = log_state.log_answers;
+    let answered_before = log_state.log_answers;
     let first_time = log_state.log_heard.is_none();
     log_state.log_answers = answers;
     if answers {
         log_state.log_heard = Some(now);
     }
     drop(log_state);
-    match (did, answers) {
+    match (answered_before, answers) {
         (true, false) => emit(Event::LogUnreachable, &[]),
         (false, true) if !first_time => emit(Event::LogBack, &[]),
         _ => {}
     }
-    if did && source == Some(Source::Peer) {
+    if answered_before && source == Some(RecordSource::Peer) {
         emit(Event::FromPeers, &[]);
     }
 }
 
 /// Logs the outcome of each fact in a record.
-fn note_facts(node: &Node, envelope: &Envelope, outcomes: &[Outcome]) {
+fn log_facts(node: &Node, envelope: &Envelope, outcomes: &[Outcome]) {
     for (fact, outcome) in envelope.facts.iter().zip(outcomes) {
         match outcome {
-            Ok(()) => note_fact(node, fact),
+            Ok(()) => log_fact(node, fact),
             Err(why) => {
                 emit(Event::FactRejected, &[("kind", fact.kind()), ("why", &why.to_string())]);
             }
@@ -207,9 +208,9 @@
     }
 }
 
-fn note_fact(node: &Node, fact: &Fact) {
+fn log_fact(node: &Node, fact: &Fact) {
     match fact {
-        Fact::BundleSignedOff(_) => note_bundle(node),
+        Fact::BundleSignedOff(_) => log_bundle(node),
         Fact::GroupFormed(formed) => emit(
             Event::GroupFormed,
             &[("group", formed.group.as_str()), ("model", formed.model.as_str())],
@@ -234,7 +235,7 @@
 }
 
 /// Logs the bundle in force, and a warning for each team that has no API keys.
-fn note_bundle(node: &Node) {
+fn log_bundle(node: &Node) {
     let in_force = node.with_state(|state| state.bundles.in_force().cloned()).flatten();
     let Some(in_force) = in_force else { return };
     let (name, hash) = (&in_force.bundle.name, in_force.hash.short());
--- a/crates/workshold-node/src/tasks/stewarding.rs
+++ b/crates/workshold-node/src/tasks/stewarding.rs
@@ -23,39 +23,39 @@
 use crate::node::Node;
 use crate::tasks::upkeep::append;
 
-const ORDER_TIME: Duration = Duration::from_secs(1);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a steward waits until it has replayed what it appended, so that its next plan
 /// takes it into account.
-const READ_BACK: Duration = Duration::from_secs(2);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Plans for each of this node's domains, for as long as the node runs.
 pub async fn run(node: Arc<Node>) {
-    let mut memories: BTreeMap<FabricDomain, StewardTimers> = BTreeMap::new();
+    let mut timers_by_domain: BTreeMap<FabricDomain, StewardTimers> = BTreeMap::new();
     let mut tick = tokio::time::interval(node.settings.times.plan_every.to_duration());
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
         node.refresh_serving();
-        let mine = mine(&node);
-        memories.retain(|domain, _| mine.contains(domain));
-        for domain in mine {
-            let timers = memories.entry(domain.clone()).or_default();
+        let own_domains = own_domains(&node);
+        timers_by_domain.retain(|domain, _| own_domains.contains(domain));
+        for domain in own_domains {
+            let timers = timers_by_domain.entry(domain.clone()).or_default();
             if let Some(plan) = plan(&node, &domain, timers) {
-                carry_out(&node, plan).await;
+                execute(&node, plan).await;
             }
         }
     }
 }
 
 /// The domains of this data centre whose steward is this node; none during a planned stop.
-fn mine(node: &Node) -> BTreeSet<FabricDomain> {
+fn own_domains(node: &Node) -> BTreeSet<FabricDomain> {
     if node.is_leaving() {
         return BTreeSet::new();
     }
     let (now, rules) = (node.now(), node.settings.membership_rules());
     let list = Arc::clone(&node.list.read());
-    let near = list.iter().filter(|l| l.data_centre == node.settings.node.data_centre);
-    let domains: BTreeSet<_> = near
+    let local = list.iter().filter(|l| l.data_centre == node.settings.node.data_centre);
+    let domains: BTreeSet<_> = local
         .filter_map(|listed| match &listed.kind {
             InstanceKind::Engine { domain, .. } => Some(domain.clone()),
             _ => None,
@@ -86,7 +86,7 @@
 }
 
 /// Sends the plan's orders, records its decisions, and appends its facts to the log.
-async fn carry_out(node: &Arc<Node>, plan: Plan) {
+async fn execute(node: &Arc<Node>, plan: Plan) {
     let list = Arc::clone(&node.list.read());
     for (instance, order) in plan.orders {
         if let Some(address) = list.find(&instance).map(|listed| listed.address.clone()) {
@@ -94,7 +94,7 @@
         }
     }
     for decision in plan.decisions {
-        node.remember(decision);
+        node.record_decision(decision);
     }
     if plan.facts.is_empty() {
         return;
@@ -104,7 +104,7 @@
     if let Some(offset) = append(node, &envelope).await {
         let mut replayed = node.replayed.subscribe();
         let read_back = replayed.wait_for(|next| *next > offset);
-        let _ = tokio::time::timeout(READ_BACK, read_back).await;
+        let _ = tokio::time::timeout(READ_BACK_TIMEOUT, read_back).await;
     }
 }
 
@@ -112,7 +112,7 @@
 async fn send_order(node: Arc<Node>, address: String, instance: InstanceId, order: Order) {
     node.counters.orders.add(1);
     let sent: Result<serde_json::Value, _> =
-        client::call(&address, Method::POST, "/engine/orders", Some(&order), ORDER_TIME).await;
+        client::call(&address, Method::POST, "/engine/orders", Some(&order), ORDER_TIMEOUT).await;
     if let Err(err) = sent {
         let fields = [("instance", instance.as_str()), ("why", &err.to_string())];
         emit(Event::OrderFailed, &fields);
--- a/crates/workshold-node/src/tasks/upkeep.rs
+++ b/crates/workshold-node/src/tasks/upkeep.rs
@@ -14,19 +14,19 @@
 use crate::events::emit;
 use crate::node::Node;
 
-const EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Appends the maintenance records that are due, for as long as the node runs and if it is
 /// the one node that maintains the log.
 pub async fn run(node: Arc<Node>) {
-    let mut tick = tokio::time::interval(EVERY);
+    let mut tick = tokio::time::interval(CHECK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
-        if !is_keeper(&node) {
+        if !is_log_maintainer(&node) {
             continue;
         }
-        let facts = due(&node);
+        let facts = due_facts(&node);
         if facts.is_empty() {
             continue;
         }
@@ -38,7 +38,7 @@
 }
 
 /// Whether this node maintains the log: one of the live nodes does.
-fn is_keeper(node: &Node) -> bool {
+fn is_log_maintainer(node: &Node) -> bool {
     let (now, rules) = (node.now(), node.settings.membership_rules());
     let membership = node.membership.read();
     let live = membership.live(now, &rules).map(|(peer, _)| peer);
@@ -47,7 +47,7 @@
 
 /// The checkpoint or expiry of keys that is due now; nothing while the replayed state may be
 /// wrong or out of date.
-fn due(node: &Node) -> Vec<workshold_protocol::record::Fact> {
+fn due_facts(node: &Node) -> Vec<workshold_protocol::record::Fact> {
     let log_state = node.log_state.read();
     let Some(replay) = &log_state.replay else { return Vec::new() };
     if log_state.is_diverged || !log_state.log_answers {
