--- a/crates/workshold-node/src/daemon.rs
+++ b/crates/workshold-node/src/daemon.rs
@@ -157,11 +157,11 @@
     let mut background = JoinSet::new();
     background.spawn(tasks::peers::answer_requests(Arc::clone(node), socket));
     background.spawn(tasks::peers::poll_peers(Arc::clone(node)));
-    background.spawn(tasks::listing::run(Arc::clone(node)));
+    background.spawn(tasks::list_polling::run(Arc::clone(node)));
     background.spawn(tasks::probing::run(Arc::clone(node)));
-    background.spawn(tasks::replaying::run(Arc::clone(node)));
+    background.spawn(tasks::log_replay::run(Arc::clone(node)));
     background.spawn(tasks::stewarding::run(Arc::clone(node)));
-    background.spawn(tasks::upkeep::run(Arc::clone(node)));
+    background.spawn(tasks::log_maintenance::run(Arc::clone(node)));
     background.spawn(tasks::dispatching::run(Arc::clone(node)));
     background.spawn(tasks::intents::run(Arc::clone(node), intents));
     background.spawn(report_readiness(Arc::clone(node)));
--- a/crates/workshold-node/src/tasks.rs
+++ b/crates/workshold-node/src/tasks.rs
@@ -3,9 +3,9 @@
 pub mod catch_up;
 pub mod dispatching;
 pub mod intents;
-pub mod listing;
+pub mod list_polling;
+pub mod log_maintenance;
+pub mod log_replay;
 pub mod peers;
 pub mod probing;
-pub mod replaying;
 pub mod stewarding;
-pub mod upkeep;
--- a/crates/workshold-node/src/tasks/intents.rs
+++ b/crates/workshold-node/src/tasks/intents.rs
@@ -18,7 +18,7 @@
 use workshold_protocol::record::Intent;
 
 use crate::node::Node;
-use crate::tasks::upkeep::append;
+use crate::tasks::log_maintenance::append;
 
 /// An intent to record, and the request that waits for it.
 #[derive(Debug)]
--- a/crates/workshold-node/src/tasks/stewarding.rs
+++ b/crates/workshold-node/src/tasks/stewarding.rs
@@ -21,7 +21,7 @@
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
-use crate::tasks::upkeep::append;
+use crate::tasks::log_maintenance::append;
 
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a steward waits until it has replayed what it appended, so that its next plan
