--- a/crates/workshold-node/src/peer_link.rs
+++ b/crates/workshold-node/src/peer_link.rs
@@ -75,10 +75,10 @@
             None => self.connect(within).await?,
         };
         let nonce = rand::random();
-        let question = encode_sealed(&PeerRequest { nonce, from: from.clone(), ask: query }, key);
+        let req = encode_sealed(&PeerRequest { nonce, from: from.clone(), ask: query }, key);
         counters.questions.add(1);
-        counters.control_sent.add(question.len() as u64);
-        let exchange = timeout(within, exchange(&mut socket, question)).await;
+        counters.control_sent.add(req.len() as u64);
+        let exchange = timeout(within, exchange(&mut socket, req)).await;
         let bytes = exchange.map_err(|_| PeerQueryError::TimedOut)??;
         counters.control_received.add(bytes.len() as u64);
         let answer: PeerResponse =
@@ -102,9 +102,9 @@
 }
 
 /// Sends a sealed request and receives the sealed answer.
-async fn exchange(socket: &mut ReqSocket, question: Vec<u8>) -> Result<Vec<u8>, PeerQueryError> {
+async fn exchange(socket: &mut ReqSocket, req: Vec<u8>) -> Result<Vec<u8>, PeerQueryError> {
     let unreachable = |err: zeromq::ZmqError| PeerQueryError::Unreachable(err.to_string());
-    socket.send(question.into()).await.map_err(unreachable)?;
+    socket.send(req.into()).await.map_err(unreachable)?;
     let message = socket.recv().await.map_err(unreachable)?;
     message.get(0).map(|frame| frame.to_vec()).ok_or(PeerQueryError::BadAnswer)
 }
--- a/crates/workshold-node/src/settings.rs
+++ b/crates/workshold-node/src/settings.rs
@@ -303,10 +303,7 @@
         self.check_addresses(&mut faults);
         self.check_times(&mut faults);
         if self.trust.operators.is_empty() {
-            faults.push((
-                "trust.operators",
-                "it must not be empty: nobody could sign a bundle".to_owned(),
-            ));
+            faults.push(("trust.operators", "it is empty: nobody could sign a bundle".to_owned()));
         }
         if self.bounds.connections == 0 || self.bounds.body_len == 0 {
             faults.push(("bounds", "connections and body_len must be above 0".to_owned()));
--- a/crates/workshold-node/src/tasks/peers.rs
+++ b/crates/workshold-node/src/tasks/peers.rs
@@ -77,7 +77,7 @@
         let bytes = message.get(0).map(|frame| frame.to_vec()).unwrap_or_default();
         node.counters.control_received.add(bytes.len() as u64);
         let reply = match decode_sealed::<PeerRequest>(&bytes, &node.checked.cluster_key) {
-            Ok(question) => answer(&node, question),
+            Ok(req) => answer(&node, req),
             Err(err) => {
                 node.counters.bad_messages.add(1);
                 emit(Event::BadSeal, &[("why", &err.to_string())]);
@@ -91,10 +91,10 @@
     }
 }
 
-fn answer(node: &Node, question: PeerRequest) -> Vec<u8> {
-    let body = match question.ask {
+fn answer(node: &Node, req: PeerRequest) -> Vec<u8> {
+    let body = match req.ask {
         PeerQuery::Digest { data_centre } => {
-            PeerResponseBody::Digest(Box::new(digest(node, &data_centre)))
+            PeerResponseBody::Digest(Box::new(node_summary(node, &data_centre)))
         }
         PeerQuery::Records { from } => {
             let custody = node.is_authoritative();
@@ -104,15 +104,15 @@
         }
         PeerQuery::KeyResult { key } => PeerResponseBody::KeyResult(node.keys.answer(&key)),
     };
-    let answer = PeerResponse { nonce: question.nonce, from: node.name().clone(), body };
+    let answer = PeerResponse { nonce: req.nonce, from: node.name().clone(), body };
     encode_sealed(&answer, &node.checked.cluster_key)
 }
 
 /// The answer to a poll. A node of the same data centre gets this node's own reports; one
 /// elsewhere gets a summary of this data centre's nodes and groups.
-fn digest(node: &Node, asker: &DataCentre) -> NodeSummary {
+fn node_summary(node: &Node, poller_data_centre: &DataCentre) -> NodeSummary {
     let now = node.now();
-    let is_local = asker == &node.settings.node.data_centre;
+    let is_local = poller_data_centre == &node.settings.node.data_centre;
     let own = node.status();
     if is_local {
         return NodeSummary {
@@ -221,42 +221,42 @@
 
 /// Polls one node, and applies its answer.
 async fn poll_peer(node: Arc<Node>, peer: NodeId, address: String) {
-    let asked = node.now();
+    let polled_at = node.now();
     let within = node.settings.times.probe_every.to_duration();
     let query = PeerQuery::Digest { data_centre: node.settings.node.data_centre.clone() };
     let link = node.link(&peer, &address);
     let key = &node.checked.cluster_key;
     let answer = link.query(node.name(), query, key, &node.counters, within).await;
-    if let Ok(PeerResponseBody::Digest(digest)) = answer {
-        apply_summary(&node, &peer, asked, *digest);
+    if let Ok(PeerResponseBody::Digest(node_summary)) = answer {
+        apply_summary(&node, &peer, polled_at, *node_summary);
     }
 }
 
 /// Applies a peer's answer to a poll. Ages are subtracted from the time when the poll was
 /// sent, which is before the answer was written: so nothing is taken for more recent than
 /// it is.
-fn apply_summary(node: &Node, peer: &NodeId, asked: Millis, digest: NodeSummary) {
+fn apply_summary(node: &Node, peer: &NodeId, polled_at: Millis, node_summary: NodeSummary) {
     let seen = node.now();
-    node.on_peer_authority(digest.own.custody, digest.own.next);
+    node.on_peer_authority(node_summary.own.custody, node_summary.own.next);
     {
         let mut membership = node.membership.write();
-        apply_demand(node, peer, &digest.own.demand, asked);
-        membership.on_answer(peer, digest.own, asked);
-        for near in digest.near {
-            let asked = asked - near.age;
-            apply_demand(node, &near.node, &near.status.demand, asked);
-            membership.on_answer(&near.node, near.status, asked);
+        apply_demand(node, peer, &node_summary.own.demand, polled_at);
+        membership.on_answer(peer, node_summary.own, polled_at);
+        for near in node_summary.near {
+            let polled_at = polled_at - near.age;
+            apply_demand(node, &near.node, &near.status.demand, polled_at);
+            membership.on_answer(&near.node, near.status, polled_at);
         }
     }
     let mut observations = node.observations.write();
-    for aged in digest.reports {
-        observations.take(&aged.instance, asked - aged.age, seen, aged.report);
+    for aged in node_summary.reports {
+        observations.take(&aged.instance, polled_at - aged.age, seen, aged.report);
     }
-    for aged in digest.groups {
+    for aged in node_summary.groups {
         let group_observation = GroupObservation {
             fence: aged.fence,
-            true_since: asked - aged.age,
-            load_since: asked - aged.load_age,
+            true_since: polled_at - aged.age,
+            load_since: polled_at - aged.load_age,
             reported: aged.reported,
             slots: aged.slots,
         };
@@ -271,13 +271,13 @@
     node: &Node,
     peer: &NodeId,
     demand: &[workshold_protocol::peer::TeamDemand],
-    asked: Millis,
+    polled_at: Millis,
 ) {
     for entry in demand {
         let requests_per_s = f64::from(entry.requests_per_s);
-        node.teams.get(&entry.team, |desk| {
-            desk.requests.on_peer(peer, requests_per_s, asked);
-            desk.tokens.on_peer(peer, requests_per_s, asked);
+        node.teams.get(&entry.team, |team_limits| {
+            team_limits.requests.on_peer(peer, requests_per_s, polled_at);
+            team_limits.tokens.on_peer(peer, requests_per_s, polled_at);
         });
     }
 }
