--- a/crates/workshold-node/src/tasks/catch_up.rs
+++ b/crates/workshold-node/src/tasks/catch_up.rs
@@ -147,7 +147,7 @@
         let mut tail = Tail::starting_at(first);
         for (record, envelope) in opened {
             tail.push(record.offset, &record.data);
-            // Fails only on a gap, which `take` has ruled out.
+            // Fails only on a gap, which `add` has ruled out.
             if replay.take(record.offset, envelope.as_ref()).is_err() {
                 return Collected::NoCheckpoint;
             }
