--- a/crates/workshold-node/src/dispatcher.rs
+++ b/crates/workshold-node/src/dispatcher.rs
@@ -1,4 +1,5 @@
-//! The desk of one model: who goes to which group, and who waits.
+//! Routing and queueing of one model's requests at this node: picks a group for each
+//! request, or queues it until a group has a free slot.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,49 +24,49 @@
 use crate::serving::ServingGroup;
 use crate::serving::ServingTable;
 
-/// What a waiting request is told.
+/// How a queued request's wait ends.
 #[derive(Debug)]
 pub enum QueueOutcome {
-    /// It goes to this group, and is counted there.
+    /// It is sent to this group; the router already counts it there.
     Dispatched(Box<ServingGroup>),
-    /// It has waited past its time.
+    /// Its deadline for starting has passed.
     Expired,
 }
 
-/// A request that waits.
+/// A queued request: its prefix for routing, and the channel to the task that waits.
 #[derive(Debug)]
-pub struct Waiter {
+pub struct QueuedRequest {
     chain: Arc<PrefixChain>,
-    turn: oneshot::Sender<QueueOutcome>,
+    outcome_tx: oneshot::Sender<QueueOutcome>,
 }
 
-/// Where a request goes.
+/// Result of trying to send a new request to a group.
 #[derive(Debug)]
 pub enum Placement {
-    /// To this group, at once.
+    /// A group has a free slot; the router already counts the request there.
     Dispatched(Box<ServingGroup>),
-    /// It waits here for its turn.
+    /// It is queued; the outcome arrives on this channel.
     Queued(oneshot::Receiver<QueueOutcome>),
     /// No group serves the model.
     NoGroup,
-    /// It could not start in time.
+    /// The queue refused it, because it could not start in time.
     Refused(Refused),
 }
 
-/// Routing and queue of one model at this node.
+/// Router, admission queue and outlier detector of one model at this node.
 #[derive(Debug)]
 pub struct ModelDispatcher {
     router: Router,
-    queue: FairQueue<Waiter>,
+    queue: FairQueue<QueuedRequest>,
     outliers: OutlierDetector<GroupId>,
-    /// When a request last failed at a group: until all of its members have been
-    /// heard since, it gets no other.
+    /// When a request last failed at each group. The group gets no new request until all
+    /// its members have sent a report from after that time.
     failed_at: HashMap<GroupId, Millis>,
     service_time: Option<Millis>,
 }
 
-/// Weight of the newest request in the average time of service.
-const SERVICE_TIME_PART: u64 = 10;
+/// Divisor of the moving average of the service time: the newest request weighs 1/10.
+const SERVICE_TIME_DIVISOR: u64 = 10;
 
 impl Default for ModelDispatcher {
     fn default() -> Self {
@@ -79,61 +80,64 @@
     }
 }
 
-/// What a desk looks at when it places a request.
+/// What routing a request depends on, besides the state kept per model.
 #[derive(Debug, Clone, Copy)]
 pub struct DispatchContext<'a> {
     /// The model.
     pub model: &'a ModelName,
-    /// The version that the bundle in force asks for.
+    /// The version that the bundle in force asks for; its groups are preferred.
     pub version: &'a Version,
-    /// Which groups serve.
+    /// The groups that can take requests.
     pub table: &'a ServingTable,
-    /// The node's clock.
+    /// Time of the node's clock.
     pub now: Millis,
 }
 
 impl ModelDispatcher {
-    /// Finds a group with room for a new request, or lets it wait.
+    /// Sends a new request to a group with a free slot, or queues it. It is queued too
+    /// while others wait, so that it doesn't overtake them.
     pub fn place(
         &mut self,
-        view: &DispatchContext<'_>,
+        cx: &DispatchContext<'_>,
         chain: &Arc<PrefixChain>,
         arrival: &Arrival<'_>,
     ) -> Placement {
-        if view.table.groups_for(view.model, view.now).next().is_none() {
+        if cx.table.groups_for(cx.model, cx.now).next().is_none() {
             return Placement::NoGroup;
         }
         if self.queue.is_empty()
-            && let Some(group) = self.start(view, chain)
+            && let Some(group) = self.start_at_free_group(cx, chain)
         {
             return Placement::Dispatched(group);
         }
-        let (turn, rx) = oneshot::channel();
-        let waiter = Waiter { chain: Arc::clone(chain), turn };
-        match self.queue.push(arrival, waiter, view.now) {
+        let (outcome_tx, rx) = oneshot::channel();
+        let queued = QueuedRequest { chain: Arc::clone(chain), outcome_tx };
+        match self.queue.push(arrival, queued, cx.now) {
             Ok(()) => Placement::Queued(rx),
             Err(refused) => Placement::Refused(refused),
         }
     }
 
-    /// Gives turns to those who wait, as far as there is room.
-    pub fn dispatch(&mut self, view: &DispatchContext<'_>) {
-        self.queue.remove_gone(|waiter| waiter.turn.is_closed());
-        while let Some(waiter) = self.queue.pop_expired(view.now) {
-            let _ = waiter.turn.send(QueueOutcome::Expired);
+    /// Removes abandoned and expired requests from the queue and sends the others to
+    /// groups, as long as there are free slots.
+    pub fn dispatch(&mut self, cx: &DispatchContext<'_>) {
+        self.queue.remove_gone(|queued| queued.outcome_tx.is_closed());
+        while let Some(queued) = self.queue.pop_expired(cx.now) {
+            let _ = queued.outcome_tx.send(QueueOutcome::Expired);
         }
-        while !self.queue.is_empty() && self.has_room(view) {
-            match self.queue.pop(view.now) {
-                Some(Dequeued::Start(waiter)) => self.give_turn(view, waiter),
-                Some(Dequeued::Expired(waiter)) => {
-                    let _ = waiter.turn.send(QueueOutcome::Expired);
+        while !self.queue.is_empty() && self.has_free_group(cx) {
+            match self.queue.pop(cx.now) {
+                Some(Dequeued::Start(queued)) => self.dispatch_next(cx, queued),
+                Some(Dequeued::Expired(queued)) => {
+                    let _ = queued.outcome_tx.send(QueueOutcome::Expired);
                 }
                 None => return,
             }
         }
     }
 
-    /// A request at `group` is over; its first token took so long.
+    /// A request at `group` has ended without a fault of the group. `first_token` and
+    /// `took` are times since its start; without a first token no time is recorded.
     pub fn on_done(
         &mut self,
         group: &GroupId,
@@ -145,88 +149,93 @@
         if let Some(first_token) = first_token {
             self.outliers.on_answer(group, first_token, now);
             let mean = self.service_time.unwrap_or(took).0;
-            let mean = (mean * (SERVICE_TIME_PART - 1) + took.0) / SERVICE_TIME_PART;
+            let mean = (mean * (SERVICE_TIME_DIVISOR - 1) + took.0) / SERVICE_TIME_DIVISOR;
             self.service_time = Some(Millis(mean));
         }
     }
 
-    /// A request at `group` failed.
+    /// A request at `group` failed: counts against the group in outlier detection, and
+    /// holds back new requests until its members have reported again.
     pub fn on_failed(&mut self, group: &GroupId, now: Millis) {
         self.router.on_done(group, now);
         self.outliers.on_failure(group, now);
         self.failed_at.insert(group.clone(), now);
     }
 
-    /// A group refused a request before it started: what its members reported
-    /// does not hold any more.
+    /// A group refused a request before it started, so its members' last reports are out
+    /// of date: it gets no new request until they have reported again.
     pub fn on_refused(&mut self, group: &GroupId, now: Millis) {
         self.router.on_done(group, now);
         self.failed_at.insert(group.clone(), now);
     }
 
-    /// A request at `group` hears nothing: until all members have been heard since, the
-    /// group gets no other.
+    /// A stream from `group` has stalled: the group gets no new request until all its
+    /// members have reported again. The request itself still counts there.
     pub fn on_stalled(&mut self, group: &GroupId, now: Millis) {
         self.failed_at.insert(group.clone(), now);
     }
 
-    /// What a request takes on average, once it has started.
+    /// Moving average of the time from the start of a request to its end; zero before the
+    /// first one has ended.
     pub fn service_time(&self) -> Millis {
         self.service_time.unwrap_or_default()
     }
 
-    /// How many wait.
-    pub fn waiting(&self) -> usize {
+    /// Number of queued requests.
+    pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Forgets groups that are gone.
+    /// Drops the state of groups for which `is_there` is false.
     pub fn retain(&mut self, is_there: impl Fn(&GroupId) -> bool) {
         self.router.retain(&is_there);
         self.failed_at.retain(|group, _| is_there(group));
         self.outliers.retain(is_there);
     }
 
-    fn give_turn(&mut self, view: &DispatchContext<'_>, waiter: Waiter) {
-        let Some(group) = self.start(view, &waiter.chain) else { return };
+    /// Sends a queued request to a group and tells the waiting task.
+    fn dispatch_next(&mut self, cx: &DispatchContext<'_>, queued: QueuedRequest) {
+        let Some(group) = self.start_at_free_group(cx, &queued.chain) else { return };
         if let Err(QueueOutcome::Dispatched(group)) =
-            waiter.turn.send(QueueOutcome::Dispatched(group))
+            queued.outcome_tx.send(QueueOutcome::Dispatched(group))
         {
-            // The caller went away between the two.
-            self.router.on_done(&group.group, view.now);
+            // The caller disconnected after abandoned requests were removed.
+            self.router.on_done(&group.group, cx.now);
         }
     }
 
-    fn start(
+    /// Routes a request to a group with a free slot, if there is one, and counts it there.
+    fn start_at_free_group(
         &mut self,
-        view: &DispatchContext<'_>,
+        cx: &DispatchContext<'_>,
         chain: &PrefixChain,
     ) -> Option<Box<ServingGroup>> {
-        let rows = self.with_room(view);
-        let candidates: Vec<_> = rows.iter().map(|row| self.candidate(row, view.now)).collect();
+        let rows = self.free_groups(cx);
+        let candidates: Vec<_> = rows.iter().map(|row| self.candidate(row, cx.now)).collect();
         let chosen = self.router.choose(chain, &candidates)?.clone();
         let row = rows.into_iter().find(|row| row.group == chosen)?.clone();
-        self.router.on_sent(chain, &chosen, view.now);
+        self.router.on_sent(chain, &chosen, cx.now);
         Some(Box::new(row))
     }
 
-    fn has_room(&self, view: &DispatchContext<'_>) -> bool {
-        !self.with_room(view).is_empty()
+    fn has_free_group(&self, cx: &DispatchContext<'_>) -> bool {
+        !self.free_groups(cx).is_empty()
     }
 
-    /// Groups with a free slot; those of the wanted version if there are any.
-    fn with_room<'a>(&self, view: &DispatchContext<'a>) -> Vec<&'a ServingGroup> {
-        let rows = view.table.groups_for(view.model, view.now);
+    /// Groups with a free slot: those of the wanted version, or all if it has none.
+    fn free_groups<'a>(&self, cx: &DispatchContext<'a>) -> Vec<&'a ServingGroup> {
+        let rows = cx.table.groups_for(cx.model, cx.now);
         let rows: Vec<_> = rows
-            .filter(|row| !self.is_suspect(row))
-            .filter(|row| self.router.load(&self.candidate(row, view.now)) < f64::from(row.slots))
+            .filter(|row| !self.awaits_new_reports(row))
+            .filter(|row| self.router.load(&self.candidate(row, cx.now)) < f64::from(row.slots))
             .collect();
         let wanted: Vec<_> =
-            rows.iter().filter(|row| &row.version == view.version).copied().collect();
+            rows.iter().filter(|row| &row.version == cx.version).copied().collect();
         if wanted.is_empty() { rows } else { wanted }
     }
 
-    fn is_suspect(&self, row: &ServingGroup) -> bool {
+    /// Whether a request failed at the group after the oldest of its members' reports.
+    fn awaits_new_reports(&self, row: &ServingGroup) -> bool {
         self.failed_at.get(&row.group).is_some_and(|failed_at| row.proved_since <= *failed_at)
     }
 
--- a/crates/workshold-node/src/serving.rs
+++ b/crates/workshold-node/src/serving.rs
@@ -1,7 +1,7 @@
-//! The table of groups that serve, made anew whenever something changed.
+//! The table of groups that can take requests. It is rebuilt when its inputs change.
 //!
-//! Each row says until when it may be used: the freshness of the oldest report
-//! that it stands on. So a row is never believed longer than a report is.
+//! Each row expires when the oldest report it is based on does, so a group is never
+//! used on reports that have expired.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,73 +22,73 @@
 use workshold_protocol::ids::ModelName;
 use workshold_protocol::ids::Version;
 
-/// A group that serves.
+/// A group that can take requests.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServingGroup {
     /// Its name.
     pub group: GroupId,
-    /// Its fencing number.
+    /// Its fencing token.
     pub fence: FencingToken,
-    /// The member that serves callers.
+    /// The member that requests are sent to.
     pub head: InstanceId,
-    /// Where that listens.
+    /// Address of the head, as `ip:port`.
     pub address: String,
     /// The version it runs.
     pub version: Version,
-    /// Share of a full group's worth.
+    /// Utility of its role as a fraction of the best role's, as the bundle sets it.
     pub worth: f64,
-    /// Requests that it works on at once.
+    /// Requests that it can run at once.
     pub slots: u32,
-    /// Requests in it when it last reported.
+    /// Running and queued requests in the head's last report.
     pub reported: u32,
-    /// Since when that is true.
+    /// Time by this node's clock that `reported` and `slots` date from.
     pub true_since: Millis,
-    /// Since when all of the members' reports are true.
+    /// Time by this node's clock of the oldest of the members' reports.
     pub proved_since: Millis,
-    /// Until when it may be sent work on these reports.
+    /// When the oldest report expires; from then on the group gets no requests.
     pub valid_until: Millis,
     /// Whether it is in another data centre.
     pub is_remote: bool,
 }
 
-/// All groups, those that serve and those that do not.
+/// All groups: those that can take requests, and those that can't.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct ServingTable {
-    /// Those that serve, by model.
+    /// Groups that can take requests, by model.
     pub serving: BTreeMap<ModelName, Vec<ServingGroup>>,
-    /// Those that do not, and why.
+    /// Groups that can't, with the reason.
     pub closed: BTreeMap<GroupId, GroupNotReady>,
 }
 
-/// What a table is made of.
+/// Inputs of a serving table.
 #[derive(Debug, Clone, Copy)]
-pub struct Sources<'a> {
-    /// What lasts.
+pub struct TableInputs<'a> {
+    /// State replayed from the log: groups and the bundle in force.
     pub state: &'a State,
-    /// What instances said.
+    /// Reports of instances, and what other data centres report of their groups.
     pub observations: &'a Observations,
-    /// The platform's list.
+    /// The platform's instance list.
     pub list: &'a InstanceList,
     /// This node's data centre.
     pub data_centre: &'a DataCentre,
-    /// Its clock.
+    /// Time of this node's clock.
     pub now: Millis,
-    /// How groups are judged.
+    /// How long a report is valid.
     pub rules: GroupReadinessRules,
 }
 
 impl ServingTable {
-    /// Judges every group.
-    pub fn make(sources: &Sources<'_>) -> Self {
-        let leaving: BTreeSet<_> = sources
+    /// Checks every group, and puts it in the table with its address and load.
+    pub fn build(inputs: &TableInputs<'_>) -> Self {
+        let leaving: BTreeSet<_> = inputs
             .list
             .iter()
             .filter(|listed| listed.leaving)
             .map(|listed| listed.instance.clone())
             .collect();
         let mut table = Self::default();
-        for group in sources.state.fleet.groups() {
-            match sources.row(group, &leaving) {
+        for group in inputs.state.fleet.groups() {
+            match inputs.serving_group(group, &leaving) {
                 Ok(row) => table.serving.entry(group.model.clone()).or_default().push(row),
                 Err(why) => {
                     table.closed.insert(group.id.clone(), why);
@@ -98,7 +98,7 @@
         table
     }
 
-    /// The groups that serve `model` at `now`.
+    /// The groups of `model` whose rows haven't expired at `now`.
     pub fn groups_for(
         &self,
         model: &ModelName,
@@ -108,22 +108,22 @@
         rows.iter().filter(move |row| now < row.valid_until)
     }
 
-    /// The names of all groups that serve.
+    /// Names of all groups that can take requests, also of rows that have expired.
     pub fn serving_ids(&self) -> BTreeSet<GroupId> {
         self.serving.values().flatten().map(|row| row.group.clone()).collect()
     }
 }
 
-/// What a row stands on.
-struct Basis {
+/// Load of a group and the times its reports date from, by this node's clock.
+struct GroupLoad {
     proved_since: Millis,
     load_since: Millis,
     reported: u32,
     slots: u32,
 }
 
-impl Sources<'_> {
-    fn row(
+impl TableInputs<'_> {
+    fn serving_group(
         &self,
         group: &Group,
         leaving: &BTreeSet<InstanceId>,
@@ -132,11 +132,11 @@
         let unseen = || GroupNotReady::Unseen(head.clone());
         let listed = self.list.find(head).ok_or_else(unseen)?;
         let is_remote = &listed.data_centre != self.data_centre;
-        let basis = if is_remote {
-            self.vouched(group, leaving)?
+        let load = if is_remote {
+            self.remote_load(group, leaving)?
         } else {
             group_readiness::check_group(group, self.observations, leaving, self.now, self.rules)?;
-            self.reported(group).ok_or_else(unseen)?
+            self.local_load(group).ok_or_else(unseen)?
         };
         Ok(ServingGroup {
             group: group.id.clone(),
@@ -145,22 +145,23 @@
             address: listed.address.clone(),
             version: group.version.clone(),
             worth: self.worth(group),
-            slots: basis.slots,
-            reported: basis.reported,
-            true_since: basis.load_since,
-            proved_since: basis.proved_since,
-            valid_until: basis.proved_since + self.rules.report_ttl,
+            slots: load.slots,
+            reported: load.reported,
+            true_since: load.load_since,
+            proved_since: load.proved_since,
+            valid_until: load.proved_since + self.rules.report_ttl,
             is_remote,
         })
     }
 
-    /// By the members' own reports.
-    fn reported(&self, group: &Group) -> Option<Basis> {
+    /// For a group in this data centre: from its members' own reports. The load is the
+    /// head's; the age of the evidence is that of the oldest report.
+    fn local_load(&self, group: &Group) -> Option<GroupLoad> {
         let members = group.members.iter();
         let reports = members.map(|member| self.observations.get(&member.instance));
         let oldest = reports.map(|observation| observation.map(|w| w.true_since)).min()??;
         let head = self.observations.get(&group.head().instance)?;
-        Some(Basis {
+        Some(GroupLoad {
             proved_since: oldest,
             load_since: head.true_since,
             reported: head.report.running + head.report.queued,
@@ -168,12 +169,12 @@
         })
     }
 
-    /// By what a node of its own data centre vouches for.
-    fn vouched(
+    /// For a group in another data centre: from what a node there has observed.
+    fn remote_load(
         &self,
         group: &Group,
         leaving: &BTreeSet<InstanceId>,
-    ) -> Result<Basis, GroupNotReady> {
+    ) -> Result<GroupLoad, GroupNotReady> {
         let group_observation = group_readiness::check_remote_group(
             group,
             self.observations,
@@ -181,7 +182,7 @@
             self.now,
             self.rules,
         )?;
-        Ok(Basis {
+        Ok(GroupLoad {
             proved_since: group_observation.true_since,
             load_since: group_observation.load_since,
             reported: group_observation.reported,
--- a/crates/workshold-node/src/tasks.rs
+++ b/crates/workshold-node/src/tasks.rs
@@ -1,11 +1,11 @@
-//! What a node does beside answering callers.
+//! Background tasks of a node; each runs as long as the node does.
 
 pub mod catch_up;
 pub mod dispatching;
 pub mod intents;
-pub mod listing;
+pub mod list_polling;
+pub mod log_maintenance;
+pub mod log_replay;
 pub mod peers;
 pub mod probing;
-pub mod replaying;
 pub mod stewarding;
-pub mod upkeep;
--- a/crates/workshold-node/src/tasks/stewarding.rs
+++ b/crates/workshold-node/src/tasks/stewarding.rs
@@ -1,4 +1,5 @@
-//! Stewarding the domains that fall to this node.
+//! The steward of a fabric domain is the node that plans its groups and sends orders to
+//! its instances. This task does so for the domains that this node is responsible for.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,40 +21,41 @@
 use crate::events::Event;
 use crate::events::emit;
 use crate::node::Node;
-use crate::tasks::upkeep::append;
+use crate::tasks::log_maintenance::append;
 
-const ORDER_TIME: Duration = Duration::from_secs(1);
-/// How long a steward waits to read what it has appended.
-const READ_BACK: Duration = Duration::from_secs(2);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a steward waits until it has replayed what it appended, so that its next plan
+/// takes it into account.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Plans for as long as the node runs.
+/// Plans for each of this node's domains, for as long as the node runs.
 pub async fn run(node: Arc<Node>) {
-    let mut memories: BTreeMap<FabricDomain, StewardTimers> = BTreeMap::new();
+    let mut timers_by_domain: BTreeMap<FabricDomain, StewardTimers> = BTreeMap::new();
     let mut tick = tokio::time::interval(node.settings.times.plan_every.to_duration());
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
         node.refresh_serving();
-        let mine = mine(&node);
-        memories.retain(|domain, _| mine.contains(domain));
-        for domain in mine {
-            let timers = memories.entry(domain.clone()).or_default();
+        let own_domains = own_domains(&node);
+        timers_by_domain.retain(|domain, _| own_domains.contains(domain));
+        for domain in own_domains {
+            let timers = timers_by_domain.entry(domain.clone()).or_default();
             if let Some(plan) = plan(&node, &domain, timers) {
-                carry_out(&node, plan).await;
+                execute(&node, plan).await;
             }
         }
     }
 }
 
-/// The domains of this data centre that fall to this node.
-fn mine(node: &Node) -> BTreeSet<FabricDomain> {
+/// The domains of this data centre whose steward is this node; none during a planned stop.
+fn own_domains(node: &Node) -> BTreeSet<FabricDomain> {
     if node.is_leaving() {
         return BTreeSet::new();
     }
     let (now, rules) = (node.now(), node.settings.membership_rules());
     let list = Arc::clone(&node.list.read());
-    let near = list.iter().filter(|l| l.data_centre == node.settings.node.data_centre);
-    let domains: BTreeSet<_> = near
+    let local = list.iter().filter(|l| l.data_centre == node.settings.node.data_centre);
+    let domains: BTreeSet<_> = local
         .filter_map(|listed| match &listed.kind {
             InstanceKind::Engine { domain, .. } => Some(domain.clone()),
             _ => None,
@@ -63,6 +65,7 @@
     domains.into_iter().filter(|domain| membership.is_steward_for(domain, now, &rules)).collect()
 }
 
+/// Makes a plan for one domain; `None` if the replayed state is missing or wrong.
 fn plan(node: &Node, domain: &FabricDomain, timers: &mut StewardTimers) -> Option<Plan> {
     let list = Arc::clone(&node.list.read());
     let rules = node.settings.steward_rules();
@@ -82,7 +85,8 @@
     Some(steward::plan(&view, timers, &rules))
 }
 
-async fn carry_out(node: &Arc<Node>, plan: Plan) {
+/// Sends the plan's orders, records its decisions, and appends its facts to the log.
+async fn execute(node: &Arc<Node>, plan: Plan) {
     let list = Arc::clone(&node.list.read());
     for (instance, order) in plan.orders {
         if let Some(address) = list.find(&instance).map(|listed| listed.address.clone()) {
@@ -90,24 +94,25 @@
         }
     }
     for decision in plan.decisions {
-        node.remember(decision);
+        node.record_decision(decision);
     }
     if plan.facts.is_empty() {
         return;
     }
     let envelope = Envelope::new(node.clock.wall(), plan.facts);
-    // Without an answer the next plan says the same again, if it still holds.
+    // After a failure, the next plan has the same facts again if they still apply.
     if let Some(offset) = append(node, &envelope).await {
         let mut replayed = node.replayed.subscribe();
         let read_back = replayed.wait_for(|next| *next > offset);
-        let _ = tokio::time::timeout(READ_BACK, read_back).await;
+        let _ = tokio::time::timeout(READ_BACK_TIMEOUT, read_back).await;
     }
 }
 
+/// Sends one order to an instance, without a retry: the next plans repeat it.
 async fn send_order(node: Arc<Node>, address: String, instance: InstanceId, order: Order) {
     node.counters.orders.add(1);
     let sent: Result<serde_json::Value, _> =
-        client::call(&address, Method::POST, "/engine/orders", Some(&order), ORDER_TIME).await;
+        client::call(&address, Method::POST, "/engine/orders", Some(&order), ORDER_TIMEOUT).await;
     if let Err(err) = sent {
         let fields = [("instance", instance.as_str()), ("why", &err.to_string())];
         emit(Event::OrderFailed, &fields);
