--- a/crates/workshold-model/src/checker.rs
+++ b/crates/workshold-model/src/checker.rs
@@ -7,7 +7,7 @@
 use pathfinding::directed::bfs::bfs;
 use pathfinding::directed::bfs::bfs_reach;
 
-/// What must always hold, in the order of the users' list.
+/// A safety property that every reachable state must have, in the order of the list given to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
     /// No replica group serves while any of its members is missing.
@@ -16,9 +16,9 @@
     OneGroupEach,
     /// A caller gets the whole answer to its own request and nobody else's.
     OwnWholeAnswer,
-    /// What was told "not run" was not run.
+    /// A request that was reported as "not run" was not run.
     NotRunMeansNotRun,
-    /// What must not be repeated runs at most once.
+    /// A request that must not be repeated runs at most once.
     AtMostOnce,
     /// An upstream that is leaving gets no new work after a few seconds.
     LeavingGetsNothing,
@@ -28,39 +28,39 @@
     BundlesOnlyForward,
 }
 
-/// A small deployment whose parts may act in any order.
+/// One state of a small deployment whose parts may act in any order.
 pub trait World: Clone + Eq + Hash {
-    /// One move of one part.
+    /// One atomic action of one part; its `Debug` text appears in printed traces.
     type Move: Clone + Debug;
 
-    /// All moves that are possible, each with the state it leads to.
+    /// All moves that are possible in this state, each with the state it leads to.
     fn moves(&self) -> Vec<(Self::Move, Self)>;
 
-    /// The promise that does not hold in this state, if one does not.
+    /// The promise that this state breaks; `None` if all hold.
     fn breach(&self) -> Option<Promise>;
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verdict {
-    /// States that were reached.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// Moves from the start to the farthest of them.
+    /// Number of moves from the start to the farthest visited state.
     pub depth: usize,
-    /// The breach and the shortest way to it, if there is one.
+    /// The first broken promise; `None` if all hold in all visited states.
     pub breach: Option<Breach>,
 }
 
-/// A promise that does not hold.
+/// A broken promise and how to reach it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breach {
-    /// Which.
+    /// The promise that is broken.
     pub promise: Promise,
-    /// The shortest way to a state where it does not.
+    /// The moves of a shortest path to a state that breaks it.
     pub trace: Vec<String>,
 }
 
-/// A state and how many moves it is from the start; two are equal by state.
+/// A visited state and its distance from the start in moves. Equality and hash ignore the distance.
 #[derive(Clone)]
 struct Reached<W> {
     world: W,
@@ -81,7 +81,8 @@
     }
 }
 
-/// Searches all states that can be reached from `start`, up to `max_states`.
+/// Searches the states reachable from `start` breadth first, until the first broken promise or
+/// `max_states` states.
 pub fn check<W: World>(start: &W, max_states: usize) -> Verdict {
     let successors = |reached: &Reached<W>| {
         let depth = reached.depth + 1;
@@ -98,11 +99,13 @@
             break;
         }
     }
-    let breach = promise.map(|promise| Breach { promise, trace: shortest_trace(start, promise) });
+    let breach =
+        promise.map(|promise| Breach { promise, trace: shortest_counterexample(start, promise) });
     Verdict { states, depth, breach }
 }
 
-fn shortest_trace<W: World>(start: &W, promise: Promise) -> Vec<String> {
+/// Searches again to find the path, because `bfs_reach` yields states without their predecessors.
+fn shortest_counterexample<W: World>(start: &W, promise: Promise) -> Vec<String> {
     let successors =
         |world: &W| world.moves().into_iter().map(|(_, next)| next).collect::<Vec<_>>();
     let path = bfs(start, successors, |world| world.breach() == Some(promise));
--- a/crates/workshold-model/src/main.rs
+++ b/crates/workshold-model/src/main.rs
@@ -1,4 +1,4 @@
-//! `workshold-model`: runs all searches and prints what they found.
+//! `workshold-model`: runs all searches and prints one result line for each.
 
 use std::process::ExitCode;
 use std::time::Instant;
@@ -8,7 +8,7 @@
 use workshold_model::suite::Search;
 use workshold_model::suite::Size;
 
-#[expect(clippy::print_stdout, reason = "this is where the command prints")]
+#[expect(clippy::print_stdout, reason = "the results go to stdout")]
 fn run(name: &str, search: Search, mutation: Option<Mutation>) -> bool {
     let begun = Instant::now();
     let verdict = search.run(mutation);
--- a/crates/workshold-model/src/mutation.rs
+++ b/crates/workshold-model/src/mutation.rs
@@ -1,20 +1,20 @@
-//! Rules that can be broken on purpose, to see that the checker notices.
+//! Deliberate faults in the protocol's rules, which verify that the checker detects them.
 
 use crate::checker::Promise;
 
 macro_rules! mutations {
     ($($(#[$doc:meta])* $name:ident breaks $promise:ident;)*) => {
-        /// One rule, broken.
+        /// A rule of the protocol that is broken on purpose.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         pub enum Mutation {
             $($(#[$doc])* $name,)*
         }
 
         impl Mutation {
-            /// All of them.
+            /// All mutations.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// The promise that breaks with the rule.
+            /// The promise that the checker must find broken.
             pub const fn breaks(self) -> Promise {
                 match self { $(Self::$name => Promise::$promise,)* }
             }
@@ -23,48 +23,48 @@
 }
 
 mutations! {
-    /// Reports are believed however old they are.
+    /// Reports never expire.
     BelieveOldReports breaks WholeGroups;
-    /// Freshness counts from when the answer came in, not from when it was asked for.
+    /// The age of a report counts from when the answer arrived, not from when the probe was sent.
     CountFromArrival breaks WholeGroups;
-    /// A voucher from elsewhere counts from when it came in.
+    /// The age of a group observation from another data centre counts from when it arrived.
     CountVouchersFromArrival breaks WholeGroups;
-    /// An instance that came back as another life counts as the same.
+    /// A restarted instance with a new incarnation counts as the group member it was before.
     IgnoreIncarnation breaks WholeGroups;
-    /// An order's reply counts as the instance's report.
+    /// The reply to an order counts as a report of the instance.
     TrustReplies breaks WholeGroups;
-    /// A node serves a group by the log alone, without asking its members.
+    /// A node sends work to a group that the log shows as active, without probing its members.
     GoByTheLogAlone breaks WholeGroups;
-    /// A released instance is free at once.
+    /// A released instance may join another group at once, without the release wait.
     SkipReleaseWait breaks OneGroupEach;
-    /// Instances obey orders whatever their fencing number.
+    /// Instances execute orders with outdated fencing tokens.
     IgnoreFencing breaks OneGroupEach;
-    /// What a superseded attempt says late is taken for the current one's.
+    /// Late events of a superseded attempt count as events of the current one.
     MergeAttempts breaks OwnWholeAnswer;
-    /// An answer counts as whole when the stream ends, however many tokens came.
+    /// An answer counts as complete when its stream ends, however many tokens arrived.
     TakeAnyEndForWhole breaks OwnWholeAnswer;
-    /// A request that broke off after it was sent is called "not run".
+    /// A request whose connection broke after it was sent is reported as "not run".
     CallBrokenNotRun breaks NotRunMeansNotRun;
-    /// A node runs a request after it told its caller that it was not run.
+    /// A node runs a request after it reported "not run" to the caller.
     RunAfterGivingUp breaks NotRunMeansNotRun;
-    /// A node runs a request before the log gave it the key.
+    /// A node runs a request before the log shows that it owns the idempotency key.
     RunBeforeRecord breaks AtMostOnce;
-    /// A node that came back runs what its former life had the key for.
+    /// A restarted node runs a request whose key its previous incarnation owns.
     RunForFormerLife breaks AtMostOnce;
-    /// A request that broke off is sent again though it must not be repeated.
+    /// A request that must not be repeated is retried after its connection broke.
     RetryBroken breaks AtMostOnce;
-    /// Keys are forgotten without being refused from then on.
+    /// Expired keys are dropped, but requests with such keys are not refused afterwards.
     ForgetWithoutFloor breaks AtMostOnce;
-    /// The instance list's word that an instance is leaving is ignored.
+    /// The leaving flag in the instance list is ignored.
     IgnoreLeaving breaks LeavingGetsNothing;
-    /// A group that must go is ended without draining.
+    /// A group is dissolved without being drained first.
     DissolveWithoutDrain breaks StopCutsNothing;
-    /// A draining group is ended while its members still work.
+    /// A draining group is dissolved while its members still run requests.
     EndWhileBusy breaks StopCutsNothing;
-    /// A sign-off counts whatever it names as its parent.
+    /// A sign-off is accepted whatever parent bundle it names.
     AcceptAnyParent breaks BundlesOnlyForward;
-    /// A node that starts while the log is away takes that for an empty log.
+    /// A node that starts while the log is unreachable treats the log as empty.
     TakeSilenceForEmpty breaks BundlesOnlyForward;
-    /// A node that is cut off from everybody goes on serving.
+    /// A node that is isolated from the log and all peers keeps serving.
     ServeWhileIsolated breaks BundlesOnlyForward;
 }
