--- a/crates/workshold-model/src/instance_limits.rs
+++ b/crates/workshold-model/src/instance_limits.rs
@@ -1,9 +1,9 @@
-//! One instance that names limits, asks for rest, leaves and begins anew, before nodes that are
-//! killed and tell each other what it said, with news that is lost or late and answers that
-//! overtake each other.
+//! Randomized simulation of instance limits: one instance announces rate limits and backoffs,
+//! leaves and restarts. Nodes gossip about its announcements and are killed, gossip is lost or
+//! late, and answers overtake each other.
 //!
-//! Time matters too much for a search of all states: worlds are drawn from seeds. What each node
-//! knows, and what it may send, is the shipped code.
+//! The behaviour depends too much on time for a search of all states, so each run is generated from
+//! a seed. The nodes use the [`InstanceLimits`] of the daemon.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -15,92 +15,113 @@
 use workshold_core::hosted::instance_limits::SenderShare;
 use workshold_protocol::Millis;
 
-/// A rule that is broken on purpose.
+/// A rule that can be broken on purpose, to verify that the simulation detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
-    /// Any answer without a limit lifts it, however early its request left.
-    LaterWordsLift,
-    /// Some ways to the instance do not ask for a permit.
-    EveryWayAsks,
-    /// Every node is a sender with the whole limit.
-    Shared,
-    /// What one life said counts for the next.
-    ByLife,
-    /// Nobody is sent what was withheld: a limit near nothing is never asked about again.
-    AsksAgain,
-    /// The shortest rest counts.
-    LongestRest,
+pub enum BrokenRule {
+    /// Only an answer to a later request lifts a limit. Broken: any answer without a limit does.
+    LiftOnlyByLaterRequest,
+    /// Every request needs a permit. Broken: one in ten is sent without one.
+    EverySendNeedsPermit,
+    /// Senders share a limit. Broken: every node is a sender with the whole limit.
+    LimitSharedAmongSenders,
+    /// Announcements count for one incarnation. Broken: they count for the next ones too.
+    KeyedByIncarnation,
+    /// Under a limit near zero, single requests find out whether it was lifted. Broken: nothing is
+    /// sent under such a limit.
+    LowLimitProbed,
+    /// The longest backoff counts. Broken: backoffs are cut to 900 ms.
+    LongestBackoff,
 }
 
-impl Broken {
-    /// All of them, each with the promise that breaks with it.
+impl BrokenRule {
+    /// All rules, each with the breach that the simulation must find without it.
     pub const ALL: &'static [(Self, Breach)] = &[
-        (Self::LaterWordsLift, Breach::OverLimit),
-        (Self::EveryWayAsks, Breach::SentToLeaving),
-        (Self::Shared, Breach::OverLimit),
-        (Self::ByLife, Breach::KeptOut),
-        (Self::AsksAgain, Breach::KeptOut),
-        (Self::LongestRest, Breach::SentInRest),
+        (Self::LiftOnlyByLaterRequest, Breach::OverLimit),
+        (Self::EverySendNeedsPermit, Breach::SentToLeaving),
+        (Self::LimitSharedAmongSenders, Breach::OverLimit),
+        (Self::KeyedByIncarnation, Breach::Starved),
+        (Self::LowLimitProbed, Breach::Starved),
+        (Self::LongestBackoff, Breach::SentInBackoff),
     ];
 }
 
-/// What did not hold.
+/// A property that did not hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Breach {
-    /// More came in four seconds than a limit allows, of nodes that had been told.
+    /// Within `RATE_WINDOW`, nodes that knew of a limit sent more than it allows.
     OverLimit,
-    /// More than two came of a node that had been asked for rest.
-    SentInRest,
-    /// One came of a node that had been told that the instance leaves.
+    /// A node sent more than `MAX_SENDS_IN_BACKOFF` requests during a backoff that it knew of.
+    SentInBackoff,
+    /// A node sent a request though it knew that the instance was leaving.
     SentToLeaving,
-    /// A new life, or an instance that lifted its limit, got nothing for long.
-    KeptOut,
+    /// A new incarnation, or an instance that had lifted its limit, got no request for longer than
+    /// `STARVED_AFTER`.
+    Starved,
 }
 
-const BEGIN: Millis = Millis(100_000);
-const LASTS: Millis = Millis(90_000);
-const STEP: Millis = Millis(20);
+/// Not zero, so that times before the start can be represented.
+const START_TIME: Millis = Millis(100_000);
+const DURATION: Millis = Millis(90_000);
+const TIME_STEP: Millis = Millis(20);
 const NODES: usize = 6;
-/// What each node wants to send a second.
-const WANTED: f64 = 4.0;
-/// The longest that an answer takes, one in so many that waits in a queue, and news.
-const ANSWER_MOST: u64 = 1_200;
-const QUEUED: u32 = 5;
-const QUEUED_MOST: u64 = 5_000;
-const NEWS_MOST: u64 = 400;
-const LOST_PART: f64 = 0.2;
-const TOLD_EVERY: Millis = Millis(200);
-/// A node is killed about this often, missed after a while, and back after another.
-const KILL_EVERY: Millis = Millis(2_000);
-const MISSED_AFTER: Millis = Millis(900);
-const BACK_AFTER: Millis = Millis(2_000);
-/// The instance says something else about this often.
-const SAYS_EVERY: Millis = Millis(9_000);
-/// The highest limit, in tenths of a request a second, and how many limits are of nothing.
-const TENTHS: u32 = 25;
-const NOTHING_PART: f64 = 0.3;
+/// Requests per second that each node has to send.
+const REQUESTS_PER_S: f64 = 4.0;
+/// Longest delay of an answer that isn't queued.
+const ANSWER_MAX_MS: u64 = 1_200;
+/// One in this many requests waits in the instance's queue.
+const QUEUED_ONE_IN: u32 = 5;
+/// Longest delay of the answer to a queued request.
+const QUEUED_MAX_MS: u64 = 5_000;
+/// Longest delay of a gossip message.
+const GOSSIP_MAX_MS: u64 = 400;
+/// Probability that a gossip message is lost.
+const GOSSIP_LOSS: f64 = 0.2;
+/// Mean interval at which a node gossips.
+const GOSSIP_INTERVAL: Millis = Millis(200);
+/// Mean interval at which a random node is killed.
+const KILL_INTERVAL: Millis = Millis(2_000);
+/// Time after which the other nodes notice that a node is down.
+const DETECTED_AFTER: Millis = Millis(900);
+/// Time after which a killed node is up again.
+const RESTART_AFTER: Millis = Millis(2_000);
+/// Mean interval at which the instance changes its announcements or restarts.
+const CHANGE_INTERVAL: Millis = Millis(9_000);
+/// Limits are drawn below this value, in tenths of a request per second.
+const LIMIT_MAX_TENTHS: u32 = 25;
+/// Probability that a new limit is zero.
+const ZERO_LIMIT_FRACTION: f64 = 0.3;
 
-/// What the promise allows: within a span, beyond a limit, from when on, and of whom.
-const SPAN: Millis = Millis(4_000);
-const OVER: f64 = 1.5;
-const MORE: f64 = 5.0;
-const KNOWN: Millis = Millis(3_000);
-const TOLD: Millis = Millis(500);
-const IN_REST: usize = 2;
-const DRAINS: Millis = Millis(2_000);
-/// Longer than a limit of nothing takes to be found lifted: its senders' next request, the
-/// answer, and its way to all.
-const KEPT_OUT: Millis = Millis(24_000);
+/// Time over which the rate of requests is compared with the limit.
+const RATE_WINDOW: Millis = Millis(4_000);
+/// Factor by which the rate may exceed the limit.
+const RATE_TOLERANCE: f64 = 1.5;
+/// Requests per [`RATE_WINDOW`] that are allowed in addition.
+const BURST_ALLOWANCE: f64 = 5.0;
+/// Time that all nodes may take to learn of a changed limit.
+const LIMIT_SPREAD_TIME: Millis = Millis(3_000);
+/// Time after which a node must observe a limit or backoff that was announced to it.
+const ANNOUNCEMENT_GRACE: Millis = Millis(500);
+/// Requests that a node may send during a backoff, after [`ANNOUNCEMENT_GRACE`].
+const MAX_SENDS_IN_BACKOFF: usize = 2;
+/// Time after which a node that knows that the instance leaves must send nothing more.
+const LEAVING_GRACE: Millis = Millis(2_000);
+/// Time without requests after which an instance without limits counts as starved. Longer than it
+/// takes to find out that a limit of zero was lifted: the time until its senders' next request, the
+/// answer to it, and the gossip to all nodes.
+const STARVED_AFTER: Millis = Millis(24_000);
 
 struct Node {
     instance_limits: InstanceLimits<u32>,
+    /// `None` while the node is down.
     up_since: Option<Millis>,
     down_at: Millis,
-    /// When it was first told of the limit and of the leaving of this life.
-    told: Option<Millis>,
-    told_leaving: Option<Millis>,
-    /// Since when it rests and until when, and how many came in that.
-    rest: Option<(Millis, Millis, usize)>,
+    /// When an answer of the current incarnation first announced the limit to it.
+    limit_told_at: Option<Millis>,
+    /// When an answer of the current incarnation first announced to it that the instance leaves.
+    leaving_told_at: Option<Millis>,
+    /// When the current backoff was first announced, when it ends, and the number of requests that
+    /// the node has sent during it.
+    backoff: Option<(Millis, Millis, usize)>,
 }
 
 impl Node {
@@ -109,307 +130,323 @@
             instance_limits: InstanceLimits::default(),
             up_since: Some(now),
             down_at: Millis::ZERO,
-            told: None,
-            told_leaving: None,
-            rest: None,
+            limit_told_at: None,
+            leaving_told_at: None,
+            backoff: None,
         }
     }
 }
 
-/// What an answer says, and of which life.
+/// The announcements in one answer, and the incarnation that gave it.
 #[derive(Debug, Clone, Copy)]
 struct Answer {
-    life: u32,
+    incarnation: u32,
     limit: Option<Rate>,
-    rest: Option<Millis>,
-    leaves: bool,
-    asked: Millis,
+    backoff: Option<Millis>,
+    is_leaving: bool,
+    sent_at: Millis,
 }
 
-/// The instance, the nodes, and what is on its way.
-pub struct IntakeWorld {
+/// The simulated instance and nodes, with answers and gossip in flight.
+pub struct LimitsWorld {
     rng: ChaCha8Rng,
-    broken: Option<Broken>,
-    /// In half of the worlds nobody is: whoever begins anew has forgotten what was said.
-    are_killed: bool,
+    broken: Option<BrokenRule>,
+    /// True for odd seeds only: a restarted node has lost all announcements, so runs without kills
+    /// are needed too.
+    kills_nodes: bool,
     now: Millis,
     nodes: Vec<Node>,
-    life: u32,
+    incarnation: u32,
+    /// The current limit, and since when there has been one without a gap.
     limit: Option<(Rate, Millis)>,
-    /// Limits that it has named in this life, and from when on.
-    limits: Vec<(Millis, Rate)>,
-    /// Every refusal asks for rest until then.
-    rests_until: Millis,
-    leaves_since: Option<Millis>,
-    /// Since when it takes whatever comes.
-    free_since: Millis,
-    answers: Vec<(Millis, usize, Answer)>,
-    news: Vec<(Millis, usize, u32, LimitReport)>,
-    came: Vec<Millis>,
-    last_came: Millis,
+    /// Limits that the current incarnation has announced, each with its start time.
+    announced_limits: Vec<(Millis, Rate)>,
+    /// Answers announce a backoff until then.
+    backoff_until: Millis,
+    leaving_since: Option<Millis>,
+    /// Since when it has had no limit; only meaningful while `limit` is `None`.
+    unlimited_since: Millis,
+    /// Answers with their arrival time and their node.
+    answers_in_flight: Vec<(Millis, usize, Answer)>,
+    /// Gossip with its arrival time, its receiver and the incarnation that it is about.
+    gossip_in_flight: Vec<(Millis, usize, u32, LimitReport)>,
+    /// Arrival times of the requests that count against the limit.
+    arrivals: Vec<Millis>,
+    last_arrival_at: Millis,
 }
 
-impl IntakeWorld {
-    /// The world of a seed.
-    pub fn new(seed: u64, broken: Option<Broken>) -> Self {
-        let nodes = (0..NODES).map(|_| Node::new(BEGIN)).collect();
+impl LimitsWorld {
+    /// Creates the simulation of `seed`, with one rule broken if one is given.
+    pub fn new(seed: u64, broken: Option<BrokenRule>) -> Self {
+        let nodes = (0..NODES).map(|_| Node::new(START_TIME)).collect();
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             broken,
-            are_killed: !seed.is_multiple_of(2),
-            now: BEGIN,
+            kills_nodes: !seed.is_multiple_of(2),
+            now: START_TIME,
             nodes,
-            life: 0,
+            incarnation: 0,
             limit: None,
-            limits: Vec::new(),
-            rests_until: Millis::ZERO,
-            leaves_since: None,
-            free_since: BEGIN,
-            answers: Vec::new(),
-            news: Vec::new(),
-            came: Vec::new(),
-            last_came: BEGIN,
+            announced_limits: Vec::new(),
+            backoff_until: Millis::ZERO,
+            leaving_since: None,
+            unlimited_since: START_TIME,
+            answers_in_flight: Vec::new(),
+            gossip_in_flight: Vec::new(),
+            arrivals: Vec::new(),
+            last_arrival_at: START_TIME,
         }
     }
 
-    /// Plays it; what broke, and how many requests came.
+    /// Runs the simulation; returns the first breach and the number of requests that counted
+    /// against a limit of the last incarnation.
     pub fn run(mut self) -> (Option<Breach>, usize) {
-        while self.now < BEGIN + LASTS {
-            self.now = self.now + STEP;
+        while self.now < START_TIME + DURATION {
+            self.now = self.now + TIME_STEP;
             if let Some(breach) = self.step() {
-                return (Some(breach), self.came.len());
+                return (Some(breach), self.arrivals.len());
             }
         }
-        (None, self.came.len())
+        (None, self.arrivals.len())
     }
 
-    fn happens(&mut self, every: Millis) -> bool {
-        self.rng.random_bool(STEP.as_secs_f64() / every.as_secs_f64())
+    /// Draws whether an event with this mean interval occurs in the current time step.
+    fn occurs(&mut self, every: Millis) -> bool {
+        self.rng.random_bool(TIME_STEP.as_secs_f64() / every.as_secs_f64())
     }
 
     fn step(&mut self) -> Option<Breach> {
-        if self.happens(SAYS_EVERY) {
-            self.say();
+        if self.occurs(CHANGE_INTERVAL) {
+            self.change_announcement();
         }
-        if self.are_killed && self.happens(KILL_EVERY) {
+        if self.kills_nodes && self.occurs(KILL_INTERVAL) {
             let node = self.rng.random_range(0..NODES);
             self.nodes[node].down_at = self.now;
             self.nodes[node].up_since = None;
         }
         for node in 0..NODES {
             let down_for = self.now.since(self.nodes[node].down_at);
-            if self.nodes[node].up_since.is_none() && down_for >= BACK_AFTER {
+            if self.nodes[node].up_since.is_none() && down_for >= RESTART_AFTER {
                 self.nodes[node] = Node::new(self.now);
             }
         }
-        self.hear();
+        self.receive();
         for node in (0..NODES).rev() {
-            let wants = self.rng.random_bool(WANTED * STEP.as_secs_f64());
-            if wants && self.nodes[node].up_since.is_some() {
+            let has_request = self.rng.random_bool(REQUESTS_PER_S * TIME_STEP.as_secs_f64());
+            if has_request && self.nodes[node].up_since.is_some() {
                 let breach = self.send(node);
                 if breach.is_some() {
                     return breach;
                 }
             }
-            if self.happens(TOLD_EVERY) && self.nodes[node].up_since.is_some() {
-                self.tell(node);
+            if self.occurs(GOSSIP_INTERVAL) && self.nodes[node].up_since.is_some() {
+                self.gossip(node);
             }
         }
-        self.kept_out()
+        self.check_starvation()
     }
 
-    /// The instance says something else, or another life of it begins.
-    fn say(&mut self) {
+    /// The instance announces something else, or restarts.
+    fn change_announcement(&mut self) {
         let now = self.now;
         match self.rng.random_range(0..5) {
             0 => {
-                let takes_nothing = self.rng.random_bool(NOTHING_PART);
-                let tenths = if takes_nothing { 0 } else { self.rng.random_range(0..TENTHS) };
+                let is_zero = self.rng.random_bool(ZERO_LIMIT_FRACTION);
+                let tenths = if is_zero { 0 } else { self.rng.random_range(0..LIMIT_MAX_TENTHS) };
                 let rate = Rate(tenths * 100);
                 let since = self.limit.map_or(now, |(_, since)| since);
                 self.limit = Some((rate, since));
-                self.limits.push((now, rate));
+                self.announced_limits.push((now, rate));
             }
             1 => {
                 self.limit = None;
-                self.free_since = now;
-                self.nodes.iter_mut().for_each(|node| node.told = None);
+                self.unlimited_since = now;
+                self.nodes.iter_mut().for_each(|node| node.limit_told_at = None);
             }
-            2 => self.rests_until = now + Millis(self.rng.random_range(1_000..4_000)),
+            2 => self.backoff_until = now + Millis(self.rng.random_range(1_000..4_000)),
             3 => {
-                self.leaves_since.get_or_insert(now);
+                self.leaving_since.get_or_insert(now);
             }
-            _ => self.begin_anew(),
+            _ => self.restart_instance(),
         }
     }
 
-    fn begin_anew(&mut self) {
-        self.life += 1;
-        (self.limit, self.leaves_since, self.rests_until) = (None, None, Millis::ZERO);
-        self.free_since = self.now;
-        self.came.clear();
-        self.limits.clear();
+    fn restart_instance(&mut self) {
+        self.incarnation += 1;
+        (self.limit, self.leaving_since, self.backoff_until) = (None, None, Millis::ZERO);
+        self.unlimited_since = self.now;
+        self.arrivals.clear();
+        self.announced_limits.clear();
         for node in &mut self.nodes {
-            (node.told, node.told_leaving, node.rest) = (None, None, None);
+            (node.limit_told_at, node.leaving_told_at, node.backoff) = (None, None, None);
         }
     }
 
-    /// The life by which a node keeps what was said.
-    fn key(&self, life: u32) -> u32 {
-        if self.broken == Some(Broken::ByLife) { 0 } else { life }
+    /// The incarnation under which a node stores announcements.
+    fn key(&self, incarnation: u32) -> u32 {
+        if self.broken == Some(BrokenRule::KeyedByIncarnation) { 0 } else { incarnation }
     }
 
-    fn part(&self, node: usize, key: u32) -> SenderShare {
-        if self.broken == Some(Broken::Shared) {
+    fn sender_share(&self, node: usize, key: u32) -> SenderShare {
+        if self.broken == Some(BrokenRule::LimitSharedAmongSenders) {
             return SenderShare { is_sender: true, senders: 1 };
         }
         let limit = self.nodes[node].instance_limits.limit(&key).unwrap_or(Rate(0));
         let senders = instance_limits::senders(limit, NODES);
         let is_seen =
-            |node: &&Node| node.up_since.is_some() || self.now.since(node.down_at) < MISSED_AFTER;
-        let before = self.nodes[..node].iter().filter(is_seen).count();
-        SenderShare { is_sender: before < senders, senders }
+            |node: &&Node| node.up_since.is_some() || self.now.since(node.down_at) < DETECTED_AFTER;
+        let nodes_before = self.nodes[..node].iter().filter(is_seen).count();
+        SenderShare { is_sender: nodes_before < senders, senders }
     }
 
     fn send(&mut self, node: usize) -> Option<Breach> {
-        let key = self.key(self.life);
-        let part = self.part(node, key);
-        let forgets = self.broken == Some(Broken::EveryWayAsks) && self.rng.random_bool(0.1);
-        let never_again = self.broken == Some(Broken::AsksAgain)
+        let key = self.key(self.incarnation);
+        let sender_share = self.sender_share(node, key);
+        let skips_permit =
+            self.broken == Some(BrokenRule::EverySendNeedsPermit) && self.rng.random_bool(0.1);
+        let never_probes = self.broken == Some(BrokenRule::LowLimitProbed)
             && self.nodes[node].instance_limits.limit(&key).is_some_and(|limit| limit < Rate(250));
-        let may =
-            self.nodes[node].instance_limits.take(&key, part, self.now).is_ok() && !never_again;
-        if !may && !forgets {
+        let is_permitted =
+            self.nodes[node].instance_limits.take(&key, sender_share, self.now).is_ok()
+                && !never_probes;
+        if !is_permitted && !skips_permit {
             return None;
         }
         let answer = Answer {
-            life: self.life,
+            incarnation: self.incarnation,
             limit: self.limit.map(|(limit, _)| limit),
-            rest: (self.rests_until > self.now).then(|| self.draw_rest()),
-            leaves: self.leaves_since.is_some(),
-            asked: self.now,
+            backoff: (self.backoff_until > self.now).then(|| self.draw_backoff()),
+            is_leaving: self.leaving_since.is_some(),
+            sent_at: self.now,
         };
-        let is_queued = self.rng.random_range(0..QUEUED) == 0;
-        let most = if is_queued { QUEUED_MOST } else { ANSWER_MOST };
-        let comes = self.now + Millis(self.rng.random_range(20..most));
-        self.answers.push((comes, node, answer));
-        self.last_came = self.now;
-        self.judge(node)
+        let is_queued = self.rng.random_range(0..QUEUED_ONE_IN) == 0;
+        let max_delay = if is_queued { QUEUED_MAX_MS } else { ANSWER_MAX_MS };
+        let arrives_at = self.now + Millis(self.rng.random_range(20..max_delay));
+        self.answers_in_flight.push((arrives_at, node, answer));
+        self.last_arrival_at = self.now;
+        self.check_request(node)
     }
 
-    fn draw_rest(&mut self) -> Millis {
+    fn draw_backoff(&mut self) -> Millis {
         Millis(self.rng.random_range(800..4_000))
     }
 
-    /// Judges a request of a node that comes now.
-    fn judge(&mut self, node: usize) -> Option<Breach> {
+    /// Checks a request that a node sends now.
+    fn check_request(&mut self, node: usize) -> Option<Breach> {
         let now = self.now;
         let node = &mut self.nodes[node];
-        if node.told_leaving.is_some_and(|told| now.since(told) > DRAINS) {
+        if node.leaving_told_at.is_some_and(|told_at| now.since(told_at) > LEAVING_GRACE) {
             return Some(Breach::SentToLeaving);
         }
-        if let Some((said, until, came)) = &mut node.rest
-            && now.since(*said) > TOLD
+        if let Some((announced_at, until, sends)) = &mut node.backoff
+            && now.since(*announced_at) > ANNOUNCEMENT_GRACE
             && now < *until
         {
-            *came += 1;
-            if *came > IN_REST {
-                return Some(Breach::SentInRest);
+            *sends += 1;
+            if *sends > MAX_SENDS_IN_BACKOFF {
+                return Some(Breach::SentInBackoff);
             }
         }
         let (_, since) = self.limit?;
-        let is_told = node.told.is_some_and(|told| now.since(told) >= TOLD);
-        if !is_told || now < since + KNOWN {
+        let is_told =
+            node.limit_told_at.is_some_and(|told_at| now.since(told_at) >= ANNOUNCEMENT_GRACE);
+        if !is_told || now < since + LIMIT_SPREAD_TIME {
             return None;
         }
-        self.came.push(now);
-        let of_span = |at: &&Millis| now.since(**at) < SPAN;
-        let came = self.came.iter().filter(of_span).count() as f64;
-        let allowed = SPAN.as_secs_f64() * self.highest().as_per_s() * OVER + MORE;
-        (came > allowed).then_some(Breach::OverLimit)
+        self.arrivals.push(now);
+        let in_window = |at: &&Millis| now.since(**at) < RATE_WINDOW;
+        let arrivals = self.arrivals.iter().filter(in_window).count() as f64;
+        let allowed = RATE_WINDOW.as_secs_f64() * self.highest_limit().as_per_s() * RATE_TOLERANCE
+            + BURST_ALLOWANCE;
+        (arrivals > allowed).then_some(Breach::OverLimit)
     }
 
-    /// The highest limit in the span, and before it for as long as nodes have to hear of a change.
-    fn highest(&self) -> Rate {
-        let ends = |i: usize| self.limits.get(i + 1).map_or(self.now, |(next, _)| *next);
-        let named = self.limits.iter().enumerate();
-        let in_force = named.filter(|(i, _)| self.now.since(ends(*i)) < SPAN + KNOWN);
+    /// The highest limit that applied within `RATE_WINDOW`, or before it within the time in which
+    /// nodes may still learn of a change.
+    fn highest_limit(&self) -> Rate {
+        let ends = |i: usize| self.announced_limits.get(i + 1).map_or(self.now, |(next, _)| *next);
+        let announced = self.announced_limits.iter().enumerate();
+        let in_force =
+            announced.filter(|(i, _)| self.now.since(ends(*i)) < RATE_WINDOW + LIMIT_SPREAD_TIME);
         in_force.map(|(_, (_, rate))| *rate).max().unwrap_or(Rate(0))
     }
 
-    fn tell(&mut self, from: usize) {
-        for (life, word) in self.nodes[from].instance_limits.next_to_gossip(8) {
+    fn gossip(&mut self, from: usize) {
+        for (incarnation, report) in self.nodes[from].instance_limits.next_to_gossip(8) {
             for to in (0..NODES).filter(|to| *to != from) {
-                if !self.rng.random_bool(LOST_PART) {
-                    let comes = self.now + Millis(self.rng.random_range(0..NEWS_MOST));
-                    self.news.push((comes, to, life, word));
+                if !self.rng.random_bool(GOSSIP_LOSS) {
+                    let arrives_at = self.now + Millis(self.rng.random_range(0..GOSSIP_MAX_MS));
+                    self.gossip_in_flight.push((arrives_at, to, incarnation, report));
                 }
             }
         }
     }
 
-    fn hear(&mut self) {
+    fn receive(&mut self) {
         let now = self.now;
-        let (come, left): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.answers).into_iter().partition(|(at, ..)| *at <= now);
-        self.answers = left;
-        for (_, node, answer) in come {
-            if self.nodes[node].up_since.is_some_and(|since| since <= answer.asked) {
-                self.hear_answer(node, answer);
+        let (arrived, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.answers_in_flight)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
+        self.answers_in_flight = remaining;
+        for (_, node, answer) in arrived {
+            if self.nodes[node].up_since.is_some_and(|since| since <= answer.sent_at) {
+                self.on_answer(node, answer);
             }
         }
-        let (come, left): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.news).into_iter().partition(|(at, ..)| *at <= now);
-        self.news = left;
-        for (_, node, life, word) in come {
-            self.nodes[node].instance_limits.on_limit_report(&life, word);
+        let (arrived, remaining): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.gossip_in_flight).into_iter().partition(|(at, ..)| *at <= now);
+        self.gossip_in_flight = remaining;
+        for (_, node, incarnation, report) in arrived {
+            self.nodes[node].instance_limits.on_limit_report(&incarnation, report);
         }
     }
 
-    fn hear_answer(&mut self, node: usize, answer: Answer) {
-        let (now, key) = (self.now, self.key(answer.life));
-        let lifts_at_once = self.broken == Some(Broken::LaterWordsLift) && answer.limit.is_none();
-        let asked = if lifts_at_once { now + Millis(1_000) } else { answer.asked };
-        let is_current = answer.life == self.life;
-        let shortest = self.broken == Some(Broken::LongestRest);
+    fn on_answer(&mut self, node: usize, answer: Answer) {
+        let (now, key) = (self.now, self.key(answer.incarnation));
+        let lifts_always =
+            self.broken == Some(BrokenRule::LiftOnlyByLaterRequest) && answer.limit.is_none();
+        let sent_at = if lifts_always { now + Millis(1_000) } else { answer.sent_at };
+        let is_current = answer.incarnation == self.incarnation;
+        let takes_shortest = self.broken == Some(BrokenRule::LongestBackoff);
         let node = &mut self.nodes[node];
         node.instance_limits.on_limit_report(
             &key,
-            LimitReport { limit: answer.limit, request_sent_at: asked, answer_received_at: now },
+            LimitReport { limit: answer.limit, request_sent_at: sent_at, answer_received_at: now },
         );
-        if let Some(rest) = answer.rest {
+        if let Some(backoff) = answer.backoff {
             node.instance_limits.on_backoff(
                 &key,
-                if shortest { rest.min(Millis(900)) } else { rest },
+                if takes_shortest { backoff.min(Millis(900)) } else { backoff },
                 now,
             );
         }
-        if answer.leaves {
+        if answer.is_leaving {
             node.instance_limits.on_leaving(&key, now);
         }
         if !is_current {
             return;
         }
         if answer.limit.is_some() && self.limit.is_some() {
-            node.told.get_or_insert(now);
+            node.limit_told_at.get_or_insert(now);
         }
-        if answer.leaves {
-            node.told_leaving.get_or_insert(now);
+        if answer.is_leaving {
+            node.leaving_told_at.get_or_insert(now);
         }
-        if let Some(rest) = answer.rest {
-            let until = node.rest.map_or(now, |(_, until, _)| until).max(now + rest);
-            let (said, came) = match node.rest {
-                Some((said, until, came)) if until > now => (said, came),
+        if let Some(backoff) = answer.backoff {
+            let until = node.backoff.map_or(now, |(_, until, _)| until).max(now + backoff);
+            let (announced_at, sends) = match node.backoff {
+                Some((announced_at, until, sends)) if until > now => (announced_at, sends),
                 _ => (now, 0),
             };
-            node.rest = Some((said, until, came));
+            node.backoff = Some((announced_at, until, sends));
         }
     }
 
-    /// Whether nobody sends although the instance has taken anything for long.
-    fn kept_out(&self) -> Option<Breach> {
-        let is_free = self.leaves_since.is_none() && self.limit.is_none();
-        let since = self.free_since.max(self.last_came).max(self.rests_until + SPAN);
-        (is_free && self.now.since(since) > KEPT_OUT).then_some(Breach::KeptOut)
+    /// Whether no node has sent a request for long although the instance has no limits.
+    fn check_starvation(&self) -> Option<Breach> {
+        let is_unlimited = self.leaving_since.is_none() && self.limit.is_none();
+        let since =
+            self.unlimited_since.max(self.last_arrival_at).max(self.backoff_until + RATE_WINDOW);
+        (is_unlimited && self.now.since(since) > STARVED_AFTER).then_some(Breach::Starved)
     }
 }
