--- a/crates/workshold-model/src/bundles.rs
+++ b/crates/workshold-model/src/bundles.rs
@@ -1,4 +1,5 @@
-//! The world of bundles: two operators, two nodes, the log, and what cuts them off.
+//! World for configuration bundles: two operators who sign off bundles, two nodes and the log, with
+//! crashes, outages of the log and network partitions.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -33,46 +34,48 @@
 use crate::mutation::Mutation;
 
 const NODES: usize = 2;
-/// Ticks until a node that is cut off steps out.
+/// Ticks without contact after which a node regards itself as isolated and stops serving.
 const ISOLATION_AFTER: u64 = 1;
-/// Ticks within which a bundle must be in force everywhere.
+/// Ticks within which a signed-off bundle must be in force at all serving nodes.
 const IN_FORCE_WITHIN: u64 = 2;
 
-/// A record of the log, as far as this world goes.
+/// A log record, reduced to what this world needs; bundles are given by number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Item {
+enum LogRecord {
     Publish(u8),
     SignOff {
         bundle: u8,
         parent: Option<u8>,
     },
-    /// A checkpoint of all before this offset.
+    /// A checkpoint of the state before this offset.
     Checkpoint(usize),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Node {
-    /// How far it has read; none before it could start.
+    /// Offset of the first record that it has not read; `None` until it could start.
     next: Option<usize>,
-    /// When it last heard the log, and its peer.
-    log_heard: u64,
-    peer_heard: u64,
-    is_cut: bool,
+    /// Tick of its last contact with the log.
+    last_log_contact: u64,
+    /// Tick of its last contact with its peer.
+    last_peer_contact: u64,
+    is_cut_off: bool,
+    /// Whether its state is recent enough to serve by.
     authority: Authority,
 }
 
-/// How much may go wrong.
+/// Limits on what may happen in one run; a move that uses one up counts it down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Bounds {
-    /// Time goes this far.
+    /// The tick at which time ends; not counted down.
     pub ticks: u64,
-    /// Times that a node dies and comes back.
+    /// Times that a node crashes.
     pub crashes: u8,
-    /// Times that the log goes away.
+    /// Times that the log becomes unavailable.
     pub outages: u8,
-    /// Times that a node is cut off from everybody.
+    /// Times that a node is cut off from the log and its peer.
     pub cuts: u8,
-    /// Checkpoints that are written.
+    /// Checkpoints that nodes write.
     pub checkpoints: u8,
 }
 
@@ -82,55 +85,58 @@
     }
 }
 
-/// Bundles, operators and nodes.
+/// A state of the log, the nodes and the sign-offs that are still to come.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct BundleWorld {
     mutation: Option<Mutation>,
-    left: Bounds,
+    remaining: Bounds,
     now: u64,
-    log: Vec<Item>,
-    /// Records before this one are gone.
-    first: usize,
+    log: Vec<LogRecord>,
+    /// Records before this offset have expired.
+    first_offset: usize,
     is_log_up: bool,
     nodes: Vec<Node>,
+    /// Bundles that an operator has yet to sign off.
     to_sign_off: Vec<u8>,
-    /// The highest generation that all nodes that run have had.
-    settled: u64,
-    /// Ticks in which the log could be read.
-    readable: u64,
-    /// How many of those there had been when each sign-off was accepted.
-    accepted: Vec<u64>,
+    /// The highest generation that all running nodes had reached at the same time. From then on, no
+    /// node may serve an older one.
+    settled_generation: u64,
+    /// Ticks in which at least one node could read the log.
+    readable_ticks: u64,
+    /// The value of `readable_ticks` when each generation was accepted; generation 1 comes first.
+    accepted_at: Vec<u64>,
 }
 
-/// A move of the bundles' world.
+/// A move of [`BundleWorld`].
 #[derive(Debug, Clone)]
 pub enum Move {
-    /// An operator signs a bundle off on top of the first one.
+    /// An operator signs off a bundle whose parent is the first one.
     SignOff(u8),
-    /// A node reads the log to its end.
+    /// A node reads the next record of the log.
     Read(usize),
-    /// A node reads what its peer has.
+    /// A node that can't reach the log reads up to its peer's position, from the peer.
     ReadPeer(usize),
-    /// A node starts.
+    /// A node starts and replays the log, or its peer's records if it can't reach the log.
     Start(usize),
-    /// A node dies.
+    /// A node crashes and loses its state.
     Crash(usize),
-    /// A node writes a checkpoint.
+    /// A node writes a checkpoint of the records that it has read.
     Checkpoint(usize),
-    /// The log drops what the last checkpoint covers.
+    /// The log drops the records that the last checkpoint covers.
     Expire,
-    /// The log goes away, or comes back.
+    /// The log becomes available (`true`) or unavailable.
     LogUp(bool),
-    /// A node is cut off from everybody, or no longer.
+    /// A node is cut off from the log and its peer (`true`), or reconnected.
     Cut(usize, bool),
-    /// Time passes; whoever can read has read by then.
+    /// Time advances by one tick; every node that can read has caught up before.
     Tick,
 }
 
-type FoldKey = (Option<Mutation>, Vec<Item>);
+/// The mutation changes what records contain, so it is part of the key.
+type CacheKey = (Option<Mutation>, Vec<LogRecord>);
 
 thread_local! {
-    static FOLDED: RefCell<HashMap<FoldKey, Rc<State>>> = RefCell::default();
+    static STATE_CACHE: RefCell<HashMap<CacheKey, Rc<State>>> = RefCell::default();
 }
 
 fn bundle(n: u8) -> Bundle {
@@ -148,7 +154,7 @@
 }
 
 fn signed(n: u8) -> Box<SignedBundle> {
-    // Seals are checked before the fold; here all are good.
+    // The daemon verifies signatures before it applies records, so an empty one does here.
     let signature = OperatorSignature { key: PublicKey(String::new()), signature: String::new() };
     Box::new(SignedBundle { bundle: bundle(n), signature })
 }
@@ -157,34 +163,35 @@
     /// The first bundle is in force at both nodes; two others are published.
     pub fn new(bounds: Bounds, mutation: Option<Mutation>) -> Self {
         let log = vec![
-            Item::Publish(0),
-            Item::SignOff { bundle: 0, parent: None },
-            Item::Publish(1),
-            Item::Publish(2),
+            LogRecord::Publish(0),
+            LogRecord::SignOff { bundle: 0, parent: None },
+            LogRecord::Publish(1),
+            LogRecord::Publish(2),
         ];
         let mut authority = Authority::default();
         authority.on_log_read();
         let next = Some(log.len());
-        let node = Node { next, log_heard: 0, peer_heard: 0, is_cut: false, authority };
+        let node =
+            Node { next, last_log_contact: 0, last_peer_contact: 0, is_cut_off: false, authority };
         Self {
             mutation,
-            left: bounds,
+            remaining: bounds,
             now: 0,
             log,
-            first: 0,
+            first_offset: 0,
             is_log_up: true,
             nodes: vec![node; NODES],
             to_sign_off: vec![1, 2],
-            settled: 1,
-            readable: 0,
-            accepted: vec![0],
+            settled_generation: 1,
+            readable_ticks: 0,
+            accepted_at: vec![0],
         }
     }
 
     fn envelope(&self, at: usize) -> Envelope {
         let fact = match self.log[at] {
-            Item::Publish(n) => Fact::BundlePublished(signed(n)),
-            Item::SignOff { bundle, parent } => {
+            LogRecord::Publish(n) => Fact::BundlePublished(signed(n)),
+            LogRecord::SignOff { bundle, parent } => {
                 let parent = match self.mutation {
                     Some(Mutation::AcceptAnyParent) => {
                         self.state(at).bundles.in_force().map(|in_force| in_force.hash)
@@ -193,24 +200,24 @@
                 };
                 Fact::BundleSignedOff(SignOff { bundle: hash(bundle), parent })
             }
-            Item::Checkpoint(next) => Fact::Checkpoint(self.state(next).to_checkpoint()),
+            LogRecord::Checkpoint(next) => Fact::Checkpoint(self.state(next).to_checkpoint()),
         };
         Envelope { id: RecordId([at as u8; 16]), at: Millis::ZERO, facts: vec![fact] }
     }
 
-    /// The fold of the first `next` records; the same ones are folded only once.
+    /// The state after the first `next` records, cached.
     fn state(&self, next: usize) -> Rc<State> {
         let key = (self.mutation, self.log[..next].to_vec());
-        if let Some(state) = FOLDED.with_borrow(|folded| folded.get(&key).cloned()) {
+        if let Some(state) = STATE_CACHE.with_borrow(|cache| cache.get(&key).cloned()) {
             return state;
         }
         let mut state = State::default();
         for at in 0..next {
-            // Offsets follow one another here.
+            // `apply` fails on gaps between offsets only, and these are consecutive.
             let _ = state.apply(Offset(at as u64), &self.envelope(at));
         }
         let state = Rc::new(state);
-        FOLDED.with_borrow_mut(|folded| folded.insert(key, Rc::clone(&state)));
+        STATE_CACHE.with_borrow_mut(|cache| cache.insert(key, Rc::clone(&state)));
         state
     }
 
@@ -218,27 +225,29 @@
         self.state(next).bundles.in_force().map_or(0, |in_force| in_force.generation)
     }
 
-    /// What a node that starts makes of the records from `first` to `end`.
-    fn started(&self, first: usize, end: usize) -> Option<usize> {
-        let envelopes: Vec<_> = (first..end).map(|at| self.envelope(at)).collect();
+    /// The position that a starting node reaches by replaying the records from `first_offset` to
+    /// `end`; `None` if the replay fails, so that it can't start.
+    fn replay_from(&self, first_offset: usize, end: usize) -> Option<usize> {
+        let envelopes: Vec<_> = (first_offset..end).map(|at| self.envelope(at)).collect();
         let checkpoints: Vec<Checkpoint> =
             envelopes.iter().flat_map(|envelope| checkpoints_of(envelope).cloned()).collect();
-        let ReplayStart::From(mut replay) = Replay::start(Offset(first as u64), &checkpoints)
+        let ReplayStart::From(mut replay) =
+            Replay::start(Offset(first_offset as u64), &checkpoints)
         else {
             return None;
         };
-        for (at, envelope) in (first..).zip(&envelopes) {
+        for (at, envelope) in (first_offset..).zip(&envelopes) {
             replay.take(Offset(at as u64), Some(envelope)).ok()?;
         }
         Some(replay.state().next().0 as usize)
     }
 
     fn can_reach_log(&self, i: usize) -> bool {
-        self.is_log_up && !self.nodes[i].is_cut
+        self.is_log_up && !self.nodes[i].is_cut_off
     }
 
     fn can_reach_peer(&self, i: usize) -> bool {
-        !self.nodes[0].is_cut && !self.nodes[1].is_cut && self.nodes[1 - i].next.is_some()
+        !self.nodes[0].is_cut_off && !self.nodes[1].is_cut_off && self.nodes[1 - i].next.is_some()
     }
 
     fn is_isolated(&self, i: usize) -> bool {
@@ -246,8 +255,8 @@
         if self.mutation == Some(Mutation::ServeWhileIsolated) {
             return false;
         }
-        let place = DataCentre::new("dc").expect("it is a name");
-        let name = |i: usize| NodeId::new(&format!("n{i}")).expect("it is a name");
+        let place = DataCentre::new("dc").expect("the name is valid");
+        let name = |i: usize| NodeId::new(&format!("n{i}")).expect("the name is valid");
         let mut membership = ClusterMembership::new(name(i), place.clone());
         membership.expect([name(1 - i)]);
         let status = NodeStatus {
@@ -262,18 +271,18 @@
             in_flight: 0,
             demand: Vec::new(),
         };
-        membership.on_answer(&name(1 - i), status, Millis(node.peer_heard + 1));
+        membership.on_answer(&name(1 - i), status, Millis(node.last_peer_contact + 1));
         let rules = MembershipRules {
             peer_ttl: Millis(1),
             probers: 1,
             remote_polls: 1,
             isolation_after: Millis(ISOLATION_AFTER),
         };
-        membership.is_isolated(Millis(node.log_heard + 1), Millis(self.now + 1), &rules)
+        membership.is_isolated(Millis(node.last_log_contact + 1), Millis(self.now + 1), &rules)
     }
 
-    /// The generation that a node serves by, if it serves.
-    fn serves(&self, i: usize) -> Option<u64> {
+    /// The bundle generation that node `i` serves; `None` if it doesn't serve.
+    fn served_generation(&self, i: usize) -> Option<u64> {
         let generation = self.generation(self.nodes[i].next?);
         let may_serve = generation > 0 && self.is_authoritative(i) && !self.is_isolated(i);
         may_serve.then_some(generation)
@@ -290,64 +299,68 @@
     fn read_to(&mut self, i: usize, end: usize) {
         let node = &mut self.nodes[i];
         node.next = Some(end.max(node.next.unwrap_or(0)));
-        self.settle();
+        self.update_settled_generation();
     }
 
-    fn settle(&mut self) {
+    fn update_settled_generation(&mut self) {
         let running = self.nodes.iter().filter_map(|node| node.next);
         if let Some(lowest) = running.min() {
-            self.settled = self.settled.max(self.generation(lowest));
+            self.settled_generation = self.settled_generation.max(self.generation(lowest));
         }
     }
 
     fn sign_off(&mut self, bundle: u8) {
         let before = self.generation(self.log.len());
         self.to_sign_off.retain(|other| *other != bundle);
-        self.log.push(Item::SignOff { bundle, parent: Some(0) });
+        self.log.push(LogRecord::SignOff { bundle, parent: Some(0) });
         if self.generation(self.log.len()) > before {
-            self.accepted.push(self.readable);
+            self.accepted_at.push(self.readable_ticks);
         }
     }
 
     fn start(&mut self, i: usize) {
         if self.can_reach_log(i) {
-            if let Some(next) = self.started(self.first, self.log.len()) {
-                self.nodes[i].log_heard = self.now;
+            if let Some(next) = self.replay_from(self.first_offset, self.log.len()) {
+                self.nodes[i].last_log_contact = self.now;
                 self.nodes[i].authority.on_log_read();
                 self.read_to(i, next);
             }
         } else if self.can_reach_peer(i) {
             let end = self.nodes[1 - i].next.unwrap_or(0);
-            if let Some(next) = self.started(self.first.min(end), end) {
-                self.nodes[i].peer_heard = self.now;
+            if let Some(next) = self.replay_from(self.first_offset.min(end), end) {
+                self.nodes[i].last_peer_contact = self.now;
                 self.read_to(i, next);
-                self.hear_peer(i);
+                self.update_from_peer(i);
             }
         } else if self.mutation == Some(Mutation::TakeSilenceForEmpty) {
             self.nodes[i].next = Some(0);
         }
     }
 
-    fn hear_peer(&mut self, i: usize) {
+    fn update_from_peer(&mut self, i: usize) {
         let peer = self.nodes[1 - i].clone();
         let (Some(own), Some(next)) = (self.nodes[i].next, peer.next) else { return };
-        let held = peer.authority.is_held() && !self.is_isolated(1 - i);
-        self.nodes[i].authority.on_peer(held, Offset(next as u64), Offset(own as u64));
+        let is_peer_authoritative = peer.authority.is_held() && !self.is_isolated(1 - i);
+        self.nodes[i].authority.on_peer(
+            is_peer_authoritative,
+            Offset(next as u64),
+            Offset(own as u64),
+        );
     }
 
     fn tick(&mut self) {
         self.now += 1;
         // While no node can read the log, none can know what was accepted there.
         let can_read = |i: usize| self.can_reach_log(i) && self.nodes[i].next.is_some();
-        self.readable += u64::from((0..NODES).any(can_read));
+        self.readable_ticks += u64::from((0..NODES).any(can_read));
         for i in 0..NODES {
             if self.nodes[i].next.is_some() && self.can_reach_log(i) {
-                self.nodes[i].log_heard = self.now;
+                self.nodes[i].last_log_contact = self.now;
                 self.nodes[i].authority.on_log_read();
             }
             if self.can_reach_peer(i) {
-                self.nodes[i].peer_heard = self.now;
-                self.hear_peer(i);
+                self.nodes[i].last_peer_contact = self.now;
+                self.update_from_peer(i);
             }
         }
         for i in 0..NODES {
@@ -357,8 +370,8 @@
         }
     }
 
-    /// Whoever can read has read: reading takes much less than a tick.
-    fn all_have_read(&self) -> bool {
+    /// Whether every node that can read has caught up; reading takes much less than a tick.
+    fn all_caught_up(&self) -> bool {
         (0..NODES).all(|i| {
             let Some(next) = self.nodes[i].next else { return true };
             if self.can_reach_log(i) {
@@ -381,27 +394,27 @@
             None => moves.push((Move::Start(i), self.with(|w| w.start(i)))),
             Some(next) => {
                 if self.can_reach_log(i) && next < self.log.len() {
-                    // One record at a time: what stands between is served, too.
+                    // One record at a time, because a node also serves the states in between.
                     moves.push((Move::Read(i), self.with(|w| w.read_to(i, next + 1))));
                 }
                 let peer = self.nodes[1 - i].next.unwrap_or(0);
                 if !self.can_reach_log(i) && self.can_reach_peer(i) && peer > next {
                     moves.push((Move::ReadPeer(i), self.with(|w| w.read_to(i, peer))));
                 }
-                if self.can_reach_log(i) && self.left.checkpoints > 0 {
+                if self.can_reach_log(i) && self.remaining.checkpoints > 0 {
                     moves.push((
                         Move::Checkpoint(i),
                         self.with(|w| {
-                            w.left.checkpoints -= 1;
-                            w.log.push(Item::Checkpoint(next));
+                            w.remaining.checkpoints -= 1;
+                            w.log.push(LogRecord::Checkpoint(next));
                         }),
                     ));
                 }
-                if self.left.crashes > 0 {
+                if self.remaining.crashes > 0 {
                     moves.push((
                         Move::Crash(i),
                         self.with(|w| {
-                            w.left.crashes -= 1;
+                            w.remaining.crashes -= 1;
                             w.nodes[i].next = None;
                             w.nodes[i].authority = Authority::default();
                         }),
@@ -409,14 +422,14 @@
                 }
             }
         }
-        if node.is_cut {
-            moves.push((Move::Cut(i, false), self.with(|w| w.nodes[i].is_cut = false)));
-        } else if self.left.cuts > 0 {
+        if node.is_cut_off {
+            moves.push((Move::Cut(i, false), self.with(|w| w.nodes[i].is_cut_off = false)));
+        } else if self.remaining.cuts > 0 {
             moves.push((
                 Move::Cut(i, true),
                 self.with(|w| {
-                    w.left.cuts -= 1;
-                    w.nodes[i].is_cut = true;
+                    w.remaining.cuts -= 1;
+                    w.nodes[i].is_cut_off = true;
                 }),
             ));
         }
@@ -435,26 +448,26 @@
             for bundle in self.to_sign_off.clone() {
                 moves.push((Move::SignOff(bundle), self.with(|w| w.sign_off(bundle))));
             }
-            if self.left.outages > 0 {
+            if self.remaining.outages > 0 {
                 moves.push((
                     Move::LogUp(false),
                     self.with(|w| {
-                        w.left.outages -= 1;
+                        w.remaining.outages -= 1;
                         w.is_log_up = false;
                     }),
                 ));
             }
-            let covered = self.log.iter().rev().find_map(|item| match item {
-                Item::Checkpoint(next) => Some(*next),
+            let checkpointed = self.log.iter().rev().find_map(|record| match record {
+                LogRecord::Checkpoint(next) => Some(*next),
                 _ => None,
             });
-            if let Some(next) = covered.filter(|next| *next > self.first) {
-                moves.push((Move::Expire, self.with(|w| w.first = next)));
+            if let Some(next) = checkpointed.filter(|next| *next > self.first_offset) {
+                moves.push((Move::Expire, self.with(|w| w.first_offset = next)));
             }
         } else {
             moves.push((Move::LogUp(true), self.with(|w| w.is_log_up = true)));
         }
-        if self.now < self.left.ticks && self.all_have_read() {
+        if self.now < self.remaining.ticks && self.all_caught_up() {
             moves.push((Move::Tick, self.with(Self::tick)));
         }
         moves.retain(|(_, next)| next != self);
@@ -462,19 +475,19 @@
     }
 
     fn breach(&self) -> Option<Promise> {
-        let broken = Some(Promise::BundlesOnlyForward);
+        let violated = Some(Promise::BundlesOnlyForward);
         // Of two sign-offs on top of one bundle, the first in log order wins.
-        if self.accepted.len() > 2 {
-            return broken;
+        if self.accepted_at.len() > 2 {
+            return violated;
         }
         for i in 0..NODES {
-            let Some(generation) = self.serves(i) else { continue };
-            if generation < self.settled {
-                return broken;
+            let Some(generation) = self.served_generation(i) else { continue };
+            if generation < self.settled_generation {
+                return violated;
             }
-            let missed = self.accepted.get(generation as usize);
-            if missed.is_some_and(|at| self.readable > at + IN_FORCE_WITHIN) {
-                return broken;
+            let superseded_at = self.accepted_at.get(generation as usize);
+            if superseded_at.is_some_and(|at| self.readable_ticks > at + IN_FORCE_WITHIN) {
+                return violated;
             }
         }
         None
--- a/crates/workshold-model/src/groups.rs
+++ b/crates/workshold-model/src/groups.rs
@@ -1,9 +1,10 @@
-//! The world of groups: one fabric domain, a steward, a node that lags, instances
-//! that die, pause and come back.
+//! World for replica groups: one fabric domain with a steward (the node that plans for the domain
+//! and sends orders to its instances), a node that may lag behind the log, and instances that die,
+//! pause and come back.
 
+mod initial_state;
 mod instance;
 mod node;
-mod start;
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -25,114 +26,121 @@
 
 use crate::checker::Promise;
 use crate::checker::World;
+pub use crate::groups::initial_state::Scenario;
 use crate::groups::instance::Instance;
 use crate::groups::node::Node;
-pub use crate::groups::start::Scenario;
 use crate::mutation::Mutation;
 
-/// Reports are believed for two ticks.
+/// Time, in ticks, for which a report counts.
 const REPORT_TTL: Millis = Millis(2);
-/// Longer than that, by the drift of clocks.
+/// Time, in ticks, until a released instance may join another group. Longer than [`REPORT_TTL`] by
+/// the drift of clocks, so that no node still counts the instance as a member.
 const RELEASE_WAIT: Millis = Millis(3);
 
-/// How much may happen.
+/// Limits on what may happen in one run; a move that uses one up counts it down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Bounds {
-    /// Ticks of time.
+    /// Number of ticks by which time advances.
     pub ticks: u64,
-    /// Times that an instance goes away.
+    /// Times that an instance is lost, or that the steward is cut off from it.
     pub losses: u8,
-    /// Answers to probes that are under way for some time.
-    pub holds: u8,
-    /// Appends whose reply is lost, and that are made again later.
+    /// Rounds of probes whose answers are delayed.
+    pub delayed_answers: u8,
+    /// Appends whose reply is lost, so that they are repeated later.
     pub lost_replies: u8,
-    /// Requests that are sent.
-    pub sends: u8,
-    /// How orders to join arrive.
-    pub orders: Arrival,
+    /// Requests that nodes send.
+    pub requests: u8,
+    /// When join orders arrive.
+    pub order_arrival: OrderArrival,
 }
 
-/// How orders to join arrive.
+/// When join orders arrive at instances. Orders of other kinds always arrive at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Arrival {
+pub enum OrderArrival {
     /// At once.
-    AtOnce,
-    /// At once, and a copy at any later time.
-    AtOnceAndLate,
+    Immediate,
+    /// At once, and a duplicate at any later time.
+    ImmediateAndLate,
     /// At any later time.
     Late,
 }
 
-/// What time it is for the fold, which has no time: how its entries are named.
+/// One log record: its facts, serialized so that they can be compared and hashed. Its timestamp
+/// and id are constant, because the log's state doesn't depend on them.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct LogEntry(Vec<u8>);
 
 impl LogEntry {
     fn of(facts: &[Fact]) -> Self {
-        Self(postcard::to_stdvec(facts).expect("facts have only sized parts"))
+        Self(postcard::to_stdvec(facts).expect("facts can be serialized"))
     }
 
     fn envelope(&self) -> Envelope {
-        let facts = postcard::from_bytes(&self.0).expect("it was written by `of`");
+        let facts = postcard::from_bytes(&self.0).expect("`of` serialized it");
         Envelope { id: RecordId([0; 16]), at: Millis::ZERO, facts }
     }
 }
 
-/// A domain and all who act on it.
+/// A state of the fabric domain, its log, nodes and instances.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GroupWorld {
     mutation: Option<Mutation>,
     scenario: Scenario,
-    left: Bounds,
+    remaining: Bounds,
     now: Millis,
     log: Vec<LogEntry>,
     nodes: Vec<Node>,
     instances: Vec<Instance>,
-    /// Orders that are under way.
-    orders: Vec<(usize, Order)>,
-    /// Requests between a node's check and the group's head.
-    under_way: Vec<Sent>,
-    /// The instance that leaves, and since when.
+    /// Orders that have not arrived yet, with the index of their instance.
+    orders_in_flight: Vec<(usize, Order)>,
+    /// Requests that a node has sent and the group's head has not received.
+    requests_in_flight: Vec<RequestInFlight>,
+    /// The instance that is leaving, and since when.
     leaving: Option<(usize, Millis)>,
-    was_cut: bool,
+    /// Whether a planned stop ended a group while one of its members ran a request.
+    request_cut_off: bool,
+    /// Whether a request went to a group with a member that had been leaving for longer than the
+    /// list lags.
     sent_to_leaving: bool,
 }
 
 /// A request on its way to a group.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Sent {
+struct RequestInFlight {
     group: GroupId,
     fence: u64,
     head: usize,
 }
 
-/// A move of the groups' world.
+/// A move of [`GroupWorld`].
 #[derive(Debug, Clone)]
 pub enum Move {
-    /// A node probes all instances, or asks for vouchers, and is answered at once.
+    /// A node probes all instances, or asks a node of their data centre for group observations, and
+    /// gets the answers at once.
     Probe(usize),
-    /// A node's probes are answered, and the answers are under way.
+    /// A node does the same, but the answers are delayed.
     Hold(usize),
-    /// Those answers come in.
+    /// The delayed answers arrive.
     Deliver(usize),
     /// A node reads the log to its end.
     Read(usize),
-    /// The steward reads, probes and plans; orders go out, facts are about to be
-    /// appended. It may be paused before and after, for as long as it likes.
+    /// The steward reads the log, probes, plans and sends orders. The facts of the plan are
+    /// appended by a move of its own, so the steward may be paused in between for any time.
     Plan(usize),
-    /// The steward's facts are appended; with `true` they are appended again later.
+    /// The steward's facts are appended. With `true` the reply is lost and the append is repeated
+    /// later.
     Append(usize, bool),
-    /// An order under way arrives.
+    /// An order in flight arrives.
     Order(usize),
     /// An instance dies or freezes.
     Lose(usize),
-    /// The steward is cut off from an instance that others reach.
+    /// The steward loses its connection to an instance that other nodes still reach.
     Hide(usize),
-    /// An instance comes back as if nothing had happened.
+    /// An instance that was frozen goes on with the same incarnation.
     Return(usize),
-    /// An instance comes back as another life that believes what the former one did.
+    /// An instance restarts with a new incarnation that still reports its former membership.
     Reborn(usize),
-    /// A node that believes a group serves sends it a request.
+    /// A node sends a request to a group that it regards as serving.
     Send(usize),
     /// A request arrives.
     Arrive(usize),
@@ -140,7 +148,7 @@
     Finish(usize),
     /// The platform lists an instance as leaving.
     Leave,
-    /// Time passes.
+    /// Time advances by one tick.
     Tick,
 }
 
@@ -175,7 +183,8 @@
             Some((leaving, since)) => leaving == i && self.now > since,
             None => false,
         };
-        let rows = (0..self.instances.len()).map(|i| start::listed(i, is_leaving(i)));
+        let rows =
+            (0..self.instances.len()).map(|i| initial_state::listed_instance(i, is_leaving(i)));
         InstanceList::new(rows.collect())
     }
 
@@ -184,14 +193,14 @@
             return BTreeSet::new();
         }
         let list = self.list();
-        let leaving = list.iter().filter(|listed| listed.leaving);
-        leaving.map(|listed| listed.instance.clone()).collect()
+        let leaving = list.iter().filter(|listed_instance| listed_instance.leaving);
+        leaving.map(|listed_instance| listed_instance.instance.clone()).collect()
     }
 
     fn state_at(&self, from: &Arc<State>, next: usize) -> Arc<State> {
         let mut state = State::clone(from);
         for at in from.next().0 as usize..next {
-            // Offsets follow one another here.
+            // `apply` fails on gaps between offsets only, and these are consecutive.
             let _ = state.apply(Offset(at as u64), &self.log[at].envelope());
         }
         Arc::new(state)
@@ -199,7 +208,7 @@
 
     fn read(&mut self, n: usize) {
         let state = self.state_at(self.nodes[n].state.get(), self.log.len());
-        self.nodes[n].next = self.log.len();
+        self.nodes[n].next_offset = self.log.len();
         self.nodes[n].state.set(state);
     }
 
@@ -210,46 +219,47 @@
             plan.facts = plan.facts.into_iter().map(without_drain).collect();
         }
         for (instance, order) in plan.orders {
-            let i = start::index(&instance);
+            let i = initial_state::index(&instance);
             if self.mutation == Some(Mutation::TrustReplies) {
-                self.nodes[n].trust(i, &self.instances[i], &order, self.now);
+                self.nodes[n].trust_reply(i, &self.instances[i], &order, self.now);
             }
             self.dispatch(i, order);
         }
-        self.orders.sort_by_key(|(i, order)| (*i, order.fence));
+        self.orders_in_flight.sort_by_key(|(i, order)| (*i, order.fence));
         self.nodes[n].pending = (!plan.facts.is_empty()).then(|| LogEntry::of(&plan.facts));
     }
 
-    /// An order arrives at once; in another branch of the search, later.
+    /// Sends an order. Depending on the bounds it arrives at once, later by a move of its own, or
+    /// both.
     fn dispatch(&mut self, i: usize, order: Order) {
         let is_join = matches!(order.action, OrderAction::Join(_));
-        let arrival = if is_join { self.left.orders } else { Arrival::AtOnce };
-        let is_late = arrival != Arrival::AtOnce;
-        if is_late && !self.orders.iter().any(|(j, late)| (*j, late) == (i, &order)) {
-            self.orders.push((i, order.clone()));
+        let arrival = if is_join { self.remaining.order_arrival } else { OrderArrival::Immediate };
+        let is_late = arrival != OrderArrival::Immediate;
+        if is_late && !self.orders_in_flight.iter().any(|(j, late)| (*j, late) == (i, &order)) {
+            self.orders_in_flight.push((i, order.clone()));
         }
-        if arrival != Arrival::Late && !self.instances[i].is_hidden {
+        if arrival != OrderArrival::Late && !self.instances[i].is_hidden {
             self.obey(i, &order);
         }
     }
 
-    fn append(&mut self, n: usize, again: bool) {
+    fn append(&mut self, n: usize, retries_later: bool) {
         let Some(entry) = self.nodes[n].pending.clone() else { return };
         self.log.push(entry);
-        if again {
-            self.left.lost_replies -= 1;
+        if retries_later {
+            self.remaining.lost_replies -= 1;
         } else {
             self.nodes[n].pending = None;
         }
     }
 
     fn obey(&mut self, i: usize, order: &Order) {
-        let ignores = self.mutation == Some(Mutation::IgnoreFencing);
-        let cut = self.instances[i].obey(order, ignores, self.now);
-        self.was_cut |= cut && self.scenario == Scenario::Stop;
+        let ignores_fencing = self.mutation == Some(Mutation::IgnoreFencing);
+        let cut_off = self.instances[i].obey(order, ignores_fencing, self.now);
+        self.request_cut_off |= cut_off && self.scenario == Scenario::Stop;
     }
 
-    /// The groups that a node would send work to.
+    /// The groups that node `n` would send requests to: id, fencing token and members.
     fn serving(&self, n: usize) -> Vec<(GroupId, u64, Vec<InstanceId>)> {
         let leaving = self.leaving_set();
         self.nodes[n].serving(&leaving, self.now, self.group_readiness(), self.mutation)
@@ -258,22 +268,22 @@
     fn send(&mut self, n: usize) {
         let serving = self.serving(n);
         let Some((group, fence, members)) = serving.into_iter().next() else { return };
-        self.left.sends -= 1;
-        let head = start::index(&members[0]);
-        self.under_way.push(Sent { group, fence, head });
+        self.remaining.requests -= 1;
+        let head = initial_state::index(&members[0]);
+        self.requests_in_flight.push(RequestInFlight { group, fence, head });
         self.sent_to_leaving |= self.is_long_leaving(&members);
     }
 
-    /// Whether a member has been leaving for longer than the list lags.
+    /// Whether a member has been leaving for longer than the instance list lags (one tick).
     fn is_long_leaving(&self, members: &[InstanceId]) -> bool {
         self.leaving.is_some_and(|(i, since)| {
-            self.now > since + Millis(1) && members.contains(&start::instance_id(i))
+            self.now > since + Millis(1) && members.contains(&initial_state::instance_id(i))
         })
     }
 
     fn arrive(&mut self, k: usize) {
-        let sent = self.under_way.remove(k);
-        self.instances[sent.head].take(&sent.group, sent.fence);
+        let request = self.requests_in_flight.remove(k);
+        self.instances[request.head].accept_request(&request.group, request.fence);
     }
 
     fn with(&self, change: impl FnOnce(&mut Self)) -> Self {
@@ -288,7 +298,7 @@
         } else {
             self.reader_moves(n, moves);
         }
-        if self.left.sends > 0 && !self.serving(n).is_empty() {
+        if self.remaining.requests > 0 && !self.serving(n).is_empty() {
             moves.push((Move::Send(n), self.with(|w| w.send(n))));
         }
     }
@@ -306,22 +316,22 @@
             return;
         }
         moves.push((Move::Append(n, false), self.with(|w| w.append(n, false))));
-        if self.left.lost_replies > 0 {
+        if self.remaining.lost_replies > 0 {
             moves.push((Move::Append(n, true), self.with(|w| w.append(n, true))));
         }
     }
 
     fn reader_moves(&self, n: usize, moves: &mut Vec<(Move, Self)>) {
         let node = &self.nodes[n];
-        moves.push((Move::Probe(n), self.with(|w| w.hear(n))));
-        if self.left.holds > 0 && node.held.is_none() {
-            let hold = |w: &mut Self| {
-                w.left.holds -= 1;
-                w.hold(n);
+        moves.push((Move::Probe(n), self.with(|w| w.observe(n))));
+        if self.remaining.delayed_answers > 0 && node.delayed.is_none() {
+            let delay_answers = |w: &mut Self| {
+                w.remaining.delayed_answers -= 1;
+                w.delay_answers(n);
             };
-            moves.push((Move::Hold(n), self.with(hold)));
+            moves.push((Move::Hold(n), self.with(delay_answers)));
         }
-        if node.held.is_some() {
+        if node.delayed.is_some() {
             moves.push((
                 Move::Deliver(n),
                 self.with(|w| {
@@ -329,29 +339,29 @@
                 }),
             ));
         }
-        if node.next < self.log.len() {
+        if node.next_offset < self.log.len() {
             moves.push((Move::Read(n), self.with(|w| w.read(n))));
         }
     }
 
-    /// A node probes, or, if it is far, asks the steward's which groups serve; the
-    /// answers are under way.
-    fn hold(&mut self, n: usize) {
-        if self.nodes[n].is_far {
+    /// Node `n` probes all instances, or, if it is in another data centre, asks the steward's node
+    /// for its group observations. The answers are delayed.
+    fn delay_answers(&mut self, n: usize) {
+        if self.nodes[n].is_remote {
             let group_observations =
                 self.nodes[0].group_observations(self.now, self.group_readiness());
-            self.nodes[n].hold_vouchers(group_observations, self.now);
+            self.nodes[n].delay_group_observations(group_observations, self.now);
         } else {
-            self.nodes[n].hold(&self.instances, self.now);
+            self.nodes[n].delay_reports(&self.instances, self.now);
         }
     }
 
-    /// The same, answered at once.
-    fn hear(&mut self, n: usize) {
-        if self.nodes[n].is_far {
+    /// Like `delay_answers`, but the answers arrive at once.
+    fn observe(&mut self, n: usize) {
+        if self.nodes[n].is_remote {
             let group_observations =
                 self.nodes[0].group_observations(self.now, self.group_readiness());
-            self.nodes[n].take_vouchers(group_observations);
+            self.nodes[n].record_group_observations(group_observations);
         } else {
             self.nodes[n].probe(&self.instances, self.now, self.mutation);
         }
@@ -359,21 +369,21 @@
 
     fn instance_moves(&self, i: usize, moves: &mut Vec<(Move, Self)>) {
         let instance = &self.instances[i];
-        let may_be_lost = matches!(self.scenario, Scenario::Loss | Scenario::Elsewhere) && i == 0;
-        if instance.is_up && !instance.is_hidden && self.left.losses > 0 && may_be_lost {
+        let may_be_lost = matches!(self.scenario, Scenario::Loss | Scenario::RemoteNode) && i == 0;
+        if instance.is_up && !instance.is_hidden && self.remaining.losses > 0 && may_be_lost {
             moves.push((
                 Move::Lose(i),
                 self.with(|w| {
-                    w.left.losses -= 1;
+                    w.remaining.losses -= 1;
                     w.instances[i].lose(w.now);
                 }),
             ));
         }
-        if instance.is_up && !instance.is_hidden && self.left.losses > 0 && may_be_lost {
+        if instance.is_up && !instance.is_hidden && self.remaining.losses > 0 && may_be_lost {
             moves.push((
                 Move::Hide(i),
                 self.with(|w| {
-                    w.left.losses -= 1;
+                    w.remaining.losses -= 1;
                     w.instances[i].is_hidden = true;
                 }),
             ));
@@ -402,28 +412,28 @@
         let mut moves = Vec::new();
         (0..self.nodes.len()).for_each(|n| self.node_moves(n, &mut moves));
         (0..self.instances.len()).for_each(|i| self.instance_moves(i, &mut moves));
-        for (k, (i, order)) in self.orders.iter().enumerate() {
+        for (k, (i, order)) in self.orders_in_flight.iter().enumerate() {
             moves.push((
                 Move::Order(k),
                 self.with(|w| {
-                    w.orders.remove(k);
+                    w.orders_in_flight.remove(k);
                     w.obey(*i, order);
                 }),
             ));
         }
-        for k in 0..self.under_way.len() {
+        for k in 0..self.requests_in_flight.len() {
             moves.push((Move::Arrive(k), self.with(|w| w.arrive(k))));
         }
         if self.scenario == Scenario::Leave && self.leaving.is_none() {
             moves.push((Move::Leave, self.with(|w| w.leaving = Some((0, w.now)))));
         }
-        if self.left.ticks > 0 {
+        if self.remaining.ticks > 0 {
             moves.push((
                 Move::Tick,
                 self.with(|w| {
-                    w.left.ticks -= 1;
+                    w.remaining.ticks -= 1;
                     w.now = w.now + Millis(1);
-                    w.forget_stale();
+                    w.remove_stale_reports();
                 }),
             ));
         }
@@ -437,27 +447,28 @@
         for (group, fence, members) in &all {
             let is_whole = members
                 .iter()
-                .all(|m| self.instances[start::index(m)].was_in(group, *fence, self.now));
+                .all(|m| self.instances[initial_state::index(m)].was_in(group, *fence, self.now));
             if !is_whole {
                 return Some(Promise::WholeGroups);
             }
-            let clash = all.iter().any(|(other, _, others)| {
+            let shares_member = all.iter().any(|(other, _, others)| {
                 other != group && others.iter().any(|m| members.contains(m))
             });
-            if clash {
+            if shares_member {
                 return Some(Promise::OneGroupEach);
             }
         }
         if self.sent_to_leaving {
             return Some(Promise::LeavingGetsNothing);
         }
-        self.was_cut.then_some(Promise::StopCutsNothing)
+        self.request_cut_off.then_some(Promise::StopCutsNothing)
     }
 }
 
 impl GroupWorld {
-    /// Drops what no rule looks at any more, so that equal states are equal.
-    fn forget_stale(&mut self) {
+    /// Removes reports that are too old to count for any rule. States that differ in such reports
+    /// only become equal, which keeps the search small.
+    fn remove_stale_reports(&mut self) {
         if self.mutation == Some(Mutation::BelieveOldReports) {
             return;
         }
@@ -466,8 +477,8 @@
     }
 }
 
-/// The group that an order names.
-pub fn names(action: &OrderAction) -> Option<&GroupId> {
+/// The group that an order concerns; `None` for an order that only loads weights.
+pub fn group_of(action: &OrderAction) -> Option<&GroupId> {
     match action {
         OrderAction::Join(join) => Some(&join.group),
         OrderAction::Drain { group } | OrderAction::Leave { group } => Some(group),
--- a/crates/workshold-model/src/groups/start.rs
+++ b/crates/workshold-model/src/groups/initial_state.rs
@@ -1,4 +1,4 @@
-//! How the groups' world begins.
+//! Initial state of the group world: one serving group and a spare instance.
 
 use std::collections::BTreeMap;
 
@@ -34,72 +34,72 @@
 use workshold_protocol::signing::OperatorSignature;
 use workshold_protocol::signing::PublicKey;
 
-use crate::groups::Arrival;
 use crate::groups::Bounds;
 use crate::groups::GroupWorld;
 use crate::groups::LogEntry;
+use crate::groups::OrderArrival;
 use crate::groups::instance::Instance;
 use crate::groups::node::Node;
 use crate::mutation::Mutation;
 
-/// What happens to the group.
+/// The situation that a search of [`GroupWorld`] explores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Scenario {
-    /// A member goes missing, and a spare is there.
+    /// A member may be lost or cut off from the steward; a spare instance exists.
     Loss,
-    /// An operator wants a member out of service.
+    /// An operator has asked for a planned stop of a member.
     Stop,
-    /// A member goes missing; the other node is of another data centre.
-    Elsewhere,
-    /// The platform is about to take a member away.
+    /// Like `Loss`, but the node that is not the steward is in another data centre.
+    RemoteNode,
+    /// The platform may list a member as leaving.
     Leave,
 }
 
 const INSTANCES: usize = 3;
-const SIZE: u16 = 2;
+const GROUP_SIZE: u16 = 2;
 const GROUP: &str = "first";
-/// Records before the scenario begins.
-const FORMED_AT: u64 = 2;
-/// Time does not begin at zero, where nothing can be old.
-const START: Millis = Millis(10);
+/// Offset of the record that forms the group; also the group's fencing token.
+const FORMATION_OFFSET: u64 = 2;
+/// Start of the clock. At zero no report could be older than a timeout.
+const START_TIME: Millis = Millis(10);
 
 pub(super) fn instance_id(i: usize) -> InstanceId {
-    InstanceId::new(&format!("i{i}")).expect("a letter and digits make a name")
+    InstanceId::new(&format!("i{i}")).expect("the name is valid")
 }
 
 pub(super) fn index(instance: &InstanceId) -> usize {
-    instance.as_str()[1..].parse().expect("names are made by `instance_id`")
+    instance.as_str()[1..].parse().expect("`instance_id` made the name")
 }
 
 pub(super) fn domain() -> FabricDomain {
-    FabricDomain::new("fabric").expect("it is a name")
+    FabricDomain::new("fabric").expect("the name is valid")
 }
 
-pub(super) fn listed(i: usize, leaving: bool) -> ListedInstance {
+pub(super) fn listed_instance(i: usize, leaving: bool) -> ListedInstance {
     ListedInstance {
         instance: instance_id(i),
         address: String::new(),
-        data_centre: DataCentre::new("dc").expect("it is a name"),
+        data_centre: DataCentre::new("dc").expect("the name is valid"),
         kind: InstanceKind::Engine { domain: domain(), accelerators: 8, fenced: true },
         leaving,
     }
 }
 
 fn model() -> ModelName {
-    ModelName::new("model").expect("it is a name")
+    ModelName::new("model").expect("the name is valid")
 }
 
 fn version() -> Version {
-    Version::new("v1").expect("it is a name")
+    Version::new("v1").expect("the name is valid")
 }
 
 fn role() -> RoleName {
-    RoleName::new("full").expect("it is a name")
+    RoleName::new("full").expect("the name is valid")
 }
 
 fn bundle() -> Bundle {
-    let role = Role { name: role(), instances: SIZE, worth: 1.0 };
-    let wanted = Model {
+    let role = Role { name: role(), instances: GROUP_SIZE, worth: 1.0 };
+    let spec = Model {
         version: version(),
         replicas: 1,
         roles: vec![role],
@@ -109,7 +109,7 @@
     Bundle {
         name: "bundle".to_owned(),
         weights: CostWeights::default(),
-        models: BTreeMap::from([(model(), wanted)]),
+        models: BTreeMap::from([(model(), spec)]),
         services: BTreeMap::new(),
         teams: BTreeMap::new(),
     }
@@ -118,19 +118,19 @@
 fn formation() -> GroupFormation {
     let member = |i| Member { instance: instance_id(i), incarnation: Incarnation(1) };
     GroupFormation {
-        group: GroupId::new(GROUP).expect("it is a name"),
+        group: GroupId::new(GROUP).expect("the name is valid"),
         bundle: bundle().hash(),
         model: model(),
         version: version(),
         role: role(),
         domain: domain(),
-        members: (0..usize::from(SIZE)).map(member).collect(),
-        relied_on: Offset(FORMED_AT),
+        members: (0..usize::from(GROUP_SIZE)).map(member).collect(),
+        relied_on: Offset(FORMATION_OFFSET),
         replaces: None,
     }
 }
 
-fn first_records(scenario: Scenario) -> Vec<LogEntry> {
+fn initial_records(scenario: Scenario) -> Vec<LogEntry> {
     let signature = OperatorSignature { key: PublicKey(String::new()), signature: String::new() };
     let signed = SignedBundle { bundle: bundle(), signature };
     let sign_off = SignOff { bundle: bundle().hash(), parent: None };
@@ -146,56 +146,57 @@
     facts.iter().map(|fact| LogEntry::of(std::slice::from_ref(fact))).collect()
 }
 
-/// A copy of the order that put the second member into the group, still under way.
-fn late_copies(bounds: &Bounds) -> Vec<(usize, Order)> {
-    if bounds.orders != Arrival::AtOnceAndLate {
+/// A duplicate of the order that put the second member into the group, still in flight.
+fn late_join_orders(bounds: &Bounds) -> Vec<(usize, Order)> {
+    if bounds.order_arrival != OrderArrival::ImmediateAndLate {
         return Vec::new();
     }
     let join = JoinOrder {
-        group: GroupId::new(GROUP).expect("it is a name"),
-        members: (0..usize::from(SIZE)).map(instance_id).collect(),
+        group: GroupId::new(GROUP).expect("the name is valid"),
+        members: (0..usize::from(GROUP_SIZE)).map(instance_id).collect(),
         model: model(),
         version: version(),
         adapters: std::collections::BTreeSet::new(),
         role: role(),
         weights_mib: 1,
     };
-    vec![(1, Order { fence: FencingToken(FORMED_AT), action: OrderAction::Join(join) })]
+    vec![(1, Order { fence: FencingToken(FORMATION_OFFSET), action: OrderAction::Join(join) })]
 }
 
 impl GroupWorld {
-    /// A group of two serves, a third instance is free; both nodes know it all.
+    /// A group of two instances serves and a third one is free; both nodes have read and probed
+    /// everything.
     pub fn new(scenario: Scenario, bounds: Bounds, mutation: Option<Mutation>) -> Self {
-        let log = first_records(scenario);
+        let log = initial_records(scenario);
         let mut state = State::default();
         for (at, entry) in log.iter().enumerate() {
-            state.apply(Offset(at as u64), &entry.envelope()).expect("offsets follow");
+            state.apply(Offset(at as u64), &entry.envelope()).expect("the offsets are consecutive");
         }
-        let seat = |i: usize| {
-            (i < usize::from(SIZE)).then(|| GroupMembership {
-                group: GroupId::new(GROUP).expect("it is a name"),
-                fence: FencingToken(FORMED_AT),
+        let membership = |i: usize| {
+            (i < usize::from(GROUP_SIZE)).then(|| GroupMembership {
+                group: GroupId::new(GROUP).expect("the name is valid"),
+                fence: FencingToken(FORMATION_OFFSET),
                 readiness: Readiness::Ready,
             })
         };
-        let instances: Vec<_> = (0..INSTANCES).map(|i| Instance::new(seat(i))).collect();
+        let instances: Vec<_> = (0..INSTANCES).map(|i| Instance::new(membership(i))).collect();
         let mut nodes = vec![
             Node::new(true, false, state.clone()),
-            Node::new(false, scenario == Scenario::Elsewhere, state),
+            Node::new(false, scenario == Scenario::RemoteNode, state),
         ];
-        nodes.iter_mut().for_each(|node| node.probe(&instances, START, None));
+        nodes.iter_mut().for_each(|node| node.probe(&instances, START_TIME, None));
         Self {
             mutation,
             scenario,
-            left: bounds,
-            now: START,
+            remaining: bounds,
+            now: START_TIME,
             log,
             nodes,
             instances,
-            orders: late_copies(&bounds),
-            under_way: Vec::new(),
+            orders_in_flight: late_join_orders(&bounds),
+            requests_in_flight: Vec::new(),
             leaving: None,
-            was_cut: false,
+            request_cut_off: false,
             sent_to_leaving: false,
         }
     }
--- a/crates/workshold-model/src/groups/node.rs
+++ b/crates/workshold-model/src/groups/node.rs
@@ -1,4 +1,4 @@
-//! A node of the groups' world: what it has read, heard and remembers.
+//! Entry node of the group world: its position in the log, its observations and its planner state.
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
@@ -27,11 +27,11 @@
 use workshold_protocol::report::Report;
 
 use crate::groups::LogEntry;
+use crate::groups::initial_state;
 use crate::groups::instance::Instance;
-use crate::groups::start;
 use crate::mutation::Mutation;
 
-/// A value that follows from others, and so makes no difference between states.
+/// A value that is derived from other fields, so equality and hash of states ignore it.
 #[derive(Debug, Clone)]
 pub(super) struct Derived<T>(Arc<T>);
 
@@ -57,10 +57,10 @@
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
 
-/// Answers to probes that are under way.
+/// Answers to probes, or to a query for group observations, that have not arrived yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct Held {
-    sent: Millis,
+pub(super) struct DelayedAnswers {
+    sent_at: Millis,
     reports: Vec<(usize, Report)>,
     group_observations: Vec<(GroupId, GroupObservation)>,
 }
@@ -69,14 +69,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Node {
     pub(super) is_steward: bool,
-    /// Whether it is of another data centre, and goes by vouchers.
-    pub(super) is_far: bool,
-    pub(super) next: usize,
+    /// Whether it is in another data centre. It then relies on group observations of the steward's
+    /// node and doesn't probe instances.
+    pub(super) is_remote: bool,
+    /// Offset of the first log record that it has not read.
+    pub(super) next_offset: usize,
     pub(super) state: Derived<State>,
     pub(super) observations: Observations,
     timers: StewardTimers,
+    /// Facts of the steward's last plan that are yet to be appended.
     pub(super) pending: Option<LogEntry>,
-    pub(super) held: Option<Held>,
+    pub(super) delayed: Option<DelayedAnswers>,
 }
 
 fn reports(instances: &[Instance]) -> Vec<(usize, Report)> {
@@ -85,22 +88,22 @@
 }
 
 impl Node {
-    pub(super) fn new(is_steward: bool, is_far: bool, state: State) -> Self {
+    pub(super) fn new(is_steward: bool, is_remote: bool, state: State) -> Self {
         Self {
             is_steward,
-            is_far,
-            next: state.next().0 as usize,
+            is_remote,
+            next_offset: state.next().0 as usize,
             state: Derived(Arc::new(state)),
             observations: Observations::default(),
             timers: StewardTimers::default(),
             pending: None,
-            held: None,
+            delayed: None,
         }
     }
 
-    fn take(&mut self, i: usize, sent: Millis, report: Report) {
-        // When it came in makes no difference to any rule.
-        self.observations.take(&start::instance_id(i), sent, sent, report);
+    fn record_report(&mut self, i: usize, sent_at: Millis, report: Report) {
+        // No rule depends on the arrival time, so the send time stands for it.
+        self.observations.take(&initial_state::instance_id(i), sent_at, sent_at, report);
     }
 
     pub(super) fn probe(
@@ -116,25 +119,27 @@
             if mutation == Some(Mutation::EndWhileBusy) {
                 report.running = 0;
             }
-            self.take(i, now, report);
+            self.record_report(i, now, report);
         }
     }
 
-    pub(super) fn hold(&mut self, instances: &[Instance], now: Millis) {
+    pub(super) fn delay_reports(&mut self, instances: &[Instance], now: Millis) {
         let reports = reports(instances);
-        self.held = Some(Held { sent: now, reports, group_observations: Vec::new() });
+        self.delayed =
+            Some(DelayedAnswers { sent_at: now, reports, group_observations: Vec::new() });
     }
 
-    /// Asks the other node which groups serve; the answer is under way.
-    pub(super) fn hold_vouchers(
+    /// Stores the other node's group observations as a delayed answer.
+    pub(super) fn delay_group_observations(
         &mut self,
         group_observations: Vec<(GroupId, GroupObservation)>,
         now: Millis,
     ) {
-        self.held = Some(Held { sent: now, reports: Vec::new(), group_observations });
+        self.delayed =
+            Some(DelayedAnswers { sent_at: now, reports: Vec::new(), group_observations });
     }
 
-    /// What it vouches for to a node of another data centre.
+    /// The groups that this node has observed to be serving, for a node in another data centre.
     pub(super) fn group_observations(
         &self,
         now: Millis,
@@ -158,31 +163,40 @@
     }
 
     pub(super) fn deliver(&mut self, now: Millis, mutation: Option<Mutation>) {
-        let Some(held) = self.held.take() else { return };
-        let sent = match mutation {
+        let Some(delayed) = self.delayed.take() else { return };
+        let sent_at = match mutation {
             Some(Mutation::CountFromArrival | Mutation::CountVouchersFromArrival) => now,
-            _ => held.sent,
+            _ => delayed.sent_at,
         };
-        for (i, report) in held.reports {
-            self.take(i, sent, report);
+        for (i, report) in delayed.reports {
+            self.record_report(i, sent_at, report);
         }
         let group_observations =
-            held.group_observations.into_iter().map(|(group, group_observation)| {
-                // What it says was so old when it was asked for.
-                let true_since = sent - held.sent.since(group_observation.true_since);
+            delayed.group_observations.into_iter().map(|(group, group_observation)| {
+                // Keeps the age that the observation had when it was asked for.
+                let true_since = sent_at - delayed.sent_at.since(group_observation.true_since);
                 (group, GroupObservation { true_since, ..group_observation })
             });
-        self.take_vouchers(group_observations.collect());
+        self.record_group_observations(group_observations.collect());
     }
 
-    pub(super) fn take_vouchers(&mut self, group_observations: Vec<(GroupId, GroupObservation)>) {
+    pub(super) fn record_group_observations(
+        &mut self,
+        group_observations: Vec<(GroupId, GroupObservation)>,
+    ) {
         for (group, group_observation) in group_observations {
             self.observations.record_group(&group, group_observation);
         }
     }
 
-    /// Takes an order's reply for the instance's own report.
-    pub(super) fn trust(&mut self, i: usize, instance: &Instance, order: &Order, now: Millis) {
+    /// Records an order's reply as if it were a report ([`Mutation::TrustReplies`]).
+    pub(super) fn trust_reply(
+        &mut self,
+        i: usize,
+        instance: &Instance,
+        order: &Order,
+        now: Millis,
+    ) {
         let OrderAction::Join(join) = &order.action else { return };
         let membership = GroupMembership {
             group: join.group.clone(),
@@ -190,18 +204,18 @@
             readiness: Readiness::Ready,
         };
         let report = Report { membership: Some(membership), ..instance.report() };
-        self.take(i, now, report);
+        self.record_report(i, now, report);
     }
 
     pub(super) fn plan(&mut self, rules: &StewardRules, list: &InstanceList, now: Millis) -> Plan {
-        let domain = start::domain();
+        let domain = initial_state::domain();
         let state = Arc::clone(self.state.get());
         let view =
             View { domain: &domain, state: &state, observations: &self.observations, list, now };
         steward::plan(&view, &mut self.timers, rules)
     }
 
-    /// The groups that it would send work to, each with its fence and members.
+    /// The groups that it would send requests to, each with its fencing token and members.
     pub(super) fn serving(
         &self,
         leaving: &BTreeSet<InstanceId>,
@@ -225,7 +239,7 @@
                 group_readiness::check_group(&group, &self.observations, leaving, now, rules)
                     .is_ok()
             }
-            _ if self.is_far => {
+            _ if self.is_remote => {
                 group_readiness::check_remote_group(group, &self.observations, leaving, now, rules)
                     .is_ok()
             }
--- a/crates/workshold-model/src/streams.rs
+++ b/crates/workshold-model/src/streams.rs
@@ -1,4 +1,5 @@
-//! The world of one streamed answer: attempts that break, overlap and speak late.
+//! World for one streamed answer: attempts that fail, overlap, or deliver events after they were
+//! superseded.
 
 use workshold_core::lifecycle::Event;
 use workshold_core::lifecycle::Next;
@@ -11,67 +12,70 @@
 use crate::checker::World;
 use crate::mutation::Mutation;
 
-/// Tokens of a whole answer.
-const TOKENS: u32 = 2;
+/// Tokens of a complete answer.
+const ANSWER_TOKENS: u32 = 2;
 const MAX_ATTEMPTS: u32 = 3;
 
-/// What an engine has said in one attempt, as far as it was heard.
+/// One attempt of the request and the events received from its engine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Attempt {
     number: u32,
-    /// The first token that it generates.
-    from: u32,
-    /// How many of its events were heard.
-    heard: u32,
-    /// Whether it was cut before its end; what was under way is still heard.
+    /// Index of the first token that it generates; later attempts continue the answer.
+    first_token: u32,
+    /// Number of its events that were received.
+    received: u32,
+    /// Whether its connection broke. Events that were in flight are still received.
     is_cut: bool,
     was_sent: bool,
 }
 
-/// One request, its attempts, and what its caller has.
+/// A state of one request, its attempts, and what its caller has received.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct StreamWorld {
     mutation: Option<Mutation>,
     repeatability: Repeatability,
     lifecycle: RequestLifecycle,
     attempts: Vec<Attempt>,
-    /// Tokens that the caller has, by the attempt and place that they came from.
-    caller: Vec<(u32, u32)>,
-    told: Option<RequestResult>,
+    /// Tokens delivered to the caller, each as its attempt's number and its index in the answer.
+    delivered: Vec<(u32, u32)>,
+    /// The result reported to the caller.
+    result: Option<RequestResult>,
+    /// Times that an engine ran the request.
     runs: u32,
 }
 
-/// A move of the stream's world.
+/// A move of [`StreamWorld`].
 #[derive(Debug, Clone)]
 pub enum Move {
-    /// No connection came about.
+    /// Connecting to an upstream fails.
     ConnectFails,
-    /// The request leaves, and is run.
+    /// The request is sent, and an engine runs it.
     Send,
-    /// The engine refuses before it starts.
+    /// The engine refuses the request before running it.
     Refuse,
-    /// The next event of this attempt is heard.
+    /// The next event of the attempt with this number is received.
     Hear(u32),
     /// The connection of the current attempt breaks.
     Break,
-    /// The engine ends the stream early, as if it were whole.
+    /// The engine ends the stream early, as if the answer were complete.
     EndEarly,
-    /// The deadline passes.
+    /// The request's deadline passes.
     Deadline,
 }
 
 impl StreamWorld {
-    /// A request before its first attempt.
+    /// The state before the first attempt is sent.
     pub fn new(repeatability: Repeatability, mutation: Option<Mutation>) -> Self {
         let lifecycle = RequestLifecycle::new(repeatability, Millis(10), MAX_ATTEMPTS);
-        let first = Attempt { number: 1, from: 0, heard: 0, is_cut: false, was_sent: false };
+        let first =
+            Attempt { number: 1, first_token: 0, received: 0, is_cut: false, was_sent: false };
         Self {
             mutation,
             repeatability,
             lifecycle,
             attempts: vec![first],
-            caller: Vec::new(),
-            told: None,
+            delivered: Vec::new(),
+            result: None,
             runs: 0,
         }
     }
@@ -80,24 +84,24 @@
         &self.attempts[self.attempts.len() - 1]
     }
 
-    fn on(&mut self, attempt: u32, event: Event) {
+    fn on_event(&mut self, attempt: u32, event: Event) {
         let event = match (self.mutation, event) {
             (Some(Mutation::CallBrokenNotRun), Event::Broken) => Event::RefusedBeforeStart,
             (_, event) => event,
         };
         let mut next = self.lifecycle.on(attempt, event, Millis(1), || true);
-        let is_over = matches!(next, Next::Finish(RequestResult::Unknown(_)));
-        if self.mutation == Some(Mutation::RetryBroken) && event == Event::Broken && is_over {
-            // The rule that is broken: it is sent again all the same.
+        let is_final = matches!(next, Next::Finish(RequestResult::Unknown(_)));
+        if self.mutation == Some(Mutation::RetryBroken) && event == Event::Broken && is_final {
+            // The mutation: a request that must not be repeated is retried.
             next = Next::TryAgain(attempt + 1);
             self.lifecycle = RequestLifecycle::new(self.repeatability, Millis(10), MAX_ATTEMPTS);
         }
         match next {
-            Next::Finish(end) => self.told = Some(end),
+            Next::Finish(request_result) => self.result = Some(request_result),
             Next::TryAgain(number) => self.attempts.push(Attempt {
                 number,
-                from: self.lifecycle.tokens(),
-                heard: 0,
+                first_token: self.lifecycle.tokens(),
+                received: 0,
                 is_cut: false,
                 was_sent: false,
             }),
@@ -107,8 +111,8 @@
 
     fn send(&mut self) {
         let number = self.current().number;
-        self.on(number, Event::Sending);
-        if self.told.is_none() {
+        self.on_event(number, Event::Sending);
+        if self.result.is_none() {
             self.runs += 1;
             if let Some(last) = self.attempts.last_mut() {
                 last.was_sent = true;
@@ -116,30 +120,30 @@
         }
     }
 
-    fn hear(&mut self, i: usize) {
+    fn receive(&mut self, i: usize) {
         let attempt = self.attempts[i].clone();
-        self.attempts[i].heard += 1;
-        let index = attempt.from + attempt.heard;
-        let as_number = match self.mutation {
+        self.attempts[i].received += 1;
+        let index = attempt.first_token + attempt.received;
+        let reported_as = match self.mutation {
             Some(Mutation::MergeAttempts) => self.current().number,
             _ => attempt.number,
         };
-        if index < TOKENS {
-            let merged = self.mutation == Some(Mutation::MergeAttempts) && self.told.is_none();
-            if self.lifecycle.accept_token(as_number, index) || merged {
-                self.caller.push((attempt.number, index));
+        if index < ANSWER_TOKENS {
+            let is_merged = self.mutation == Some(Mutation::MergeAttempts) && self.result.is_none();
+            if self.lifecycle.accept_token(reported_as, index) || is_merged {
+                self.delivered.push((attempt.number, index));
             }
         } else {
-            self.end_of(as_number, TOKENS);
+            self.on_end(reported_as, ANSWER_TOKENS);
         }
     }
 
-    /// The engine says that it is done, with so many tokens in all.
-    fn end_of(&mut self, number: u32, said: u32) {
-        let is_whole = said == self.lifecycle.tokens();
-        let takes_any = self.mutation == Some(Mutation::TakeAnyEndForWhole);
-        let event = if is_whole || takes_any { Event::Done } else { Event::Broken };
-        self.on(number, event);
+    /// Handles the end of a stream whose engine reports `total_tokens` for the whole answer.
+    fn on_end(&mut self, number: u32, total_tokens: u32) {
+        let is_whole = total_tokens == self.lifecycle.tokens();
+        let accepts_any_end = self.mutation == Some(Mutation::TakeAnyEndForWhole);
+        let event = if is_whole || accepts_any_end { Event::Done } else { Event::Broken };
+        self.on_event(number, event);
     }
 
     fn with(&self, change: impl FnOnce(&mut Self)) -> Self {
@@ -155,13 +159,13 @@
     fn moves(&self) -> Vec<(Move, Self)> {
         let mut moves = Vec::new();
         for (i, attempt) in self.attempts.iter().enumerate() {
-            // One event may be under way when a connection is cut.
-            let has_more = attempt.from + attempt.heard <= TOKENS;
+            // Events may be in flight when a connection breaks, so broken attempts count too.
+            let has_more = attempt.first_token + attempt.received <= ANSWER_TOKENS;
             if attempt.was_sent && has_more {
-                moves.push((Move::Hear(attempt.number), self.with(|w| w.hear(i))));
+                moves.push((Move::Hear(attempt.number), self.with(|w| w.receive(i))));
             }
         }
-        if self.told.is_some() {
+        if self.result.is_some() {
             return moves;
         }
         let number = self.current().number;
@@ -172,37 +176,41 @@
                     if let Some(last) = w.attempts.last_mut() {
                         last.is_cut = true;
                     }
-                    w.on(number, Event::Broken);
+                    w.on_event(number, Event::Broken);
                 }),
             ));
-            if self.lifecycle.tokens() < TOKENS {
-                moves.push((Move::EndEarly, self.with(|w| w.end_of(number, TOKENS))));
+            if self.lifecycle.tokens() < ANSWER_TOKENS {
+                moves.push((Move::EndEarly, self.with(|w| w.on_end(number, ANSWER_TOKENS))));
             }
         } else {
-            moves.push((Move::ConnectFails, self.with(|w| w.on(number, Event::ConnectFailed))));
+            moves.push((
+                Move::ConnectFails,
+                self.with(|w| w.on_event(number, Event::ConnectFailed)),
+            ));
             moves.push((Move::Send, self.with(Self::send)));
             moves.push((
                 Move::Refuse,
                 self.with(|w| {
-                    w.on(number, Event::Sending);
-                    w.on(number, Event::RefusedBeforeStart);
+                    w.on_event(number, Event::Sending);
+                    w.on_event(number, Event::RefusedBeforeStart);
                 }),
             ));
         }
-        moves.push((Move::Deadline, self.with(|w| w.on(number, Event::DeadlinePassed))));
+        moves.push((Move::Deadline, self.with(|w| w.on_event(number, Event::DeadlinePassed))));
         moves
     }
 
     fn breach(&self) -> Option<Promise> {
-        let in_order = self.caller.iter().map(|(_, index)| *index).eq(0..self.caller.len() as u32);
-        let is_whole = self.caller.len() as u32 == TOKENS;
-        if !in_order || (self.told == Some(RequestResult::Answered) && !is_whole) {
+        let in_order =
+            self.delivered.iter().map(|(_, index)| *index).eq(0..self.delivered.len() as u32);
+        let is_whole = self.delivered.len() as u32 == ANSWER_TOKENS;
+        if !in_order || (self.result == Some(RequestResult::Answered) && !is_whole) {
             return Some(Promise::OwnWholeAnswer);
         }
-        if matches!(self.told, Some(RequestResult::NotRun(_))) && self.runs > 0 {
+        if matches!(self.result, Some(RequestResult::NotRun(_))) && self.runs > 0 {
             return Some(Promise::NotRunMeansNotRun);
         }
-        let is_once = self.repeatability == Repeatability::AtMostOnce;
-        (is_once && self.runs > 1).then_some(Promise::AtMostOnce)
+        let must_not_repeat = self.repeatability == Repeatability::AtMostOnce;
+        (must_not_repeat && self.runs > 1).then_some(Promise::AtMostOnce)
     }
 }
--- a/crates/workshold-model/src/suite.rs
+++ b/crates/workshold-model/src/suite.rs
@@ -1,4 +1,4 @@
-//! The searches that the tests and `scripts/check-model` run.
+//! The searches that the tests and `scripts/check-model` run, with their bounds.
 
 use workshold_core::lifecycle::Repeatability;
 
@@ -7,82 +7,83 @@
 use crate::checker::Verdict;
 use crate::checker::check;
 use crate::groups;
-use crate::groups::Arrival;
 use crate::groups::GroupWorld;
+use crate::groups::OrderArrival;
 use crate::groups::Scenario;
+use crate::idempotency;
+use crate::idempotency::IdempotencyWorld;
 use crate::mutation::Mutation;
-use crate::once;
-use crate::once::OnceWorld;
 use crate::streams::StreamWorld;
 
 /// How far the searches go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Size {
-    /// Within two minutes on a small machine.
+    /// Bounds for the tests: all searches finish within two minutes on a small machine.
     Small,
-    /// For `scripts/check-model`.
+    /// Larger bounds, used by `scripts/check-model`.
     Large,
 }
 
-/// One search: a world with its bounds.
+/// One search: the world to explore and its bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Search {
-    /// A streamed answer.
+    /// One streamed answer ([`StreamWorld`]).
     Streams(Repeatability),
-    /// An idempotency key.
-    Once(once::Bounds),
-    /// Bundles.
+    /// One idempotency key ([`IdempotencyWorld`]).
+    Idempotency(idempotency::Bounds),
+    /// Publishing and signing off bundles ([`BundleWorld`]).
     Bundles(bundles::Bounds),
-    /// Groups.
+    /// Forming, serving and ending replica groups ([`GroupWorld`]).
     Groups(Scenario, groups::Bounds),
 }
 
-/// More states than any of the searches has.
+/// Limit on visited states; no search reaches it.
 const MAX_STATES: usize = 20_000_000;
 
 const fn group_bounds(ticks: u64) -> groups::Bounds {
     groups::Bounds {
         ticks,
         losses: 1,
-        holds: 0,
+        delayed_answers: 0,
         lost_replies: 0,
-        sends: 0,
-        orders: Arrival::AtOnce,
+        requests: 0,
+        order_arrival: OrderArrival::Immediate,
     }
 }
 
 impl Search {
-    /// All searches of a size, each with a name.
+    /// All searches of a size, each with the name that the program prints.
     pub fn all(size: Size) -> Vec<(&'static str, Self)> {
-        let more = u64::from(size == Size::Large);
-        let few = more as u8;
-        let once = once::Bounds { crashes: 1, lost_replies: 1, asks: 3 + few };
-        let bundles = bundles::Bounds { crashes: 1 + few, ..bundles::Bounds::default() };
+        let extra = u64::from(size == Size::Large);
+        let extra_u8 = extra as u8;
+        let idempotency =
+            idempotency::Bounds { crashes: 1, lost_replies: 1, requests: 3 + extra_u8 };
+        let bundles = bundles::Bounds { crashes: 1 + extra_u8, ..bundles::Bounds::default() };
         let checkpoints = bundles::Bounds { ticks: 1, checkpoints: 1, ..bundles };
-        let base = group_bounds(7 + 2 * more);
-        let held = groups::Bounds { ticks: 4 + 2 * more, holds: 1, ..base };
-        let copies = groups::Bounds { orders: Arrival::AtOnceAndLate, ..base };
-        let late = groups::Bounds { orders: Arrival::Late, ..base };
-        let lost = groups::Bounds { lost_replies: 1, ..base };
-        let sends = groups::Bounds { sends: 1 + few, ticks: 6 + more, ..base };
+        let base = group_bounds(7 + 2 * extra);
+        let delayed = groups::Bounds { ticks: 4 + 2 * extra, delayed_answers: 1, ..base };
+        let duplicated = groups::Bounds { order_arrival: OrderArrival::ImmediateAndLate, ..base };
+        let late_orders = groups::Bounds { order_arrival: OrderArrival::Late, ..base };
+        let retried = groups::Bounds { lost_replies: 1, ..base };
+        let requests = groups::Bounds { requests: 1 + extra_u8, ticks: 6 + extra, ..base };
         vec![
             ("streams, repeatable", Self::Streams(Repeatability::Repeatable)),
             ("streams, at most once", Self::Streams(Repeatability::AtMostOnce)),
-            ("one idempotency key", Self::Once(once)),
+            ("one idempotency key", Self::Idempotency(idempotency)),
             ("bundles", Self::Bundles(bundles)),
             ("bundles, with a checkpoint", Self::Bundles(checkpoints)),
             ("groups, a member lost or hidden", Self::Groups(Scenario::Loss, base)),
-            ("groups, answers under way", Self::Groups(Scenario::Loss, held)),
-            ("groups, seen from elsewhere", Self::Groups(Scenario::Elsewhere, held)),
-            ("groups, orders copied late", Self::Groups(Scenario::Loss, copies)),
-            ("groups, orders late", Self::Groups(Scenario::Loss, late)),
-            ("groups, appends made twice", Self::Groups(Scenario::Loss, lost)),
-            ("groups, a planned stop", Self::Groups(Scenario::Stop, sends)),
-            ("groups, an instance leaving", Self::Groups(Scenario::Leave, sends)),
+            ("groups, answers under way", Self::Groups(Scenario::Loss, delayed)),
+            ("groups, seen from elsewhere", Self::Groups(Scenario::RemoteNode, delayed)),
+            ("groups, orders copied late", Self::Groups(Scenario::Loss, duplicated)),
+            ("groups, orders late", Self::Groups(Scenario::Loss, late_orders)),
+            ("groups, appends made twice", Self::Groups(Scenario::Loss, retried)),
+            ("groups, a planned stop", Self::Groups(Scenario::Stop, requests)),
+            ("groups, an instance leaving", Self::Groups(Scenario::Leave, requests)),
         ]
     }
 
-    /// The small search that finds what a mutation breaks.
+    /// A small search that finds the promise broken by `mutation`.
     pub fn for_mutation(mutation: Mutation) -> Self {
         let base = group_bounds(5);
         let loss = |bounds| Self::Groups(Scenario::Loss, bounds);
@@ -91,16 +92,18 @@
             | Mutation::IgnoreIncarnation
             | Mutation::GoByTheLogAlone
             | Mutation::SkipReleaseWait => loss(base),
-            Mutation::CountFromArrival => loss(groups::Bounds { holds: 1, ..base }),
+            Mutation::CountFromArrival => loss(groups::Bounds { delayed_answers: 1, ..base }),
             Mutation::CountVouchersFromArrival => {
-                Self::Groups(Scenario::Elsewhere, groups::Bounds { holds: 1, ..base })
+                Self::Groups(Scenario::RemoteNode, groups::Bounds { delayed_answers: 1, ..base })
             }
             Mutation::TrustReplies => {
-                loss(groups::Bounds { ticks: 8, orders: Arrival::Late, ..base })
-            }
-            Mutation::IgnoreFencing => {
-                loss(groups::Bounds { ticks: 7, orders: Arrival::AtOnceAndLate, ..base })
+                loss(groups::Bounds { ticks: 8, order_arrival: OrderArrival::Late, ..base })
             }
+            Mutation::IgnoreFencing => loss(groups::Bounds {
+                ticks: 7,
+                order_arrival: OrderArrival::ImmediateAndLate,
+                ..base
+            }),
             Mutation::MergeAttempts | Mutation::TakeAnyEndForWhole | Mutation::CallBrokenNotRun => {
                 Self::Streams(Repeatability::Repeatable)
             }
@@ -108,12 +111,12 @@
             Mutation::RunAfterGivingUp
             | Mutation::RunBeforeRecord
             | Mutation::RunForFormerLife
-            | Mutation::ForgetWithoutFloor => Self::Once(once::Bounds::default()),
+            | Mutation::ForgetWithoutFloor => Self::Idempotency(idempotency::Bounds::default()),
             Mutation::IgnoreLeaving => {
-                Self::Groups(Scenario::Leave, groups::Bounds { sends: 1, ..base })
+                Self::Groups(Scenario::Leave, groups::Bounds { requests: 1, ..base })
             }
             Mutation::DissolveWithoutDrain | Mutation::EndWhileBusy => {
-                Self::Groups(Scenario::Stop, groups::Bounds { sends: 1, ..base })
+                Self::Groups(Scenario::Stop, groups::Bounds { requests: 1, ..base })
             }
             Mutation::AcceptAnyParent
             | Mutation::TakeSilenceForEmpty
@@ -121,13 +124,15 @@
         }
     }
 
-    /// Runs the search, with a rule broken if one is named.
+    /// Runs the search, with the rule of `mutation` broken if it is given.
     pub fn run(self, mutation: Option<Mutation>) -> Verdict {
         match self {
             Self::Streams(repeatability) => {
                 check(&StreamWorld::new(repeatability, mutation), MAX_STATES)
             }
-            Self::Once(bounds) => check(&OnceWorld::new(bounds, mutation), MAX_STATES),
+            Self::Idempotency(bounds) => {
+                check(&IdempotencyWorld::new(bounds, mutation), MAX_STATES)
+            }
             Self::Bundles(bounds) => check(&BundleWorld::new(bounds, mutation), MAX_STATES),
             Self::Groups(scenario, bounds) => {
                 check(&GroupWorld::new(scenario, bounds, mutation), MAX_STATES)
--- a/crates/workshold-model/tests/mutations.rs
+++ b/crates/workshold-model/tests/mutations.rs
@@ -1,4 +1,4 @@
-//! Each rule, broken on purpose, is missed: the checker finds the promise that breaks.
+//! The checker detects every mutation by the promise that it breaks.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use workshold_model::suite::Search;
 
 #[test]
-fn the_checker_catches_every_mutation_by_the_promise_it_breaks() {
+fn every_mutation_is_detected_by_the_promise_it_breaks() {
     for mutation in Mutation::ALL {
         let verdict = Search::for_mutation(*mutation).run(Some(*mutation));
         let found = verdict.breach.as_ref().map(|breach| breach.promise);
--- a/crates/workshold-model/tests/promises.rs
+++ b/crates/workshold-model/tests/promises.rs
@@ -1,4 +1,4 @@
-//! No reachable state of the small worlds breaks a promise.
+//! No reachable state of the worlds with small bounds breaks a promise.
 
 use workshold_model::suite::Search;
 use workshold_model::suite::Size;
