--- a/crates/workshold-soak/src/callers.rs
+++ b/crates/workshold-soak/src/callers.rs
@@ -18,7 +18,7 @@
 
 /// What a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum RequestKind {
     /// A stream.
     Chat,
     /// What may run once only.
@@ -27,7 +27,7 @@
     Plate,
 }
 
-impl Asked {
+impl RequestKind {
     /// The path of such a request.
     pub fn path(self, id: &str) -> String {
         match self {
@@ -40,7 +40,7 @@
 
 /// What a caller saw.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Seen {
+pub enum CallerResult {
     /// A whole answer.
     Answer {
         /// Its status.
@@ -64,7 +64,7 @@
     /// Its id.
     pub id: String,
     /// What it asked for.
-    pub asked: Asked,
+    pub kind: RequestKind,
     /// The key that it carried.
     pub key: String,
     /// The node that it went to, and which life of it.
@@ -74,70 +74,70 @@
     /// When it ended.
     pub ended: Instant,
     /// What was seen.
-    pub seen: Seen,
+    pub result: CallerResult,
 }
 
 /// Where callers find nodes.
 #[derive(Debug, Clone, Copy)]
-pub struct Door {
+pub struct NodeEndpoint {
     /// For requests.
     pub callers: SocketAddr,
     /// For the question which addresses to use.
     pub directory: SocketAddr,
     /// The node's life.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// All callers.
 pub struct Callers {
     fleet: Arc<Fleet>,
-    doors: Mutex<Vec<Door>>,
+    endpoints: Mutex<Vec<NodeEndpoint>>,
     outcomes: Mutex<Vec<Outcome>>,
-    is_over: Mutex<bool>,
+    is_stopped: Mutex<bool>,
 }
 
 /// Ids of requests that end whoever runs them begin with this.
-pub const ENDING_IDS: &str = "ends-";
-const ENDING_PATH: &str = "/chat/ending";
+pub const CRASH_ID_PREFIX: &str = "ends-";
+const CRASH_PATH: &str = "/chat/ending";
 /// How often such a request is asked, and the number that its caller draws by.
-const ENDING_EVERY: Duration = Duration::from_millis(300);
-const ENDING: u64 = 999;
+const CRASH_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
+const CRASH_CALLER_NUMBER: u64 = 999;
 /// Pause of a caller between two requests, in milliseconds.
 const PAUSE_MS: (u64, u64) = (20, 120);
 /// How long addresses are used before they are asked for again.
-const ADDRESSES_KEPT: Duration = Duration::from_millis(500);
+const ADDRESS_TTL: Duration = Duration::from_millis(500);
 /// One caller in so many leaves its stream early.
-const LEAVES: u32 = 12;
+const EARLY_DISCONNECT_ONE_IN: u32 = 12;
 /// One request in so many carries a key that was taken away.
-const OLD_KEY: u32 = 6;
+const REVOKED_KEY_ONE_IN: u32 = 6;
 
 /// Where all nodes and callers are.
 const DATA_CENTRE: &str = "a";
 
 impl Callers {
-    /// Callers of the nodes behind `doors`.
-    pub fn new(fleet: Arc<Fleet>, doors: Vec<Door>) -> Arc<Self> {
-        let (outcomes, is_over) = (Mutex::default(), Mutex::new(false));
-        Arc::new(Self { fleet, doors: Mutex::new(doors), outcomes, is_over })
+    /// Callers of the nodes behind `endpoints`.
+    pub fn new(fleet: Arc<Fleet>, endpoints: Vec<NodeEndpoint>) -> Arc<Self> {
+        let (outcomes, is_stopped) = (Mutex::default(), Mutex::new(false));
+        Arc::new(Self { fleet, endpoints: Mutex::new(endpoints), outcomes, is_stopped })
     }
 
     /// A node has begun another life.
-    pub fn set_life(&self, node: usize, life: u32) {
-        self.doors.lock()[node].life = life;
+    pub fn set_incarnation(&self, node: usize, incarnation: u32) {
+        self.endpoints.lock()[node].incarnation = incarnation;
     }
 
     /// No more requests are sent.
-    pub fn end(&self) {
-        *self.is_over.lock() = true;
+    pub fn stop(&self) {
+        *self.is_stopped.lock() = true;
     }
 
     /// A request of the soak's own, sent to see whether nodes serve; what it saw is
     /// judged where it was sent.
-    pub fn note_probe(&self, id: String, asked: Asked, key: &str, sent: Instant) {
-        let (node, seen) = ((usize::MAX, 0), Seen::Left);
+    pub fn note_probe(&self, id: String, kind: RequestKind, key: &str, sent: Instant) {
+        let (node, result) = ((usize::MAX, 0), CallerResult::Left);
         let key = key.to_owned();
         let ended = Instant::now();
-        self.outcomes.lock().push(Outcome { id, asked, key, node, sent, ended, seen });
+        self.outcomes.lock().push(Outcome { id, kind, key, node, sent, ended, result });
     }
 
     /// What became of all requests so far.
@@ -150,13 +150,13 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(number));
         let mut addresses: (Vec<SocketAddr>, Instant) = (Vec::new(), Instant::now());
         let mut count = 0;
-        while !*self.is_over.lock() {
+        while !*self.is_stopped.lock() {
             let pause = rng.random_range(PAUSE_MS.0..PAUSE_MS.1);
             tokio::time::sleep(Duration::from_millis(pause)).await;
-            if addresses.0.is_empty() || addresses.1.elapsed() > ADDRESSES_KEPT {
-                let asked = self.resolve(&mut rng).await;
-                if !asked.is_empty() {
-                    addresses = (asked, Instant::now());
+            if addresses.0.is_empty() || addresses.1.elapsed() > ADDRESS_TTL {
+                let resolved = self.resolve(&mut rng).await;
+                if !resolved.is_empty() {
+                    addresses = (resolved, Instant::now());
                 }
             }
             let Some(address) = addresses.0.choose(&mut rng).copied() else { continue };
@@ -170,59 +170,63 @@
     }
 
     /// Asks for what ends whoever runs it, at any node, until the end.
-    pub async fn ask_for_ends(self: Arc<Self>, seed: u64) {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(ENDING));
+    pub async fn send_crash_requests(self: Arc<Self>, seed: u64) {
+        let mut rng =
+            ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(CRASH_CALLER_NUMBER));
         for count in 0.. {
-            tokio::time::sleep(ENDING_EVERY).await;
-            if *self.is_over.lock() {
+            tokio::time::sleep(CRASH_REQUEST_INTERVAL).await;
+            if *self.is_stopped.lock() {
                 return;
             }
-            let door = { self.doors.lock().choose(&mut rng).copied() };
-            let (Some(door), Some(key)) = (door, self.fleet.keys().pop()) else { continue };
-            let id = format!("{ENDING_IDS}{seed}-{count}");
+            let endpoint = { self.endpoints.lock().choose(&mut rng).copied() };
+            let (Some(endpoint), Some(key)) = (endpoint, self.fleet.keys().pop()) else { continue };
+            let id = format!("{CRASH_ID_PREFIX}{seed}-{count}");
             let sent = Instant::now();
-            let req = caller::request_with(&id, ENDING_PATH, &key.text, CRASH_BODY);
+            let req = caller::request_with(&id, CRASH_PATH, &key.text, CRASH_BODY);
             // Whatever comes back: what counts is where it ran.
-            let _ = caller::send(door.callers, req).await;
-            self.note_probe(id, Asked::Chat, &key.text, sent);
+            let _ = caller::send(endpoint.callers, req).await;
+            self.note_probe(id, RequestKind::Chat, &key.text, sent);
         }
     }
 
     async fn resolve(&self, rng: &mut ChaCha8Rng) -> Vec<SocketAddr> {
-        let door = { self.doors.lock().choose(rng).copied() };
-        let Some(door) = door else { return Vec::new() };
-        caller::resolve(door.directory, DATA_CENTRE).await
+        let endpoint = { self.endpoints.lock().choose(rng).copied() };
+        let Some(endpoint) = endpoint else { return Vec::new() };
+        caller::resolve(endpoint.directory, DATA_CENTRE).await
     }
 
     /// Sends one request; whether a connection came up.
     async fn request(&self, rng: &mut ChaCha8Rng, id: String, address: SocketAddr) -> bool {
-        let asked = match rng.random_range(0..10) {
-            0..6 => Asked::Chat,
-            6..8 => Asked::Print,
-            _ => Asked::Plate,
+        let kind = match rng.random_range(0..10) {
+            0..6 => RequestKind::Chat,
+            6..8 => RequestKind::Print,
+            _ => RequestKind::Plate,
         };
         let key = self.key(rng);
-        let leaves = asked == Asked::Chat && rng.random_range(0..LEAVES) == 0;
+        let leaves = kind == RequestKind::Chat && rng.random_range(0..EARLY_DISCONNECT_ONE_IN) == 0;
         let node = {
-            let doors = self.doors.lock();
-            let Some(node) = doors.iter().position(|door| door.callers == address) else {
+            let endpoints = self.endpoints.lock();
+            let Some(node) = endpoints.iter().position(|endpoint| endpoint.callers == address)
+            else {
                 return false;
             };
-            (node, doors[node].life)
+            (node, endpoints[node].incarnation)
         };
         let sent = Instant::now();
-        let asking = caller::send(address, caller::request(&id, &asked.path(&id), &key));
+        let asking = caller::send(address, caller::request(&id, &kind.path(&id), &key));
         let stays = Duration::from_millis(if leaves { rng.random_range(0..600) } else { 60_000 });
-        let seen = match tokio::time::timeout(stays, asking).await {
-            Err(_) => Seen::Left,
-            Ok(Ok((res, text))) => {
-                Seen::Answer { status: res.status().as_u16(), stamp: caller::stamp(&res), text }
-            }
-            Ok(Err(Failure::NoConnection(_))) => Seen::NoConnection,
-            Ok(Err(failure)) => Seen::Cut(failure.to_string()),
+        let result = match tokio::time::timeout(stays, asking).await {
+            Err(_) => CallerResult::Left,
+            Ok(Ok((res, text))) => CallerResult::Answer {
+                status: res.status().as_u16(),
+                stamp: caller::stamp(&res),
+                text,
+            },
+            Ok(Err(Failure::NoConnection(_))) => CallerResult::NoConnection,
+            Ok(Err(failure)) => CallerResult::Cut(failure.to_string()),
         };
-        let is_reached = seen != Seen::NoConnection;
-        let outcome = Outcome { id, asked, key, node, sent, ended: Instant::now(), seen };
+        let is_reached = result != CallerResult::NoConnection;
+        let outcome = Outcome { id, kind, key, node, sent, ended: Instant::now(), result };
         self.outcomes.lock().push(outcome);
         is_reached
     }
@@ -230,8 +234,8 @@
     /// Mostly the newest key, at times one that was taken away.
     fn key(&self, rng: &mut ChaCha8Rng) -> String {
         let keys = self.fleet.keys();
-        let old: Vec<_> = keys.iter().filter(|key| key.taken.is_some()).collect();
-        let is_old = rng.random_range(0..OLD_KEY) == 0;
+        let old: Vec<_> = keys.iter().filter(|key| key.revoked.is_some()).collect();
+        let is_old = rng.random_range(0..REVOKED_KEY_ONE_IN) == 0;
         let chosen = old.choose(rng).filter(|_| is_old).copied();
         chosen.or(keys.last()).map(|key| key.text.clone()).unwrap_or_default()
     }
--- a/crates/workshold-soak/src/judge.rs
+++ b/crates/workshold-soak/src/judge.rs
@@ -12,12 +12,12 @@
 use workshold_platform_standin::monitor::Arrival;
 use workshold_platform_standin::monitor::Run;
 
-use crate::callers::Asked;
-use crate::callers::ENDING_IDS;
+use crate::callers::CRASH_ID_PREFIX;
+use crate::callers::CallerResult;
 use crate::callers::Outcome;
-use crate::callers::Seen;
+use crate::callers::RequestKind;
 use crate::fleet::Key;
-use crate::nodes::KEYS_BELIEVED;
+use crate::nodes::KEY_REVOCATION_TIMEOUT;
 
 /// A promise of the product.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -96,29 +96,29 @@
     /// its time.
     pub silences: Option<(Instant, Instant)>,
     /// When faults began that may hide a leaving instance from nodes.
-    pub hidden: Vec<(Instant, Instant)>,
+    pub visibility_faults: Vec<(Instant, Instant)>,
 }
 
 /// The team that all keys belong to.
 const TEAM: &str = "night-desk";
 /// Attempts that the configuration allows for a stream, and for what may repeat.
-const ATTEMPTS: usize = 2;
+const ATTEMPTS_MAX: usize = 2;
 /// Who is leaving gets nothing new after this: the bound and a second for the way of
 /// a request that was sent just before.
-const LEAVING_GETS_NOTHING_AFTER: Duration = Duration::from_millis(3_000);
+const DRAIN_NOTICE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// A configuration that is written after the store's return is in force everywhere by then.
-pub const IN_FORCE_WITHIN: Duration = Duration::from_millis(3_000);
+pub const CONFIG_PROPAGATION_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Instances that end under a request until it is known, how soon all nodes have heard, and
 /// how often it may be sent on all the same.
-const ENDS_UNTIL_KNOWN: usize = 3;
-const KNOWN_WITHIN: Duration = Duration::from_millis(3_000);
-const SENT_ON_AT_MOST: usize = 3;
+const CRASHES_UNTIL_KNOWN: usize = 3;
+const CRASH_GOSSIP_TIMEOUT: Duration = Duration::from_millis(3_000);
+const LATE_CRASHES_MAX: usize = 3;
 /// What is on its way when an instance answers arrives within this, and so many more may come
 /// in a rest.
-const ON_ITS_WAY: Duration = Duration::from_millis(500);
-const MOST_IN_A_REST: usize = 2;
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(500);
+const REQUESTS_IN_BACKOFF_MAX: usize = 2;
 /// Statuses that say that a request has not run.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// Judges a record.
 pub fn judge(record: &Record) -> Vec<Breach> {
@@ -130,53 +130,55 @@
     for outcome in &record.outcomes {
         let runs = runs.get(outcome.id.as_str()).map_or(&[][..], Vec::as_slice);
         let own = [
-            whole(outcome, runs),
-            times(outcome, runs),
-            not_run(outcome, runs),
-            in_time(outcome, runs, &record.keys),
-            in_force(outcome, record),
-            uncut(outcome, record),
+            check_whole_answer(outcome, runs),
+            check_run_count(outcome, runs),
+            check_not_run(outcome, runs),
+            check_key_revocation(outcome, runs, &record.keys),
+            check_config_in_force(outcome, record),
+            check_uncut(outcome, record),
         ];
         breaches.extend(own.into_iter().flatten());
     }
-    breaches.extend(asked(record));
-    breaches.extend(forward(record));
-    breaches.extend(left_alone(record));
-    breaches.extend(ended(record));
-    breaches.extend(rested(record));
-    breaches.extend(left_by_answers(record));
+    breaches.extend(check_only_requested(record));
+    breaches.extend(check_version_order(record));
+    breaches.extend(check_draining_instances(record));
+    breaches.extend(check_crash_requests(record));
+    breaches.extend(check_retry_after(record));
+    breaches.extend(check_announced_departures(record));
     breaches
 }
 
 /// Once three instances have ended under one request, and all had the time to hear of it,
 /// it is sent on a few times at most.
-fn ended(record: &Record) -> Option<Breach> {
+fn check_crash_requests(record: &Record) -> Option<Breach> {
     let mut runs: Vec<&Run> =
-        record.runs.iter().filter(|run| run.request.starts_with(ENDING_IDS)).collect();
+        record.runs.iter().filter(|run| run.request.starts_with(CRASH_ID_PREFIX)).collect();
     runs.sort_by_key(|run| run.at);
-    let third = runs.get(ENDS_UNTIL_KNOWN - 1)?.at;
-    let late = runs.iter().filter(|run| run.at > third + KNOWN_WITHIN).count();
-    let what = || format!("{} ended, {late} of them {KNOWN_WITHIN:?} after the third", runs.len());
-    (late > SENT_ON_AT_MOST).then(|| Breach { promise: Promise::EndsFew, what: what() })
+    let third = runs.get(CRASHES_UNTIL_KNOWN - 1)?.at;
+    let late = runs.iter().filter(|run| run.at > third + CRASH_GOSSIP_TIMEOUT).count();
+    let what =
+        || format!("{} ended, {late} of them {CRASH_GOSSIP_TIMEOUT:?} after the third", runs.len());
+    (late > LATE_CRASHES_MAX).then(|| Breach { promise: Promise::EndsFew, what: what() })
 }
 
 /// Two requests at most come to an instance from a node that it has asked for rest, once what was
 /// under way has arrived and until the rest is over.
-fn rested(record: &Record) -> Vec<Breach> {
-    let nodes = nodes_of(record);
-    let mut came: HashMap<_, Vec<&Arrival>> = HashMap::new();
+fn check_retry_after(record: &Record) -> Vec<Breach> {
+    let nodes = request_targets(record);
+    let mut arrivals: HashMap<_, Vec<&Arrival>> = HashMap::new();
     for arrival in &record.arrivals {
         if let Some((node, _)) = nodes.get(arrival.request.as_str()) {
-            came.entry((arrival.instance.as_str(), *node)).or_default().push(arrival);
+            arrivals.entry((arrival.instance.as_str(), *node)).or_default().push(arrival);
         }
     }
     let mut breaches = Vec::new();
-    for ((instance, node), came) in came {
-        for (at, rest) in came.iter().filter_map(|arrival| Some((arrival.at, arrival.retry_after?)))
+    for ((instance, node), arrivals) in arrivals {
+        for (at, rest) in
+            arrivals.iter().filter_map(|arrival| Some((arrival.at, arrival.retry_after?)))
         {
-            let in_rest = |a: &&&Arrival| a.at > at + ON_ITS_WAY && a.at < at + rest;
-            let got = came.iter().filter(in_rest).count();
-            if got > MOST_IN_A_REST {
+            let in_backoff = |a: &&&Arrival| a.at > at + IN_FLIGHT_TIMEOUT && a.at < at + rest;
+            let got = arrivals.iter().filter(in_backoff).count();
+            if got > REQUESTS_IN_BACKOFF_MAX {
                 let what = format!("{instance} got {got} from node {node:?} in {rest:?} of rest");
                 breaches.push(Breach { promise: Promise::LetsRest, what });
             }
@@ -187,26 +189,26 @@
 
 /// An instance that says in its answers that it leaves gets nothing that was sent later, from any
 /// node.
-fn left_by_answers(record: &Record) -> Vec<Breach> {
-    let nodes = nodes_of(record);
-    let mut said: HashMap<&str, Instant> = HashMap::new();
+fn check_announced_departures(record: &Record) -> Vec<Breach> {
+    let nodes = request_targets(record);
+    let mut announced_at: HashMap<&str, Instant> = HashMap::new();
     for arrival in record.arrivals.iter().filter(|arrival| arrival.leaves) {
-        let first = said.entry(arrival.instance.as_str()).or_insert(arrival.at);
+        let first = announced_at.entry(arrival.instance.as_str()).or_insert(arrival.at);
         *first = arrival.at.min(*first);
     }
     let late = record.arrivals.iter().filter_map(|arrival| {
-        let first = *said.get(arrival.instance.as_str())?;
+        let first = *announced_at.get(arrival.instance.as_str())?;
         let (node, sent) = nodes.get(arrival.request.as_str())?;
         let late = sent.saturating_duration_since(first);
-        let tell =
+        let describe =
             || format!("{} at {} from {node:?}, {late:?} on", arrival.request, arrival.instance);
-        (late > LEAVING_GETS_NOTHING_AFTER).then(tell)
+        (late > DRAIN_NOTICE_TIMEOUT).then(describe)
     });
     late.map(|what| Breach { promise: Promise::LeavingGetsNothing, what }).collect()
 }
 
 /// The node that each request went to, and when it was sent.
-fn nodes_of(record: &Record) -> HashMap<&str, ((usize, u32), Instant)> {
+fn request_targets(record: &Record) -> HashMap<&str, ((usize, u32), Instant)> {
     let of = |outcome: &Outcome| (outcome.node, outcome.sent);
     record.outcomes.iter().map(|outcome| (outcome.id.as_str(), of(outcome))).collect()
 }
@@ -216,8 +218,8 @@
 }
 
 /// A success carries the proof of an instance that ran it, and its whole answer.
-fn whole(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
-    let Seen::Answer { status, stamp, text, .. } = &outcome.seen else { return None };
+fn check_whole_answer(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
+    let CallerResult::Answer { status, stamp, text, .. } = &outcome.result else { return None };
     let (id, wrong) = (&outcome.id, Promise::OwnWholeAnswer);
     if (200..300).contains(status) && stamp.is_none() {
         return breach(wrong, format!("{id}: a success without proof"));
@@ -233,20 +235,22 @@
             what: format!("{id}: proof of {stamp} with status {status}"),
         });
     }
-    let is_whole = match outcome.asked {
-        Asked::Chat => {
+    let is_whole = match outcome.kind {
+        RequestKind::Chat => {
             let ids: Vec<u64> = (1..=STREAM_EVENTS).collect();
             let own = text.matches(&format!("of {id}\n")).count() as u64;
             caller::event_ids(text) == ids && own == STREAM_EVENTS
         }
-        Asked::Print | Asked::Plate => *text == format!("{stamp} {}", outcome.asked.path(id)),
+        RequestKind::Print | RequestKind::Plate => {
+            *text == format!("{stamp} {}", outcome.kind.path(id))
+        }
     };
     let short: String = text.chars().take(80).collect();
     (!is_whole).then(|| Breach { promise: wrong, what: format!("{id}: not its answer: {short}") })
 }
 
-fn times(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
-    let most = if outcome.asked == Asked::Print { 1 } else { ATTEMPTS };
+fn check_run_count(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
+    let most = if outcome.kind == RequestKind::Print { 1 } else { ATTEMPTS_MAX };
     if runs.len() <= most {
         return None;
     }
@@ -254,43 +258,44 @@
     breach(Promise::AtMostOnce, format!("{} ran at {}", outcome.id, at.join(", ")))
 }
 
-fn not_run(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
-    let Seen::Answer { status, .. } = &outcome.seen else { return None };
-    let is_wrong = outcome.asked == Asked::Print && NOT_RUN.contains(status) && !runs.is_empty();
+fn check_not_run(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
+    let CallerResult::Answer { status, .. } = &outcome.result else { return None };
+    let is_wrong =
+        outcome.kind == RequestKind::Print && NOT_RUN_STATUSES.contains(status) && !runs.is_empty();
     let what = || format!("{} got {status} but ran at {}", outcome.id, runs[0].instance);
     is_wrong.then(|| Breach { promise: Promise::NotRunMeansNotRun, what: what() })
 }
 
 /// What was sent later than the bound after its key was taken away does not run.
-fn in_time(outcome: &Outcome, runs: &[&Run], keys: &[Key]) -> Option<Breach> {
+fn check_key_revocation(outcome: &Outcome, runs: &[&Run], keys: &[Key]) -> Option<Breach> {
     let key = keys.iter().find(|key| key.text == outcome.key)?;
-    let (_, taken) = key.taken?;
-    let late = outcome.sent.saturating_duration_since(taken);
-    let is_wrong = late > KEYS_BELIEVED && !runs.is_empty();
+    let (_, revoked) = key.revoked?;
+    let late = outcome.sent.saturating_duration_since(revoked);
+    let is_wrong = late > KEY_REVOCATION_TIMEOUT && !runs.is_empty();
     let what = || format!("{} ran, sent {late:?} after {} was taken away", outcome.id, key.text);
     is_wrong.then(|| Breach { promise: Promise::KeysInTime, what: what() })
 }
 
 /// Outside faults no request that was read is cut.
 /// Beside silences of the store alone: a key that is new is known in time.
-fn in_force(outcome: &Outcome, record: &Record) -> Option<Breach> {
+fn check_config_in_force(outcome: &Outcome, record: &Record) -> Option<Breach> {
     let (from, to) = record.silences?;
     let key = record.keys.iter().find(|key| key.text == outcome.key)?;
     let is_beside = key.since >= from && outcome.sent <= to;
     let since = outcome.sent.saturating_duration_since(key.since);
-    let is_valid = key.taken.is_none_or(|(_, at)| at > outcome.ended);
-    let is_denied = matches!(&outcome.seen, Seen::Answer { status: 401, .. });
-    if !(is_beside && is_valid && is_denied && since > IN_FORCE_WITHIN) {
+    let is_valid = key.revoked.is_none_or(|(_, at)| at > outcome.ended);
+    let is_denied = matches!(&outcome.result, CallerResult::Answer { status: 401, .. });
+    if !(is_beside && is_valid && is_denied && since > CONFIG_PROPAGATION_TIMEOUT) {
         return None;
     }
     let what = format!("{} with {} at node {:?}, {since:?} on", outcome.id, key.text, outcome.node);
     breach(Promise::InForceInTime, what)
 }
 
-fn uncut(outcome: &Outcome, record: &Record) -> Option<Breach> {
+fn check_uncut(outcome: &Outcome, record: &Record) -> Option<Breach> {
     let (began, over) = record.faults?;
     let is_calm = outcome.ended < began || outcome.sent > over;
-    let Seen::Cut(why) = &outcome.seen else { return None };
+    let CallerResult::Cut(why) = &outcome.result else { return None };
     let what = || format!("{} at node {}: {why}", outcome.id, outcome.node.0);
     let is_beside = |(from, to)| outcome.ended >= from && outcome.sent <= to;
     let promise = match record.planned {
@@ -300,38 +305,38 @@
     is_calm.then(|| Breach { promise, what: what() })
 }
 
-fn asked(record: &Record) -> Vec<Breach> {
+fn check_only_requested(record: &Record) -> Vec<Breach> {
     let sent: HashMap<&str, ()> = record.outcomes.iter().map(|o| (o.id.as_str(), ())).collect();
     let wrong = record.runs.iter().filter(|run| {
         !sent.contains_key(run.request.as_str()) || run.team.as_deref() != Some(TEAM)
     });
-    let tell = |run: &Run| format!("{} for {:?} at {}", run.request, run.team, run.instance);
-    wrong.map(|run| Breach { promise: Promise::OnlyWhatWasAsked, what: tell(run) }).collect()
+    let describe = |run: &Run| format!("{} for {:?} at {}", run.request, run.team, run.instance);
+    wrong.map(|run| Breach { promise: Promise::OnlyWhatWasAsked, what: describe(run) }).collect()
 }
 
 /// Within a node's life, what was served by a version shows that it is in force there:
 /// nothing sent later is treated as an older one would.
-fn forward(record: &Record) -> Vec<Breach> {
+fn check_version_order(record: &Record) -> Vec<Breach> {
     let key_of = |outcome: &Outcome| record.keys.iter().find(|key| key.text == outcome.key);
     let mut in_force: HashMap<(usize, u32), Vec<(Instant, u64)>> = HashMap::new();
     for outcome in &record.outcomes {
-        let is_served = matches!(&outcome.seen, Seen::Answer { stamp: Some(_), .. });
+        let is_served = matches!(&outcome.result, CallerResult::Answer { stamp: Some(_), .. });
         if let Some(key) = key_of(outcome).filter(|_| is_served) {
-            let seen = in_force.entry(outcome.node).or_default();
-            seen.push((outcome.ended, key.since_version));
+            let versions = in_force.entry(outcome.node).or_default();
+            versions.push((outcome.ended, key.since_version));
         }
     }
     let mut breaches = Vec::new();
     for outcome in &record.outcomes {
-        let Seen::Answer { status, stamp, .. } = &outcome.seen else { continue };
+        let CallerResult::Answer { status, stamp, .. } = &outcome.result else { continue };
         let Some(key) = key_of(outcome) else { continue };
-        let seen = in_force.get(&outcome.node).into_iter().flatten();
-        let before = seen.filter(|(ended, _)| *ended < outcome.sent);
+        let versions = in_force.get(&outcome.node).into_iter().flatten();
+        let before = versions.filter(|(ended, _)| *ended < outcome.sent);
         let version = before.map(|(_, version)| *version).max().unwrap_or_default();
-        let was_taken_by = |v: u64| key.taken.is_some_and(|(taken, _)| taken <= v);
-        let is_valid_at_the_end = key.taken.is_none_or(|(_, at)| at > outcome.ended);
+        let was_revoked_by = |v: u64| key.revoked.is_some_and(|(revoked, _)| revoked <= v);
+        let is_valid_at_the_end = key.revoked.is_none_or(|(_, at)| at > outcome.ended);
         let is_denied = *status == 401 && key.since_version <= version && is_valid_at_the_end;
-        let is_old = stamp.is_some() && was_taken_by(version);
+        let is_old = stamp.is_some() && was_revoked_by(version);
         if is_denied || is_old {
             let (id, node) = (&outcome.id, outcome.node);
             let what = format!(
@@ -345,17 +350,17 @@
 }
 
 /// Who is leaving gets no new work, unless faults hid its word from nodes.
-fn left_alone(record: &Record) -> Vec<Breach> {
+fn check_draining_instances(record: &Record) -> Vec<Breach> {
     let sent: HashMap<&str, Instant> =
         record.outcomes.iter().map(|outcome| (outcome.id.as_str(), outcome.sent)).collect();
     let mut breaches = Vec::new();
     for run in &record.runs {
         let Some(stated) = record.leaving.get(&run.instance) else { continue };
         let Some(sent) = sent.get(run.request.as_str()) else { continue };
-        let is_late = run.at.saturating_duration_since(*stated) > LEAVING_GETS_NOTHING_AFTER
-            && sent.saturating_duration_since(*stated) > LEAVING_GETS_NOTHING_AFTER;
+        let is_late = run.at.saturating_duration_since(*stated) > DRAIN_NOTICE_TIMEOUT
+            && sent.saturating_duration_since(*stated) > DRAIN_NOTICE_TIMEOUT;
         let overlaps = |(from, to): &(Instant, Instant)| *from <= run.at && *to >= *stated;
-        if is_late && !record.hidden.iter().any(overlaps) {
+        if is_late && !record.visibility_faults.iter().any(overlaps) {
             let late = run.at - *stated;
             let what = format!("{} at {}, {late:?} after its word", run.request, run.instance);
             breaches.push(Breach { promise: Promise::LeavingGetsNothing, what });
--- a/crates/workshold-soak/src/main.rs
+++ b/crates/workshold-soak/src/main.rs
@@ -107,7 +107,7 @@
             None => break,
             Some(Ok((seed, Ok(verdict)))) => {
                 is_good &= verdict.breaches.is_empty();
-                tell(&verdict);
+                print_verdict(&verdict);
                 if verdict.breaches.is_empty() {
                     // What stays behind is only in the way.
                     let _ =
@@ -116,20 +116,20 @@
             }
             Some(Ok((seed, Err(err)))) => {
                 is_good = false;
-                say(&format!("seed {seed} was not played: {err}"));
+                print_line(&format!("seed {seed} was not played: {err}"));
             }
             Some(Err(err)) => {
                 is_good = false;
-                say(&format!("a seed ended in a panic: {err}"));
+                print_line(&format!("a seed ended in a panic: {err}"));
             }
         }
     }
     if is_good { ExitCode::SUCCESS } else { ExitCode::from(EXIT_BROKEN) }
 }
 
-fn tell(verdict: &Verdict) {
+fn print_verdict(verdict: &Verdict) {
     let after = verdict.recovered_after.map_or_else(|| "never".to_owned(), |d| format!("{d:.1?}"));
-    say(&format!(
+    print_line(&format!(
         "seed {}: {} broken; {} requests, {} served; recovered after {after}; largest node {} kB",
         verdict.seed,
         verdict.breaches.len(),
@@ -137,10 +137,10 @@
         verdict.served,
         verdict.memory_kb,
     ));
-    verdict.breaches.iter().for_each(|breach| say(&format!("  {breach}")));
+    verdict.breaches.iter().for_each(|breach| print_line(&format!("  {breach}")));
 }
 
 #[expect(clippy::print_stdout, reason = "this is what it is run for")]
-fn say(text: &str) {
+fn print_line(text: &str) {
     println!("{text}");
 }
--- a/crates/workshold-soak/src/nodes.rs
+++ b/crates/workshold-soak/src/nodes.rs
@@ -19,12 +19,12 @@
 use workshold_platform_standin::free_address;
 
 /// A planned stop has to be over within this.
-pub const STOP_WITHIN: Duration = Duration::from_secs(8);
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 /// What a node may use up, in kilobytes: the bound for control of the size that it is
 /// designed for.
-pub const MOST_MEMORY_KB: u64 = 64 * 1024;
+pub const MEMORY_MAX_KB: u64 = 64 * 1024;
 /// How long a key may be believed after it was taken away.
-pub const KEYS_BELIEVED: Duration = Duration::from_millis(5_000);
+pub const KEY_REVOCATION_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// One node: its addresses stay, its process comes and goes.
 pub struct SoakNode {
@@ -39,7 +39,7 @@
     /// For its state and metrics.
     pub control: SocketAddr,
     /// Lives that it has begun.
-    pub lives: u32,
+    pub incarnations: u32,
     store: SocketAddr,
     binary: PathBuf,
     folder: PathBuf,
@@ -47,10 +47,10 @@
 }
 
 /// A process writes its first line within this.
-const BEGINS_WITHIN: Duration = Duration::from_secs(5);
+const FIRST_LOG_LINE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How a node's process ended without being told to.
-pub type Unasked = String;
+pub type UnexpectedExit = String;
 
 impl SoakNode {
     /// A node that does not run yet and will reach its store at `store`.
@@ -61,7 +61,7 @@
             directory: free_address(),
             readiness: free_address(),
             control: free_address(),
-            lives: 0,
+            incarnations: 0,
             store,
             binary: binary.to_owned(),
             folder: folder.to_owned(),
@@ -80,8 +80,8 @@
         }
         let settings = self.folder.join(format!("{}.toml", self.name));
         fs::write(&settings, self.settings())?;
-        self.lives += 1;
-        let log = self.folder.join(format!("{}-{}.log", self.name, self.lives));
+        self.incarnations += 1;
+        let log = self.folder.join(format!("{}-{}.log", self.name, self.incarnations));
         let log = File::create(log)?;
         let child = Command::new(&self.binary)
             .arg("--settings")
@@ -102,24 +102,24 @@
              [bounds]\nkeys_believed_ms = {}\nstop_within_s = {}\nrepeat_slack = 50.0\n\
              addresses_good_at_most_s = 0.5\n",
             self.name,
-            self.lives == 0,
+            self.incarnations == 0,
             self.callers,
             self.readiness,
             self.directory,
             self.control.port(),
             self.store,
             workshold_platform_standin::store::PARTITIONS,
-            KEYS_BELIEVED.as_millis(),
-            STOP_WITHIN.as_secs_f64(),
+            KEY_REVOCATION_TIMEOUT.as_millis(),
+            STOP_TIMEOUT.as_secs_f64(),
         )
     }
 
     /// Waits until its process answers to signals: until then the machine ends it by
     /// any of them, whatever the program does.
-    pub async fn wait_for_begin(&self) {
+    pub async fn wait_for_first_log_line(&self) {
         let began = Instant::now();
-        while self.child.is_some() && began.elapsed() < BEGINS_WITHIN {
-            let log = self.folder.join(format!("{}-{}.log", self.name, self.lives));
+        while self.child.is_some() && began.elapsed() < FIRST_LOG_LINE_TIMEOUT {
+            let log = self.folder.join(format!("{}-{}.log", self.name, self.incarnations));
             if fs::metadata(log).is_ok_and(|log| log.len() > 0) {
                 return;
             }
@@ -145,7 +145,7 @@
     }
 
     /// Whether its process has ended although nobody told it to.
-    pub fn look(&mut self) -> Option<Unasked> {
+    pub fn check_exited(&mut self) -> Option<UnexpectedExit> {
         let ended = self.child.as_mut()?.try_wait().ok().flatten()?;
         self.child = None;
         Some(format!("{} ended by itself: {ended}", self.name))
@@ -156,7 +156,7 @@
     /// # Errors
     ///
     /// How it ended otherwise.
-    pub async fn wait_for_stop(&mut self) -> Result<(), Unasked> {
+    pub async fn wait_for_stop(&mut self) -> Result<(), UnexpectedExit> {
         let began = Instant::now();
         loop {
             let Some(child) = &mut self.child else { return Ok(()) };
@@ -165,9 +165,9 @@
                 let wrong = format!("{} ended its planned stop with {status}", self.name);
                 return if status.success() { Ok(()) } else { Err(wrong) };
             }
-            if began.elapsed() > STOP_WITHIN {
+            if began.elapsed() > STOP_TIMEOUT {
                 self.kill();
-                return Err(format!("{} did not stop within {STOP_WITHIN:?}", self.name));
+                return Err(format!("{} did not stop within {STOP_TIMEOUT:?}", self.name));
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
--- a/crates/workshold-soak/src/run.rs
+++ b/crates/workshold-soak/src/run.rs
@@ -20,25 +20,25 @@
 use workshold_platform_standin::proxy::Proxy;
 use workshold_platform_standin::store::StoreBehaviour;
 
-use crate::callers::Asked;
+use crate::callers::CallerResult;
 use crate::callers::Callers;
-use crate::callers::Door;
-use crate::callers::Seen;
+use crate::callers::NodeEndpoint;
+use crate::callers::RequestKind;
 use crate::fleet::Fleet;
 use crate::fleet::Size;
 use crate::judge;
 use crate::judge::Breach;
-use crate::judge::IN_FORCE_WITHIN;
+use crate::judge::CONFIG_PROPAGATION_TIMEOUT;
 use crate::judge::Promise;
 use crate::judge::Record;
-use crate::nodes::MOST_MEMORY_KB;
+use crate::nodes::MEMORY_MAX_KB;
 use crate::nodes::SoakNode;
 use crate::plan;
 use crate::plan::Fault;
-use crate::plan::Kind;
-use crate::plan::Limiting;
-use crate::plan::Resting;
-use crate::plan::Silence;
+use crate::plan::FaultKind;
+use crate::plan::RateLimitFault;
+use crate::plan::RetryAfterFault;
+use crate::plan::StoreSilence;
 
 /// How a seed is played.
 #[derive(Debug, Clone)]
@@ -100,33 +100,33 @@
 impl std::error::Error for SoakError {}
 
 /// All that a seed is played with.
-struct Stage {
+struct Harness {
     fleet: Arc<Fleet>,
     nodes: Vec<tokio::sync::Mutex<SoakNode>>,
-    ways: Vec<Proxy>,
+    links: Vec<Proxy>,
     callers: Arc<Callers>,
     probes: AtomicU32,
     breaches: Mutex<Vec<Breach>>,
-    hidden: Mutex<Vec<(Instant, Instant)>>,
+    visibility_faults: Mutex<Vec<(Instant, Instant)>>,
 }
 
 /// The oldest copy that the store comes back from, and when others have written again what it
 /// lost: at their next check-in.
-const OLDEST_COPY: Duration = Duration::from_millis(3_000);
-const WRITTEN_AGAIN: Duration = Duration::from_millis(900);
+const BACKUP_AGE_MAX: Duration = Duration::from_millis(3_000);
+const REWRITE_DELAY: Duration = Duration::from_millis(900);
 /// Nodes start within this, before any load.
-const STARTS_WITHIN: Duration = Duration::from_secs(30);
+const NODE_START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Before and after faults, load runs in calm for this long.
-const CALM: Duration = Duration::from_secs(1);
+const FAULT_FREE_PERIOD: Duration = Duration::from_secs(1);
 /// What a fault leaves behind in lists and leases.
-const AFTERMATH: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// Work whose caller is gone has ended after this.
-const ABANDONED_ENDS: Duration = Duration::from_millis(1_500);
-const LATE_ORDERS: Duration = Duration::from_millis(3_000);
-const SLOW_WAY: Duration = Duration::from_millis(300);
-const SLOW_STORE: Duration = Duration::from_millis(240);
+const ABANDONED_WORK_TIMEOUT: Duration = Duration::from_millis(1_500);
+const ORDER_DELAY: Duration = Duration::from_millis(3_000);
+const SLOW_LINK_DELAY: Duration = Duration::from_millis(300);
+const SLOW_STORE_DELAY: Duration = Duration::from_millis(240);
 /// How often processes are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Plays a seed.
 ///
@@ -134,145 +134,149 @@
 ///
 /// [`SoakError`] if it could not be played at all.
 pub async fn play(options: &Options, seed: u64) -> Result<Verdict, SoakError> {
-    let stage = set_up(options, seed).await?;
-    if !stage.all_serve(STARTS_WITHIN).await {
+    let harness = set_up(options, seed).await?;
+    if !harness.all_serve(NODE_START_TIMEOUT).await {
         return Err(SoakError::NeverServed(options.folder.clone()));
     }
     let mut load = JoinSet::new();
     for number in 0..options.callers {
-        load.spawn(Arc::clone(&stage.callers).call(seed, number));
+        load.spawn(Arc::clone(&harness.callers).call(seed, number));
     }
-    let looking = tokio::spawn(look_after(Arc::clone(&stage)));
-    tokio::time::sleep(CALM).await;
+    let watcher = tokio::spawn(watch_processes(Arc::clone(&harness)));
+    tokio::time::sleep(FAULT_FREE_PERIOD).await;
     let began = Instant::now();
     let mut ending = JoinSet::new();
     if options.ends_instances {
-        load.spawn(Arc::clone(&stage.callers).ask_for_ends(seed));
-        ending.spawn(Arc::clone(&stage.fleet).replace_ended());
+        load.spawn(Arc::clone(&harness.callers).send_crash_requests(seed));
+        ending.spawn(Arc::clone(&harness.fleet).replace_crashed());
     }
     let draw = match options {
-        Options { copies: true, .. } => plan::draw_with_copies,
-        Options { new_lives: true, .. } => plan::draw_with_new_lives,
+        Options { copies: true, .. } => plan::draw_with_restores,
+        Options { new_lives: true, .. } => plan::draw_with_restarts,
         _ => plan::draw,
     };
-    befall(&stage, draw(seed, options.length)).await;
+    inject_faults(&harness, draw(seed, options.length)).await;
     let last = Instant::now();
-    let is_well = stage.all_serve(options.recovers_within).await;
+    let is_well = harness.all_serve(options.recovers_within).await;
     let recovered_after = is_well.then(|| last.elapsed());
-    tokio::time::sleep(AFTERMATH).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let over = Instant::now();
     let (mut planned, mut silences) = (None, None);
     if is_well {
         if !options.planned.is_zero() {
-            work_as_planned(&stage, plan::draw_planned(seed, options.planned)).await;
+            run_planned_work(&harness, plan::draw_planned(seed, options.planned)).await;
             planned = Some((over, Instant::now()));
         }
         if options.silences > 0 {
             let from = Instant::now();
-            be_silent(&stage, plan::draw_silences(seed, options.silences)).await;
+            run_store_silences(&harness, plan::draw_silences(seed, options.silences)).await;
             silences = Some((from, Instant::now()));
         }
-        let limits = be_limited(&stage, plan::draw_limits(seed, options.limits));
-        tokio::join!(limits, be_resting(&stage, plan::draw_rests(seed, options.rests)));
-        stop_each(&stage).await;
+        let limits = run_rate_limits(&harness, plan::draw_limits(seed, options.limits));
+        tokio::join!(
+            limits,
+            run_retry_after_faults(&harness, plan::draw_retry_after_faults(seed, options.rests))
+        );
+        restart_each_node(&harness).await;
     }
-    let memory_kb = stage.memory_kb().await;
-    stage.callers.end();
+    let memory_kb = harness.memory_kb().await;
+    harness.callers.stop();
     load.join_all().await;
-    tokio::time::sleep(ABANDONED_ENDS).await;
-    let streams = stage.fleet.streams().await;
-    looking.abort();
-    let mut breaches = std::mem::take(&mut *stage.breaches.lock());
+    tokio::time::sleep(ABANDONED_WORK_TIMEOUT).await;
+    let streams = harness.fleet.streams().await;
+    watcher.abort();
+    let mut breaches = std::mem::take(&mut *harness.breaches.lock());
     let mut add = |promise, what| breaches.push(Breach { promise, what });
     if !is_well {
         let within = options.recovers_within;
         add(Promise::Recovers, format!("not all is served {within:?} after the last fault"));
     }
-    if memory_kb > MOST_MEMORY_KB {
+    if memory_kb > MEMORY_MAX_KB {
         add(Promise::WithinMemory, format!("a node holds {memory_kb} kB"));
     }
     if streams > 0 {
         add(Promise::EndsAbandoned, format!("{streams} streams go on without a caller"));
     }
-    let monitor = &stage.fleet.store.monitor;
+    let monitor = &harness.fleet.store.monitor;
     monitor.breaches().into_iter().for_each(|what| add(Promise::WholeGroups, what));
     monitor.overloads().into_iter().for_each(|what| add(Promise::KeepsToLimits, what));
     let record = Record {
-        outcomes: stage.callers.outcomes(),
+        outcomes: harness.callers.outcomes(),
         runs: monitor.runs(),
         arrivals: monitor.arrivals(),
-        keys: stage.fleet.keys(),
-        leaving: stage.fleet.leaving(),
+        keys: harness.fleet.keys(),
+        leaving: harness.fleet.leaving(),
         faults: Some((began, over)),
         planned,
         silences,
-        hidden: stage.hidden.lock().clone(),
+        visibility_faults: harness.visibility_faults.lock().clone(),
     };
     breaches.extend(judge::judge(&record));
-    let is_served = |seen: &Seen| matches!(seen, Seen::Answer { status: 200, .. });
-    let served = record.outcomes.iter().filter(|outcome| is_served(&outcome.seen)).count();
+    let is_served =
+        |result: &CallerResult| matches!(result, CallerResult::Answer { status: 200, .. });
+    let served = record.outcomes.iter().filter(|outcome| is_served(&outcome.result)).count();
     let requests = record.outcomes.len();
     Ok(Verdict { seed, breaches, requests, served, recovered_after, memory_kb })
 }
 
-async fn set_up(options: &Options, seed: u64) -> Result<Arc<Stage>, SoakError> {
+async fn set_up(options: &Options, seed: u64) -> Result<Arc<Harness>, SoakError> {
     let folder = options.folder.join(format!("seed-{seed}"));
     std::fs::create_dir_all(&folder).map_err(SoakError::Machine)?;
     let fleet = Fleet::start(options.size).await;
-    let (mut nodes, mut ways) = (Vec::new(), Vec::new());
+    let (mut nodes, mut links) = (Vec::new(), Vec::new());
     for i in 0..options.size.nodes {
-        let way = Proxy::start();
-        way.set_target(Some(fleet.store.address));
-        let mut node = make_node(&options.binary, &folder, i, &way);
+        let link = Proxy::start();
+        link.set_target(Some(fleet.store.address));
+        let mut node = make_node(&options.binary, &folder, i, &link);
         node.start().map_err(SoakError::Machine)?;
         nodes.push(node);
-        ways.push(way);
+        links.push(link);
     }
-    let door = |node: &SoakNode| Door {
+    let endpoint = |node: &SoakNode| NodeEndpoint {
         callers: node.callers,
         directory: node.directory,
-        life: node.lives,
+        incarnation: node.incarnations,
     };
-    let callers = Callers::new(Arc::clone(&fleet), nodes.iter().map(door).collect());
+    let callers = Callers::new(Arc::clone(&fleet), nodes.iter().map(endpoint).collect());
     let nodes = nodes.into_iter().map(tokio::sync::Mutex::new).collect();
-    let (breaches, hidden) = (Mutex::default(), Mutex::default());
+    let (breaches, visibility_faults) = (Mutex::default(), Mutex::default());
     let probes = AtomicU32::new(0);
-    Ok(Arc::new(Stage { fleet, nodes, ways, callers, probes, breaches, hidden }))
+    Ok(Arc::new(Harness { fleet, nodes, links, callers, probes, breaches, visibility_faults }))
 }
 
-fn make_node(binary: &Path, folder: &Path, i: usize, way: &Proxy) -> SoakNode {
-    SoakNode::new(&format!("node-{i}"), binary, folder, way.address)
+fn make_node(binary: &Path, folder: &Path, i: usize, link: &Proxy) -> SoakNode {
+    SoakNode::new(&format!("node-{i}"), binary, folder, link.address)
 }
 
 /// Looks whether processes end that nobody told to.
-async fn look_after(stage: Arc<Stage>) {
+async fn watch_processes(harness: Arc<Harness>) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
-        for (i, node) in stage.nodes.iter().enumerate() {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        for (i, node) in harness.nodes.iter().enumerate() {
             // Whoever holds it is about to end or start it.
             let Ok(mut node) = node.try_lock() else { continue };
-            if let Some(what) = node.look() {
-                stage.breaches.lock().push(Breach { promise: Promise::KeepsRunning, what });
-                stage.start(i, &mut node);
+            if let Some(what) = node.check_exited() {
+                harness.breaches.lock().push(Breach { promise: Promise::KeepsRunning, what });
+                harness.start(i, &mut node);
             }
         }
     }
 }
 
 /// Lets all faults come at their times, and waits until the last one is over.
-async fn befall(stage: &Arc<Stage>, faults: Vec<Fault>) {
+async fn inject_faults(harness: &Arc<Harness>, faults: Vec<Fault>) {
     let began = Instant::now();
     let mut under_way = JoinSet::new();
     for fault in faults {
         tokio::time::sleep(fault.at.saturating_sub(began.elapsed())).await;
-        let stage = Arc::clone(stage);
+        let harness = Arc::clone(harness);
         under_way.spawn(async move {
             let from = Instant::now();
-            stage.carry_out(fault).await;
+            harness.inject(fault).await;
             // A leaving instance's word comes through the store, to nodes that run.
-            let to = Instant::now() + AFTERMATH;
+            let to = Instant::now() + SETTLE_TIME;
             if !fault.kind.is_planned() {
-                stage.hidden.lock().push((from, to));
+                harness.visibility_faults.lock().push((from, to));
             }
         });
     }
@@ -280,44 +284,45 @@
 }
 
 /// Carries planned work out while engines are full, and waits until the last is over.
-async fn work_as_planned(stage: &Arc<Stage>, work: Vec<Fault>) {
-    stage.fleet.all_behave(InstanceBehaviour::Overloaded).await;
-    befall(stage, work).await;
-    stage.fleet.all_behave(InstanceBehaviour::Normal).await;
-    tokio::time::sleep(AFTERMATH).await;
+async fn run_planned_work(harness: &Arc<Harness>, work: Vec<Fault>) {
+    harness.fleet.set_engines_behaviour(InstanceBehaviour::Overloaded).await;
+    inject_faults(harness, work).await;
+    harness.fleet.set_engines_behaviour(InstanceBehaviour::Normal).await;
+    tokio::time::sleep(SETTLE_TIME).await;
 }
 
 /// Lets the store be silent again and again, and writes a configuration after each return.
-async fn be_silent(stage: &Arc<Stage>, silences: Vec<Silence>) {
-    for Silence { lasts, then } in silences {
-        stage.store(StoreBehaviour::Silent, lasts).await;
-        tokio::time::sleep(then).await;
-        stage.fleet.new_config();
-        tokio::time::sleep(IN_FORCE_WITHIN + CALM).await;
+async fn run_store_silences(harness: &Arc<Harness>, silences: Vec<StoreSilence>) {
+    for StoreSilence { duration, config_delay } in silences {
+        harness.store(StoreBehaviour::Silent, duration).await;
+        tokio::time::sleep(config_delay).await;
+        harness.fleet.new_config();
+        tokio::time::sleep(CONFIG_PROPAGATION_TIMEOUT + FAULT_FREE_PERIOD).await;
     }
 }
 
 /// Lets instances name limits, several at once, and waits until all are lifted.
-async fn be_limited(stage: &Arc<Stage>, limits: Vec<Limiting>) {
+async fn run_rate_limits(harness: &Arc<Harness>, limits: Vec<RateLimitFault>) {
     let mut under_way = JoinSet::new();
-    for Limiting { after, lasts, tenths, whom } in limits {
-        tokio::time::sleep(after).await;
-        let fleet = Arc::clone(&stage.fleet);
-        under_way.spawn(async move { fleet.limit(whom, tenths, lasts).await });
+    for RateLimitFault { delay, duration, tenths, target } in limits {
+        tokio::time::sleep(delay).await;
+        let fleet = Arc::clone(&harness.fleet);
+        under_way
+            .spawn(async move { fleet.announce_rate_limit_for(target, tenths, duration).await });
     }
     under_way.join_all().await;
 }
 
 /// Lets instances refuse and ask for rest, or say that they leave.
-async fn be_resting(stage: &Arc<Stage>, rests: Vec<Resting>) {
+async fn run_retry_after_faults(harness: &Arc<Harness>, rests: Vec<RetryAfterFault>) {
     let mut under_way = JoinSet::new();
-    for Resting { after, lasts, tenths, whom } in rests {
-        tokio::time::sleep(after).await;
-        let fleet = Arc::clone(&stage.fleet);
+    for RetryAfterFault { delay, duration, tenths, target } in rests {
+        tokio::time::sleep(delay).await;
+        let fleet = Arc::clone(&harness.fleet);
         under_way.spawn(async move {
             match tenths {
-                Some(tenths) => fleet.rest(whom, tenths, lasts).await,
-                None => fleet.leave(whom, lasts).await,
+                Some(tenths) => fleet.announce_retry_after_for(target, tenths, duration).await,
+                None => fleet.announce_departure(target, duration).await,
             }
         });
     }
@@ -325,30 +330,30 @@
 }
 
 /// Stops one node after the other with a plan, and starts it again.
-async fn stop_each(stage: &Arc<Stage>) {
-    for (i, node) in stage.nodes.iter().enumerate() {
+async fn restart_each_node(harness: &Arc<Harness>) {
+    for (i, node) in harness.nodes.iter().enumerate() {
         let mut node = node.lock().await;
         node.signal(Signal::SIGTERM);
         if let Err(what) = node.wait_for_stop().await {
-            stage.breaches.lock().push(Breach { promise: Promise::StopCutsNothing, what });
+            harness.breaches.lock().push(Breach { promise: Promise::StopCutsNothing, what });
         }
-        stage.start(i, &mut node);
+        harness.start(i, &mut node);
         let began = Instant::now();
-        while !node.is_ready().await && began.elapsed() < STARTS_WITHIN {
-            tokio::time::sleep(LOOK_EVERY).await;
+        while !node.is_ready().await && began.elapsed() < NODE_START_TIMEOUT {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-impl Stage {
-    fn node(&self, whom: usize) -> (usize, &tokio::sync::Mutex<SoakNode>) {
-        let i = whom % self.nodes.len();
+impl Harness {
+    fn node(&self, target: usize) -> (usize, &tokio::sync::Mutex<SoakNode>) {
+        let i = target % self.nodes.len();
         (i, &self.nodes[i])
     }
 
     fn start(&self, i: usize, node: &mut SoakNode) {
         match node.start() {
-            Ok(()) => self.callers.set_life(i, node.lives),
+            Ok(()) => self.callers.set_incarnation(i, node.incarnations),
             Err(err) => {
                 let what = format!("{} cannot be started: {err}", node.name);
                 self.breaches.lock().push(Breach { promise: Promise::KeepsRunning, what });
@@ -356,76 +361,86 @@
         }
     }
 
-    async fn carry_out(self: &Arc<Self>, fault: Fault) {
-        let Fault { lasts, whom, .. } = fault;
+    async fn inject(self: &Arc<Self>, fault: Fault) {
+        let Fault { duration, target, .. } = fault;
         match fault.kind {
-            Kind::KillNode => self.kill(whom, lasts).await,
-            Kind::KillAllNodes => {
+            FaultKind::KillNode => self.kill(target, duration).await,
+            FaultKind::KillAllNodes => {
                 let mut kills = JoinSet::new();
                 for i in 0..self.nodes.len() {
-                    let stage = Arc::clone(self);
-                    kills.spawn(async move { stage.kill(i, lasts).await });
+                    let harness = Arc::clone(self);
+                    kills.spawn(async move { harness.kill(i, duration).await });
                 }
                 kills.join_all().await;
             }
-            Kind::FreezeNode => {
-                let node = self.node(whom).1.lock().await;
-                node.wait_for_begin().await;
+            FaultKind::FreezeNode => {
+                let node = self.node(target).1.lock().await;
+                node.wait_for_first_log_line().await;
                 node.signal(Signal::SIGSTOP);
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 node.signal(Signal::SIGCONT);
             }
-            Kind::StopNode => self.stop(whom).await,
-            Kind::HangUpNode => {
-                let node = self.node(whom).1.lock().await;
-                node.wait_for_begin().await;
+            FaultKind::StopNode => self.stop(target).await,
+            FaultKind::ReloadNode => {
+                let node = self.node(target).1.lock().await;
+                node.wait_for_first_log_line().await;
                 node.signal(Signal::SIGHUP);
             }
-            Kind::CutNode => self.cut(whom, LinkState::Silent, lasts).await,
-            Kind::CutNodeOneWay => self.cut(whom, LinkState::OneWay, lasts).await,
-            Kind::SlowNode => self.cut(whom, LinkState::Slow(SLOW_WAY), lasts).await,
-            Kind::ResetNode => self.ways[whom % self.ways.len()].reset(),
-            Kind::StoreDown => self.store(StoreBehaviour::Down, lasts).await,
-            Kind::StoreSilent => self.store(StoreBehaviour::Silent, lasts).await,
-            Kind::StoreLosesAnswers => self.store(StoreBehaviour::LosesAnswers, lasts).await,
-            Kind::StoreSlow => self.store(StoreBehaviour::Slow(SLOW_STORE), lasts).await,
-            Kind::StoreForgets => self.fleet.store.compact(),
-            Kind::DealAnew => self.fleet.store.reassign_partitions(),
-            Kind::StoreReturns => {
-                let age = lasts.min(OLDEST_COPY);
-                self.fleet.store.restore_backup(age, WRITTEN_AGAIN);
+            FaultKind::CutNode => self.cut(target, LinkState::Silent, duration).await,
+            FaultKind::CutNodeOneWay => self.cut(target, LinkState::OneWay, duration).await,
+            FaultKind::SlowNode => {
+                self.cut(target, LinkState::Slow(SLOW_LINK_DELAY), duration).await
             }
-            Kind::CrashEngine => self.fleet.crash_engine(whom, lasts).await,
-            Kind::BeginAnew => self.fleet.begin_anew(whom, lasts).await,
-            Kind::CrashDomain => self.fleet.crash_domain(whom, lasts).await,
-            Kind::DarkEngine => self.fleet.darken(whom, lasts).await,
-            Kind::LateOrders => {
+            FaultKind::ResetNode => self.links[target % self.links.len()].reset(),
+            FaultKind::StoreDown => self.store(StoreBehaviour::Down, duration).await,
+            FaultKind::StoreSilent => self.store(StoreBehaviour::Silent, duration).await,
+            FaultKind::StoreLosesAnswers => {
+                self.store(StoreBehaviour::LosesAnswers, duration).await
+            }
+            FaultKind::StoreSlow => {
+                self.store(StoreBehaviour::Slow(SLOW_STORE_DELAY), duration).await
+            }
+            FaultKind::CompactStore => self.fleet.store.compact(),
+            FaultKind::ReassignPartitions => self.fleet.store.reassign_partitions(),
+            FaultKind::RestoreStore => {
+                let age = duration.min(BACKUP_AGE_MAX);
+                self.fleet.store.restore_backup(age, REWRITE_DELAY);
+            }
+            FaultKind::CrashEngine => self.fleet.crash_engine(target, duration).await,
+            FaultKind::RestartEngine => self.fleet.restart_engine(target, duration).await,
+            FaultKind::CrashDomain => self.fleet.crash_domain(target, duration).await,
+            FaultKind::IsolateEngine => self.fleet.isolate_engine(target, duration).await,
+            FaultKind::DelayOrders => {
                 self.fleet
-                    .set_behaviour(whom, InstanceBehaviour::DelaysOrders(LATE_ORDERS), lasts)
+                    .set_behaviour(target, InstanceBehaviour::DelaysOrders(ORDER_DELAY), duration)
                     .await
             }
-            Kind::DrainInstance => self.fleet.drain(whom, lasts).await,
-            Kind::CrashGate => self.fleet.crash_gate(whom, lasts).await,
-            Kind::ResetInstance => self.fleet.reset(whom).await,
-            Kind::BadAnswers => self.fleet.set_behaviour(whom, bad_manner(whom), lasts).await,
-            Kind::NewConfig => self.fleet.new_config(),
-            Kind::RetireEngine => self.fleet.retire(whom, true).await,
-            Kind::RetireUnsaid => self.fleet.retire(whom, false).await,
+            FaultKind::DrainInstance => self.fleet.drain(target, duration).await,
+            FaultKind::CrashPlainInstance => {
+                self.fleet.crash_plain_instance(target, duration).await
+            }
+            FaultKind::ResetInstance => self.fleet.reset(target).await,
+            FaultKind::BadAnswers => {
+                self.fleet.set_behaviour(target, bad_answer_behaviour(target), duration).await
+            }
+            FaultKind::NewConfig => self.fleet.new_config(),
+            FaultKind::RetireEngine => self.fleet.retire(target, true).await,
+            FaultKind::RetireUnannounced => self.fleet.retire(target, false).await,
         }
     }
 
-    async fn kill(&self, whom: usize, lasts: Duration) {
-        let (i, node) = self.node(whom);
+    async fn kill(&self, target: usize, duration: Duration) {
+        let (i, node) = self.node(target);
         let mut node = node.lock().await;
         node.kill();
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         self.start(i, &mut node);
     }
 
-    async fn stop(&self, whom: usize) {
-        let (i, node) = self.node(whom);
+    async fn stop(&self, target: usize) {
+        let (i, node) = self.node(target);
         let mut node = node.lock().await;
-        node.wait_for_begin().await;
+        node.wait_for_first_log_line().await;
         node.signal(Signal::SIGTERM);
         if let Err(what) = node.wait_for_stop().await {
             self.breaches.lock().push(Breach { promise: Promise::StopCutsNothing, what });
@@ -433,16 +448,16 @@
         self.start(i, &mut node);
     }
 
-    async fn cut(&self, whom: usize, how: LinkState, lasts: Duration) {
-        let way = &self.ways[whom % self.ways.len()];
-        way.set_state(how).await;
-        tokio::time::sleep(lasts).await;
-        way.set_state(LinkState::Open).await;
+    async fn cut(&self, target: usize, how: LinkState, duration: Duration) {
+        let link = &self.links[target % self.links.len()];
+        link.set_state(how).await;
+        tokio::time::sleep(duration).await;
+        link.set_state(LinkState::Open).await;
     }
 
-    async fn store(&self, behaviour: StoreBehaviour, lasts: Duration) {
+    async fn store(&self, behaviour: StoreBehaviour, duration: Duration) {
         self.fleet.store.set_behaviour(behaviour);
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         self.fleet.store.set_behaviour(StoreBehaviour::Normal);
     }
 
@@ -461,20 +476,20 @@
             if began.elapsed() > within {
                 return false;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn serves(&self, address: SocketAddr) -> bool {
         let Some(key) = self.fleet.keys().pop() else { return false };
-        for asked in [Asked::Chat, Asked::Print] {
+        for kind in [RequestKind::Chat, RequestKind::Print] {
             let count = self.probes.fetch_add(1, Ordering::Relaxed);
             let id = format!("probe-{count}");
             let sent = Instant::now();
-            let req = caller::request(&id, &asked.path(&id), &key.text);
+            let req = caller::request(&id, &kind.path(&id), &key.text);
             let got = caller::send(address, req).await;
             let is_served = got.as_ref().is_ok_and(|(res, _)| res.status() == 200);
-            self.callers.note_probe(id, asked, &key.text, sent);
+            self.callers.note_probe(id, kind, &key.text, sent);
             if !is_served {
                 return false;
             }
@@ -492,8 +507,8 @@
 }
 
 /// One of the ways in which answers go wrong.
-fn bad_manner(whom: usize) -> InstanceBehaviour {
-    const MANNERS: [InstanceBehaviour; 7] = [
+fn bad_answer_behaviour(target: usize) -> InstanceBehaviour {
+    const BEHAVIOURS: [InstanceBehaviour; 7] = [
         InstanceBehaviour::Refuses,
         InstanceBehaviour::Breaks,
         InstanceBehaviour::Fails,
@@ -502,5 +517,5 @@
         InstanceBehaviour::TruncatesEvent,
         InstanceBehaviour::Slow,
     ];
-    MANNERS[whom / 7 % MANNERS.len()]
+    BEHAVIOURS[target / 7 % BEHAVIOURS.len()]
 }
--- a/crates/workshold-soak/tests/judge.rs
+++ b/crates/workshold-soak/tests/judge.rs
@@ -7,9 +7,9 @@
 use workshold_platform_standin::instance::STREAM_EVENTS;
 use workshold_platform_standin::monitor::Arrival;
 use workshold_platform_standin::monitor::Run;
-use workshold_soak::callers::Asked;
+use workshold_soak::callers::CallerResult;
 use workshold_soak::callers::Outcome;
-use workshold_soak::callers::Seen;
+use workshold_soak::callers::RequestKind;
 use workshold_soak::fleet::Key;
 use workshold_soak::judge::Promise;
 use workshold_soak::judge::Record;
@@ -25,26 +25,26 @@
     numbers.map(|n| format!("id: {n}\ndata: token {n} of {id}\n\n")).collect()
 }
 
-fn answer(status: u16, stamp: Option<&str>, text: String) -> Seen {
-    Seen::Answer { status, stamp: stamp.map(str::to_owned), text }
+fn answer(status: u16, stamp: Option<&str>, text: String) -> CallerResult {
+    CallerResult::Answer { status, stamp: stamp.map(str::to_owned), text }
 }
 
 impl Case {
-    fn new(asked: Asked) -> Self {
+    fn new(kind: RequestKind) -> Self {
         let start = Instant::now();
         let at = |secs: u64| start + Duration::from_secs(secs);
-        let text = match asked {
-            Asked::Chat => events("r-1", 1..=STREAM_EVENTS),
-            Asked::Print | Asked::Plate => format!("i-1 {}", asked.path("r-1")),
+        let text = match kind {
+            RequestKind::Chat => events("r-1", 1..=STREAM_EVENTS),
+            RequestKind::Print | RequestKind::Plate => format!("i-1 {}", kind.path("r-1")),
         };
         let outcome = Outcome {
             id: "r-1".to_owned(),
-            asked,
+            kind,
             key: "key-1".to_owned(),
             node: (0, 1),
             sent: at(2),
             ended: at(3),
-            seen: answer(200, Some("i-1"), text),
+            result: answer(200, Some("i-1"), text),
         };
         let run = Run {
             request: "r-1".to_owned(),
@@ -52,7 +52,7 @@
             team: Some("night-desk".to_owned()),
             at: at(2),
         };
-        let key = Key { text: "key-1".to_owned(), since_version: 1, since: start, taken: None };
+        let key = Key { text: "key-1".to_owned(), since_version: 1, since: start, revoked: None };
         let record = Record {
             outcomes: vec![outcome],
             runs: vec![run],
@@ -67,8 +67,8 @@
         self.start + Duration::from_secs(secs)
     }
 
-    fn seen(mut self, seen: Seen) -> Self {
-        self.record.outcomes[0].seen = seen;
+    fn with_result(mut self, result: CallerResult) -> Self {
+        self.record.outcomes[0].result = result;
         self
     }
 
@@ -78,17 +78,17 @@
         self
     }
 
-    fn broken(&self) -> Vec<Promise> {
+    fn broken_promises(&self) -> Vec<Promise> {
         judge(&self.record).into_iter().map(|breach| breach.promise).collect()
     }
 }
 
 #[rstest]
-#[case::stream(Asked::Chat)]
-#[case::once(Asked::Print)]
-#[case::again(Asked::Plate)]
-fn what_is_as_it_should_be_breaks_nothing(#[case] asked: Asked) {
-    assert_eq!(Case::new(asked).broken(), []);
+#[case::stream(RequestKind::Chat)]
+#[case::once(RequestKind::Print)]
+#[case::again(RequestKind::Plate)]
+fn what_is_as_it_should_be_breaks_nothing(#[case] kind: RequestKind) {
+    assert_eq!(Case::new(kind).broken_promises(), []);
 }
 
 #[rstest]
@@ -96,110 +96,120 @@
 #[case::twice(events("r-1", (1..=5).chain(5..=STREAM_EVENTS)))]
 #[case::anothers(events("r-2", 1..=STREAM_EVENTS))]
 fn a_stream_that_is_not_its_whole_own_answer_is_seen(#[case] text: String) {
-    let case = Case::new(Asked::Chat).seen(answer(200, Some("i-1"), text));
-    assert_eq!(case.broken(), [Promise::OwnWholeAnswer]);
+    let case = Case::new(RequestKind::Chat).with_result(answer(200, Some("i-1"), text));
+    assert_eq!(case.broken_promises(), [Promise::OwnWholeAnswer]);
 }
 
 #[rstest]
 #[case::without_proof(answer(200, None, String::new()))]
 #[case::of_one_that_did_not_run_it(answer(200, Some("i-9"), "i-9 /print/r-1".to_owned()))]
 #[case::proof_of_another_status(answer(404, Some("i-1"), String::new()))]
-fn a_proof_that_does_not_fit_is_seen(#[case] seen: Seen) {
-    assert_eq!(Case::new(Asked::Print).seen(seen).broken(), [Promise::OwnWholeAnswer]);
+fn a_proof_that_does_not_fit_is_seen(#[case] result: CallerResult) {
+    assert_eq!(
+        Case::new(RequestKind::Print).with_result(result).broken_promises(),
+        [Promise::OwnWholeAnswer]
+    );
 }
 
 #[test]
 fn what_may_run_once_and_ran_twice_is_seen() {
-    assert_eq!(Case::new(Asked::Print).run_again("i-2").broken(), [Promise::AtMostOnce]);
-    assert_eq!(Case::new(Asked::Chat).run_again("i-2").broken(), [], "a stream may go on");
+    assert_eq!(
+        Case::new(RequestKind::Print).run_again("i-2").broken_promises(),
+        [Promise::AtMostOnce]
+    );
+    assert_eq!(
+        Case::new(RequestKind::Chat).run_again("i-2").broken_promises(),
+        [],
+        "a stream may go on"
+    );
 }
 
 #[rstest]
 #[case(429)]
 #[case(503)]
 fn a_refusal_of_what_has_run_is_seen(#[case] status: u16) {
-    let case = Case::new(Asked::Print).seen(answer(status, None, String::new()));
-    assert_eq!(case.broken(), [Promise::NotRunMeansNotRun]);
-    let unknown = Case::new(Asked::Print).seen(answer(502, None, String::new()));
-    assert_eq!(unknown.broken(), []);
+    let case = Case::new(RequestKind::Print).with_result(answer(status, None, String::new()));
+    assert_eq!(case.broken_promises(), [Promise::NotRunMeansNotRun]);
+    let unknown = Case::new(RequestKind::Print).with_result(answer(502, None, String::new()));
+    assert_eq!(unknown.broken_promises(), []);
 }
 
 #[test]
 fn a_run_that_nobody_asked_for_is_seen() {
-    let mut case = Case::new(Asked::Print);
+    let mut case = Case::new(RequestKind::Print);
     case.record.runs[0].team = Some("another".to_owned());
-    assert_eq!(case.broken(), [Promise::OnlyWhatWasAsked]);
-    let mut case = Case::new(Asked::Print).run_again("i-1");
+    assert_eq!(case.broken_promises(), [Promise::OnlyWhatWasAsked]);
+    let mut case = Case::new(RequestKind::Print).run_again("i-1");
     case.record.runs[1].request = "r-9".to_owned();
-    assert_eq!(case.broken(), [Promise::OnlyWhatWasAsked]);
+    assert_eq!(case.broken_promises(), [Promise::OnlyWhatWasAsked]);
 }
 
 #[test]
 fn a_key_that_is_believed_for_too_long_is_seen() {
-    let mut case = Case::new(Asked::Print);
-    case.record.keys[0].taken = Some((4, case.at(0)));
-    assert_eq!(case.broken(), [], "two seconds after it was taken away");
+    let mut case = Case::new(RequestKind::Print);
+    case.record.keys[0].revoked = Some((4, case.at(0)));
+    assert_eq!(case.broken_promises(), [], "two seconds after it was taken away");
     case.record.outcomes[0].sent = case.at(6);
     case.record.outcomes[0].ended = case.at(7);
-    assert_eq!(case.broken(), [Promise::KeysInTime]);
+    assert_eq!(case.broken_promises(), [Promise::KeysInTime]);
 }
 
 #[test]
 fn a_configuration_that_goes_back_is_seen() {
-    let mut case = Case::new(Asked::Print);
+    let mut case = Case::new(RequestKind::Print);
     let since = case.at(1);
-    let newer = Key { text: "key-4".to_owned(), since_version: 4, since, taken: None };
+    let newer = Key { text: "key-4".to_owned(), since_version: 4, since, revoked: None };
     case.record.keys.push(newer);
     let mut denied = case.record.outcomes[0].clone();
     denied.id = "r-2".to_owned();
     denied.key = "key-4".to_owned();
     denied.sent = case.at(5);
     denied.ended = case.at(6);
-    denied.seen = answer(401, None, String::new());
+    denied.result = answer(401, None, String::new());
     case.record.outcomes.push(denied);
-    assert_eq!(case.broken(), [], "it may not have come yet");
+    assert_eq!(case.broken_promises(), [], "it may not have come yet");
     case.record.outcomes[0].key = "key-4".to_owned();
-    assert_eq!(case.broken(), [Promise::OnlyForward]);
+    assert_eq!(case.broken_promises(), [Promise::OnlyForward]);
     case.record.outcomes[1].node = (0, 2);
-    assert_eq!(case.broken(), [], "another life of the node begins anew");
+    assert_eq!(case.broken_promises(), [], "another life of the node begins anew");
 }
 
 #[test]
 fn a_new_key_that_is_denied_for_too_long_after_a_silence_is_seen() {
-    let mut case = Case::new(Asked::Print).seen(answer(401, None, String::new()));
+    let mut case = Case::new(RequestKind::Print).with_result(answer(401, None, String::new()));
     case.record.runs.clear();
     case.record.silences = Some((case.at(0), case.at(8)));
     case.record.outcomes[0].sent = case.at(3);
-    assert_eq!(case.broken(), [], "it may not have come yet");
+    assert_eq!(case.broken_promises(), [], "it may not have come yet");
     case.record.outcomes[0].sent = case.at(4);
-    assert_eq!(case.broken(), [Promise::InForceInTime]);
+    assert_eq!(case.broken_promises(), [Promise::InForceInTime]);
     case.record.silences = Some((case.at(1), case.at(8)));
-    assert_eq!(case.broken(), [], "it was written among other faults");
+    assert_eq!(case.broken_promises(), [], "it was written among other faults");
     case.record.silences = None;
-    assert_eq!(case.broken(), [], "faults may have hidden it");
+    assert_eq!(case.broken_promises(), [], "faults may have hidden it");
 }
 
 #[test]
 fn new_work_for_who_is_leaving_is_seen() {
-    let mut case = Case::new(Asked::Print);
+    let mut case = Case::new(RequestKind::Print);
     case.record.outcomes[0].sent = case.at(6);
     case.record.runs[0].at = case.at(6);
     case.record.leaving.insert("i-1".to_owned(), case.at(2));
-    assert_eq!(case.broken(), [Promise::LeavingGetsNothing]);
-    case.record.hidden.push((case.at(1), case.at(7)));
-    assert_eq!(case.broken(), [], "a fault may have hidden its word");
+    assert_eq!(case.broken_promises(), [Promise::LeavingGetsNothing]);
+    case.record.visibility_faults.push((case.at(1), case.at(7)));
+    assert_eq!(case.broken_promises(), [], "a fault may have hidden its word");
 }
 
 #[test]
 fn a_cut_in_calm_is_seen_and_one_under_faults_is_not() {
-    let mut case = Case::new(Asked::Chat).seen(Seen::Cut("reset".to_owned()));
-    assert_eq!(case.broken(), [Promise::StopCutsNothing]);
+    let mut case = Case::new(RequestKind::Chat).with_result(CallerResult::Cut("reset".to_owned()));
+    assert_eq!(case.broken_promises(), [Promise::StopCutsNothing]);
     case.record.planned = Some((case.at(3), case.at(4)));
-    assert_eq!(case.broken(), [Promise::PlannedCutsNothing]);
+    assert_eq!(case.broken_promises(), [Promise::PlannedCutsNothing]);
     case.record.planned = Some((case.at(4), case.at(5)));
-    assert_eq!(case.broken(), [Promise::StopCutsNothing], "planned work came later");
+    assert_eq!(case.broken_promises(), [Promise::StopCutsNothing], "planned work came later");
     case.record.outcomes[0].ended = case.at(12);
-    assert_eq!(case.broken(), []);
+    assert_eq!(case.broken_promises(), []);
 }
 
 /// Once three have ended, and all had the time to hear, three more are too many by one.
@@ -238,7 +248,7 @@
 /// Requests of two nodes at one instance that asks node 0 for three seconds of rest at second two:
 /// those of node 0 come at these times, in tenths of a second.
 fn resting(of_node_0: &[u64], of_node_1: &[u64], leaves: bool) -> Vec<Promise> {
-    let mut case = Case::new(Asked::Chat);
+    let mut case = Case::new(RequestKind::Chat);
     let at = |tenths: u64| case.start + Duration::from_millis(tenths * 100);
     let first = (0, 20);
     let others = of_node_0.iter().map(|at| (0, *at)).chain(of_node_1.iter().map(|at| (1, *at)));
@@ -251,7 +261,7 @@
             node: (node, 1),
             sent: at(tenths),
             ended: at(tenths),
-            seen: answer(503, None, String::new()),
+            result: answer(503, None, String::new()),
             ..case.record.outcomes[0].clone()
         });
         arrivals.push(Arrival {
--- a/crates/workshold-soak/tests/plan.rs
+++ b/crates/workshold-soak/tests/plan.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use workshold_soak::plan::Kind;
+use workshold_soak::plan::FaultKind;
 use workshold_soak::plan::draw;
 use workshold_soak::plan::draw_limits;
 use workshold_soak::plan::draw_planned;
-use workshold_soak::plan::draw_rests;
-use workshold_soak::plan::draw_with_copies;
-use workshold_soak::plan::draw_with_new_lives;
+use workshold_soak::plan::draw_retry_after_faults;
+use workshold_soak::plan::draw_with_restarts;
+use workshold_soak::plan::draw_with_restores;
 
 const LENGTH: Duration = Duration::from_secs(12);
 
@@ -28,7 +28,7 @@
         assert!(faults.len() >= 8, "seed {seed}: {} faults", faults.len());
         assert!(faults.windows(2).all(|pair| pair[0].at <= pair[1].at));
         assert!(faults.iter().all(|fault| fault.at < LENGTH));
-        overlaps += faults.windows(2).filter(|p| p[0].at + p[0].lasts > p[1].at).count();
+        overlaps += faults.windows(2).filter(|p| p[0].at + p[0].duration > p[1].at).count();
         kinds.extend(faults.iter().map(|fault| format!("{:?}", fault.kind)));
     }
     assert_eq!(kinds.len(), 24, "{kinds:?}");
@@ -37,8 +37,8 @@
 
 #[test]
 fn engines_begin_anew_beside_all_other_faults() {
-    let with: Vec<_> = (0..50).flat_map(|seed| draw_with_new_lives(seed, LENGTH)).collect();
-    let anew = with.iter().filter(|fault| fault.kind == Kind::BeginAnew).count();
+    let with: Vec<_> = (0..50).flat_map(|seed| draw_with_restarts(seed, LENGTH)).collect();
+    let anew = with.iter().filter(|fault| fault.kind == FaultKind::RestartEngine).count();
     assert!(anew * 6 > with.len() && anew * 3 < with.len(), "{anew} of {}", with.len());
     let kinds: BTreeSet<_> = with.iter().map(|fault| format!("{:?}", fault.kind)).collect();
     assert_eq!(kinds.len(), 25, "{kinds:?}");
@@ -46,8 +46,8 @@
 
 #[test]
 fn the_store_comes_back_from_copies_beside_all_other_faults() {
-    let with: Vec<_> = (0..50).flat_map(|seed| draw_with_copies(seed, LENGTH)).collect();
-    let returns = with.iter().filter(|fault| fault.kind == Kind::StoreReturns).count();
+    let with: Vec<_> = (0..50).flat_map(|seed| draw_with_restores(seed, LENGTH)).collect();
+    let returns = with.iter().filter(|fault| fault.kind == FaultKind::RestoreStore).count();
     assert!(returns * 9 > with.len() && returns * 4 < with.len(), "{returns} of {}", with.len());
     let kinds: BTreeSet<_> = with.iter().map(|fault| format!("{:?}", fault.kind)).collect();
     assert_eq!(kinds.len(), 26, "{kinds:?}");
@@ -66,15 +66,15 @@
 fn limits_last_overlap_and_go_down_to_nothing() {
     let limits: Vec<_> = (0..50).flat_map(|seed| draw_limits(seed, 4)).collect();
     assert_eq!(draw_limits(7, 4), draw_limits(7, 4));
-    assert!(limits.iter().all(|limit| limit.lasts > Duration::from_secs(4)));
-    assert!(limits.iter().all(|limit| limit.after < limit.lasts));
+    assert!(limits.iter().all(|limit| limit.duration > Duration::from_secs(4)));
+    assert!(limits.iter().all(|limit| limit.delay < limit.duration));
     assert!(limits.iter().any(|limit| limit.tenths == 0));
 }
 
 #[test]
 fn some_of_those_that_rest_leave() {
-    let rests: Vec<_> = (0..50).flat_map(|seed| draw_rests(seed, 4)).collect();
-    assert_eq!(draw_rests(7, 4), draw_rests(7, 4));
+    let rests: Vec<_> = (0..50).flat_map(|seed| draw_retry_after_faults(seed, 4)).collect();
+    assert_eq!(draw_retry_after_faults(7, 4), draw_retry_after_faults(7, 4));
     let leave = rests.iter().filter(|resting| resting.tenths.is_none()).count();
     assert!(leave * 5 > rests.len() && leave * 2 < rests.len(), "{leave} of {}", rests.len());
 }
