--- a/crates/workshold-soak/src/callers.rs
+++ b/crates/workshold-soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! The load, and what became of each request.
+//! Generates the load and records the result of each request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,19 +16,19 @@
 
 use crate::fleet::Fleet;
 
-/// What a request asks for.
+/// Kind of request, which decides its path and whether it may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A stream.
+    /// A streamed answer.
     Chat,
-    /// What may run once only.
+    /// A request that must run at most once.
     Print,
-    /// What may be repeated.
+    /// A request that may be repeated.
     Plate,
 }
 
 impl RequestKind {
-    /// The path of such a request.
+    /// Path of a request of this kind.
     pub fn path(self, id: &str) -> String {
         match self {
             Self::Chat => format!("/chat/{id}"),
@@ -38,57 +38,57 @@
     }
 }
 
-/// What a caller saw.
+/// Result of a request as its caller saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerResult {
-    /// A whole answer.
+    /// A complete answer.
     Answer {
-        /// Its status.
+        /// HTTP status.
         status: u16,
-        /// Whose proof it carries.
+        /// Instance named in the proof of execution; `None` if there is no proof.
         stamp: Option<String>,
-        /// Its body.
+        /// Body of the answer.
         text: String,
     },
-    /// No connection came up.
+    /// The connection could not be established.
     NoConnection,
-    /// The connection ended without a whole answer.
+    /// The connection broke before the answer was complete, with the reason.
     Cut(String),
-    /// The caller left before the end.
+    /// The caller disconnected before the end.
     Left,
 }
 
-/// One request from its start to its end.
+/// One request and its result.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// What it asked for.
+    /// Kind of request.
     pub kind: RequestKind,
-    /// The key that it carried.
+    /// API key that it carried.
     pub key: String,
-    /// The node that it went to, and which life of it.
+    /// Index of the node that it was sent to, and the node's incarnation.
     pub node: (usize, u32),
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Instant,
-    /// When it ended.
+    /// Time at which it ended.
     pub ended: Instant,
-    /// What was seen.
+    /// What the caller saw.
     pub result: CallerResult,
 }
 
-/// Where callers find nodes.
+/// Addresses at which callers reach a node.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeEndpoint {
-    /// For requests.
+    /// Address for requests.
     pub callers: SocketAddr,
-    /// For the question which addresses to use.
+    /// Address of the directory.
     pub directory: SocketAddr,
-    /// The node's life.
+    /// Incarnation of the node.
     pub incarnation: u32,
 }
 
-/// All callers.
+/// All callers, and the results of their requests.
 pub struct Callers {
     fleet: Arc<Fleet>,
     endpoints: Mutex<Vec<NodeEndpoint>>,
@@ -96,43 +96,44 @@
     is_stopped: Mutex<bool>,
 }
 
-/// Ids of requests that end whoever runs them begin with this.
+/// Prefix of the ids of requests that crash any instance which runs them.
 pub const CRASH_ID_PREFIX: &str = "ends-";
 const CRASH_PATH: &str = "/chat/ending";
-/// How often such a request is asked, and the number that its caller draws by.
+/// Interval between such requests.
 const CRASH_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
+/// Caller number that seeds the random generator for such requests.
 const CRASH_CALLER_NUMBER: u64 = 999;
-/// Pause of a caller between two requests, in milliseconds.
+/// Pause of a caller between two requests.
 const PAUSE_MS: (u64, u64) = (20, 120);
-/// How long addresses are used before they are asked for again.
+/// How long resolved addresses are used before they are resolved again.
 const ADDRESS_TTL: Duration = Duration::from_millis(500);
-/// One caller in so many leaves its stream early.
+/// One stream in this many is abandoned early by its caller.
 const EARLY_DISCONNECT_ONE_IN: u32 = 12;
-/// One request in so many carries a key that was taken away.
+/// One request in this many carries a revoked key, if there is one.
 const REVOKED_KEY_ONE_IN: u32 = 6;
 
-/// Where all nodes and callers are.
+/// Data centre of all nodes and callers.
 const DATA_CENTRE: &str = "a";
 
 impl Callers {
-    /// Callers of the nodes behind `endpoints`.
+    /// Creates the callers of the nodes at `endpoints`.
     pub fn new(fleet: Arc<Fleet>, endpoints: Vec<NodeEndpoint>) -> Arc<Self> {
         let (outcomes, is_stopped) = (Mutex::default(), Mutex::new(false));
         Arc::new(Self { fleet, endpoints: Mutex::new(endpoints), outcomes, is_stopped })
     }
 
-    /// A node has begun another life.
+    /// Records that a node was started again.
     pub fn set_incarnation(&self, node: usize, incarnation: u32) {
         self.endpoints.lock()[node].incarnation = incarnation;
     }
 
-    /// No more requests are sent.
+    /// Makes all callers stop after their current request.
     pub fn stop(&self) {
         *self.is_stopped.lock() = true;
     }
 
-    /// A request of the soak's own, sent to see whether nodes serve; what it saw is
-    /// judged where it was sent.
+    /// Records a request that the soak itself sent, so that its runs count as requested. The sender
+    /// evaluates its result.
     pub fn note_probe(&self, id: String, kind: RequestKind, key: &str, sent: Instant) {
         let (node, result) = ((usize::MAX, 0), CallerResult::Left);
         let key = key.to_owned();
@@ -140,12 +141,12 @@
         self.outcomes.lock().push(Outcome { id, kind, key, node, sent, ended, result });
     }
 
-    /// What became of all requests so far.
+    /// Results of all requests so far.
     pub fn outcomes(&self) -> Vec<Outcome> {
         self.outcomes.lock().clone()
     }
 
-    /// One caller until the end; `number` tells it from others.
+    /// Runs one caller until [`Self::stop`]; `number` distinguishes its random draws and ids.
     pub async fn call(self: Arc<Self>, seed: u64, number: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(number));
         let mut addresses: (Vec<SocketAddr>, Instant) = (Vec::new(), Instant::now());
@@ -163,13 +164,13 @@
             count += 1;
             let id = format!("r-{seed}-{number}-{count}");
             if !self.request(&mut rng, id, address).await {
-                // Whoever cannot be reached is not asked again soon.
+                // Skips an unreachable address until the next resolution.
                 addresses.0.retain(|known| *known != address);
             }
         }
     }
 
-    /// Asks for what ends whoever runs it, at any node, until the end.
+    /// Sends crashing requests to random nodes until [`Self::stop`].
     pub async fn send_crash_requests(self: Arc<Self>, seed: u64) {
         let mut rng =
             ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(CRASH_CALLER_NUMBER));
@@ -183,7 +184,7 @@
             let id = format!("{CRASH_ID_PREFIX}{seed}-{count}");
             let sent = Instant::now();
             let req = caller::request_with(&id, CRASH_PATH, &key.text, CRASH_BODY);
-            // Whatever comes back: what counts is where it ran.
+            // The answer does not matter; the judge counts where the request ran.
             let _ = caller::send(endpoint.callers, req).await;
             self.note_probe(id, RequestKind::Chat, &key.text, sent);
         }
@@ -195,7 +196,7 @@
         caller::resolve(endpoint.directory, DATA_CENTRE).await
     }
 
-    /// Sends one request; whether a connection came up.
+    /// Sends one request; returns whether a connection was established.
     async fn request(&self, rng: &mut ChaCha8Rng, id: String, address: SocketAddr) -> bool {
         let kind = match rng.random_range(0..10) {
             0..6 => RequestKind::Chat,
@@ -231,7 +232,7 @@
         is_reached
     }
 
-    /// Mostly the newest key, at times one that was taken away.
+    /// Picks the newest key, or at times a revoked one.
     fn key(&self, rng: &mut ChaCha8Rng) -> String {
         let keys = self.fleet.keys();
         let old: Vec<_> = keys.iter().filter(|key| key.revoked.is_some()).collect();
--- a/crates/workshold-soak/src/fleet.rs
+++ b/crates/workshold-soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Store, instances and the ways to them, and what befalls these.
+//! The stand-ins for the store and the instances, the links to them, and the faults of these.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,58 +15,60 @@
 use workshold_platform_standin::proxy::Proxy;
 use workshold_platform_standin::store::StandInStore;
 
-/// An entry of the list disappears this long after its instance fell silent.
+/// An entry in the store's list disappears this long after its instance stops writing it.
 const ENTRY_TTL: Duration = Duration::from_secs(3);
-/// An instance that leaves serves on for this long.
+/// A draining instance still accepts requests for this long.
 pub const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// A member that leaves stays for this long at most while the head of its group works.
+/// A draining member waits at most this long for the head of its group to finish its work.
 const MEMBER_STAY_MAX: Duration = Duration::from_secs(10);
-/// Until the last bytes of an answer are out.
+/// Time for the last bytes of an answer to be sent.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// An instance that starts again under its id is back by then.
+/// An instance that restarts under its id is back within this time.
 const RESTART_TIME_MAX: Duration = Duration::from_millis(1_500);
-/// One clock in so many goes back by this between two lives; and one life in so many
-/// leaves words behind that come this much after the first of the next.
+/// In one restart in this many, the clock goes back by [`CLOCK_BACK_MS`] between two incarnations.
 const CLOCK_BACK_ONE_IN: usize = 10;
 const CLOCK_BACK_MS: u64 = 3_000;
+/// In one restart in this many, the previous incarnation's entry is written again
+/// [`STALE_ENTRY_DELAY`] after the first entry of the new incarnation.
 const STALE_ENTRY_ONE_IN: usize = 3;
 const STALE_ENTRY_DELAY: Duration = Duration::from_millis(300);
-/// How often it is looked whether engines have ended, and when they come back.
+/// Interval between checks for engines that a request has crashed.
 const CRASH_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time until such an engine is replaced.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(4_000);
-/// How often an instance looks whether its entry says what it does.
+/// Interval at which an instance checks its own entry in the store's list.
 const CHECK_IN_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// How large the deployment is.
+/// Size of the deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Fabric domains.
+    /// Number of fabric domains.
     pub domains: usize,
-    /// Engines in each.
+    /// Number of engines per fabric domain.
     pub engines: usize,
-    /// Engines of a group.
+    /// Number of engines per group.
     pub group: usize,
-    /// Instances of the plain service.
+    /// Number of instances of the plain service, which has no groups.
     pub gates: usize,
 }
 
-/// A key, and when configurations with and without it were acknowledged.
+/// An API key, and when the store acknowledged the configurations that added and revoked it.
 #[derive(Debug, Clone)]
 pub struct Key {
-    /// Its text.
+    /// The key as callers send it.
     pub text: String,
-    /// The version that brought it.
+    /// Version of the configuration that added it.
     pub since_version: u64,
-    /// When that was acknowledged.
+    /// When the store acknowledged that version.
     pub since: Instant,
-    /// The version that took it away, and when that was acknowledged.
+    /// Version that revoked it and when the store acknowledged that; `None` while it is in force.
     pub revoked: Option<(u64, Instant)>,
 }
 
-/// Where an instance listens, and where the list says it does.
+/// An instance and the proxy whose address the store's list gives for it.
 struct Slot {
     instance: StandInInstance,
     link: Proxy,
@@ -74,29 +76,30 @@
     service: &'static str,
 }
 
-/// All that nodes talk to.
+/// The store and all instances.
 pub struct Fleet {
-    /// The store.
+    /// Stand-in for the store.
     pub store: Arc<StandInStore>,
     slots: Mutex<Vec<Arc<tokio::sync::Mutex<Slot>>>>,
     engines: usize,
     size: Size,
     keys: Mutex<Vec<Key>>,
     incarnations: Mutex<u64>,
-    /// How new lives treat requests.
+    /// Behaviour of instances that are started from now on.
     behaviour: Mutex<InstanceBehaviour>,
-    /// When instances stated that they will end.
+    /// When each draining or retired instance began to leave, by its name.
     leaving: Mutex<BTreeMap<String, Instant>>,
 }
 
-/// The first version, and what each new one adds.
+/// Version of the first configuration.
 const FIRST_VERSION: u64 = 1;
+/// Difference between the versions of successive configurations.
 const VERSION_STEP: u64 = 3;
-/// Keys in force at once.
+/// Number of keys in force at the same time.
 const KEYS_IN_FORCE: usize = 2;
 
 impl Fleet {
-    /// Starts store and instances.
+    /// Starts the store and the instances.
     pub async fn start(size: Size) -> Arc<Self> {
         let store = Arc::new(StandInStore::start().await);
         let first = Key {
@@ -118,17 +121,17 @@
         });
         for i in 0..fleet.engines {
             let domain = format!("a-d{}", i / size.engines);
-            let seat = fleet.start_slot("llm", Some(domain)).await;
-            fleet.slots.lock().push(Arc::new(tokio::sync::Mutex::new(seat)));
+            let slot = fleet.start_slot("llm", Some(domain)).await;
+            fleet.slots.lock().push(Arc::new(tokio::sync::Mutex::new(slot)));
         }
         for _ in 0..size.gates {
-            let seat = fleet.start_slot("gate", None).await;
-            fleet.slots.lock().push(Arc::new(tokio::sync::Mutex::new(seat)));
+            let slot = fleet.start_slot("gate", None).await;
+            fleet.slots.lock().push(Arc::new(tokio::sync::Mutex::new(slot)));
         }
         fleet
     }
 
-    /// A new life at a new address.
+    /// Starts an instance under a new id and at a new address.
     async fn start_slot(&self, service: &'static str, domain: Option<String>) -> Slot {
         let incarnation = {
             let mut incarnations = self.incarnations.lock();
@@ -161,44 +164,45 @@
         self.pick(0, self.engines + self.size.gates, target)
     }
 
-    /// An engine crashes, and a new life of it comes.
+    /// Crashes an engine, and replaces it after `duration`.
     pub async fn crash_engine(&self, target: usize, duration: Duration) {
         self.crash(self.engine(target), duration).await;
     }
 
-    /// An engine crashes and starts again at its address under its id, before its entry is
-    /// gone; its host keeps what it had. Now and then its last life's words come once more.
+    /// Crashes an engine and restarts it at the same address under the same id, before its entry
+    /// expires; the state of its host is kept. At times the previous incarnation's entry is written
+    /// once more.
     pub async fn restart_engine(&self, target: usize, duration: Duration) {
-        let seat = self.engine(target);
-        let mut seat = seat.lock().await;
-        let last_entry = self.store.newest("keyed.servers", seat.instance.name());
-        seat.instance.crash();
-        seat.link.set_target(None);
+        let slot = self.engine(target);
+        let mut slot = slot.lock().await;
+        let last_entry = self.store.newest("keyed.servers", slot.instance.name());
+        slot.instance.crash();
+        slot.link.set_target(None);
         tokio::time::sleep(duration.min(RESTART_TIME_MAX)).await;
-        let last = seat.instance.identity();
+        let last = slot.instance.identity();
         let born = match target % CLOCK_BACK_ONE_IN {
             0 => last.born.map(|born| born - CLOCK_BACK_MS),
             _ => last.born.map(|born| born + 1 + duration.as_millis() as u64),
         };
         let next = StandInInstance::start(Identity { born, ..last }, &self.store).await;
         next.set_behaviour(*self.behaviour.lock());
-        seat.link.set_target(Some(next.address()));
-        seat.instance = next;
+        slot.link.set_target(Some(next.address()));
+        slot.instance = next;
         if let Some(entry) = last_entry.filter(|_| target % STALE_ENTRY_ONE_IN == 1) {
             tokio::time::sleep(STALE_ENTRY_DELAY).await;
-            self.store.put("keyed.servers", seat.instance.name(), &entry);
+            self.store.put("keyed.servers", slot.instance.name(), &entry);
             tokio::time::sleep(CHECK_IN_INTERVAL).await;
-            seat.instance.write_entry();
+            slot.instance.write_entry();
         }
     }
 
-    /// A plain instance crashes, and a new life of it comes.
+    /// Crashes an instance of the plain service, and replaces it after `duration`.
     pub async fn crash_plain_instance(&self, target: usize, duration: Duration) {
         let gate = self.pick(self.engines, self.engines + self.size.gates, target);
         self.crash(gate, duration).await;
     }
 
-    /// All engines of a domain crash.
+    /// Crashes all engines of a fabric domain.
     pub async fn crash_domain(self: &Arc<Self>, target: usize, duration: Duration) {
         let first = target % self.size.domains * self.size.engines;
         let mut crashes = tokio::task::JoinSet::new();
@@ -209,60 +213,60 @@
         crashes.join_all().await;
     }
 
-    /// Engines that a request has ended refuse connections at once, as any process that is
-    /// gone, and come back as another life; until this is given up.
+    /// Replaces engines that a request has crashed, until the task is aborted. Such an engine
+    /// refuses connections at once, like any process that has exited.
     pub async fn replace_crashed(self: Arc<Self>) {
         let mut restarting = BTreeMap::new();
         loop {
             tokio::time::sleep(CRASH_POLL_INTERVAL).await;
             restarting.retain(|_, task: &mut JoinHandle<()>| !task.is_finished());
             for i in (0..self.engines).filter(|i| !restarting.contains_key(i)).collect::<Vec<_>>() {
-                let seat = self.engine(i);
-                let has_ended = seat.try_lock().is_ok_and(|seat| seat.instance.has_ended());
+                let slot = self.engine(i);
+                let has_ended = slot.try_lock().is_ok_and(|slot| slot.instance.has_ended());
                 if has_ended {
                     let fleet = Arc::clone(&self);
-                    let task = tokio::spawn(async move { fleet.crash(seat, CRASH_DOWNTIME).await });
+                    let task = tokio::spawn(async move { fleet.crash(slot, CRASH_DOWNTIME).await });
                     restarting.insert(i, task);
                 }
             }
         }
     }
 
-    async fn crash(&self, seat: Arc<tokio::sync::Mutex<Slot>>, duration: Duration) {
-        let mut seat = seat.lock().await;
-        seat.instance.crash();
-        // Nothing listens there any more; what takes its place listens elsewhere.
-        seat.link = Proxy::start();
+    async fn crash(&self, slot: Arc<tokio::sync::Mutex<Slot>>, duration: Duration) {
+        let mut slot = slot.lock().await;
+        slot.instance.crash();
+        // Nothing listens at the old address any more; the replacement gets a new one.
+        slot.link = Proxy::start();
         tokio::time::sleep(duration.min(ENTRY_TTL)).await;
         if duration >= ENTRY_TTL {
-            seat.instance.drop_entry();
+            slot.instance.drop_entry();
             tokio::time::sleep(duration - ENTRY_TTL).await;
         }
-        let next = self.start_slot(seat.service, seat.domain.clone()).await;
-        // The old life's entry disappears by itself, if it has not yet.
-        let old = std::mem::replace(&mut *seat, next);
+        let next = self.start_slot(slot.service, slot.domain.clone()).await;
+        // The old incarnation's entry expires, if it has not yet.
+        let old = std::mem::replace(&mut *slot, next);
         tokio::spawn(async move {
             tokio::time::sleep(ENTRY_TTL).await;
             old.instance.drop_entry();
         });
     }
 
-    /// Nobody reaches an engine for a while.
+    /// Makes an engine unreachable for `duration` while it keeps running.
     pub async fn isolate_engine(&self, target: usize, duration: Duration) {
-        let seat = self.engine(target);
-        let seat = seat.lock().await;
-        seat.instance.isolate();
-        seat.link.set_state(LinkState::Silent).await;
+        let slot = self.engine(target);
+        let slot = slot.lock().await;
+        slot.instance.isolate();
+        slot.link.set_state(LinkState::Silent).await;
         tokio::time::sleep(duration.min(ENTRY_TTL)).await;
         if duration >= ENTRY_TTL {
-            seat.instance.drop_entry();
+            slot.instance.drop_entry();
             tokio::time::sleep(duration - ENTRY_TTL).await;
         }
-        seat.link.set_state(LinkState::Open).await;
-        seat.instance.reconnect();
+        slot.link.set_state(LinkState::Open).await;
+        slot.instance.reconnect();
     }
 
-    /// An instance treats requests or orders like this for a while.
+    /// Sets the behaviour of an instance for `duration`; some behaviours apply to engines only.
     pub async fn set_behaviour(
         &self,
         target: usize,
@@ -273,67 +277,67 @@
             behaviour,
             InstanceBehaviour::DelaysOrders(_) | InstanceBehaviour::TruncatesEvent
         );
-        let seat = if is_for_engines { self.engine(target) } else { self.any_instance(target) };
-        let seat = seat.lock().await;
-        seat.instance.set_behaviour(behaviour);
+        let slot = if is_for_engines { self.engine(target) } else { self.any_instance(target) };
+        let slot = slot.lock().await;
+        slot.instance.set_behaviour(behaviour);
         tokio::time::sleep(duration).await;
-        seat.instance.set_behaviour(InstanceBehaviour::Normal);
+        slot.instance.set_behaviour(InstanceBehaviour::Normal);
     }
 
-    /// An instance names a limit of so many tenths of a request a second for a while.
+    /// Makes an instance announce a rate limit, in tenths of a request per second, for `duration`.
     pub async fn announce_rate_limit_for(&self, target: usize, tenths: u32, duration: Duration) {
-        let seat = self.any_instance(target);
-        let seat = seat.lock().await;
-        seat.instance.announce_rate_limit(Some(&format!("{}.{}", tenths / 10, tenths % 10)));
+        let slot = self.any_instance(target);
+        let slot = slot.lock().await;
+        slot.instance.announce_rate_limit(Some(&format!("{}.{}", tenths / 10, tenths % 10)));
         tokio::time::sleep(duration).await;
-        seat.instance.announce_rate_limit(None);
+        slot.instance.announce_rate_limit(None);
     }
 
-    /// An instance refuses all requests for a while and asks for so many tenths of a second of
-    /// rest each time.
+    /// Makes an instance refuse all requests for `duration`, each with a Retry-After in tenths of a
+    /// second.
     pub async fn announce_retry_after_for(&self, target: usize, tenths: u32, duration: Duration) {
-        let seat = self.any_instance(target);
-        let seat = seat.lock().await;
-        seat.instance.announce_retry_after(Some(&format!("{}.{}", tenths / 10, tenths % 10)));
+        let slot = self.any_instance(target);
+        let slot = slot.lock().await;
+        slot.instance.announce_retry_after(Some(&format!("{}.{}", tenths / 10, tenths % 10)));
         tokio::time::sleep(duration).await;
-        seat.instance.announce_retry_after(None);
+        slot.instance.announce_retry_after(None);
     }
 
-    /// An instance says that it leaves in its answers alone; another life takes its place.
+    /// Makes an instance announce its departure in its answers only, and later replaces it.
     pub async fn announce_departure(&self, target: usize, duration: Duration) {
-        let seat = self.any_instance(target);
-        let mut seat = seat.lock().await;
-        seat.instance.announce_leaving();
+        let slot = self.any_instance(target);
+        let mut slot = slot.lock().await;
+        slot.instance.announce_leaving();
         tokio::time::sleep(DRAIN_TIME + duration).await;
-        self.replace(&mut seat).await;
+        self.replace(&mut slot).await;
     }
 
-    /// An instance that leaves ends once it has finished what it has; another life comes.
-    async fn replace(&self, seat: &mut Slot) {
-        seat.instance.drop_entry();
-        while seat.instance.streams() > 0 {
+    /// Stops an instance once it has finished its streams, and starts a replacement.
+    async fn replace(&self, slot: &mut Slot) {
+        slot.instance.drop_entry();
+        while slot.instance.streams() > 0 {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        seat.instance.crash();
-        *seat = self.start_slot(seat.service, seat.domain.clone()).await;
+        slot.instance.crash();
+        *slot = self.start_slot(slot.service, slot.domain.clone()).await;
     }
 
-    /// Connections to an instance break.
+    /// Resets all connections to an instance.
     pub async fn reset(&self, target: usize) {
         self.any_instance(target).lock().await.link.reset();
     }
 
-    /// An instance leaves, and another life takes its place.
+    /// Drains an instance, and replaces it.
     pub async fn drain(&self, target: usize, duration: Duration) {
-        let seat = self.any_instance(target);
-        let mut seat = seat.lock().await;
-        seat.instance.drain();
-        self.leaving.lock().insert(seat.instance.name().to_owned(), Instant::now());
+        let slot = self.any_instance(target);
+        let mut slot = slot.lock().await;
+        slot.instance.drain();
+        self.leaving.lock().insert(slot.instance.name().to_owned(), Instant::now());
         tokio::time::sleep(DRAIN_TIME + duration).await;
-        self.replace(&mut seat).await;
+        self.replace(&mut slot).await;
     }
 
-    /// All engines, and new lives of them, treat requests like this from here on.
+    /// Sets the behaviour of all engines, including those that are started later.
     pub async fn set_engines_behaviour(&self, behaviour: InstanceBehaviour) {
         *self.behaviour.lock() = behaviour;
         for target in 0..self.engines {
@@ -341,15 +345,15 @@
         }
     }
 
-    /// An engine is replaced as planned: its next life comes first. The old one says that
-    /// it will end or only leaves the list, later takes no more connections, and ends
-    /// once it and the head of its group have finished what they had.
+    /// Replaces an engine as planned work: the replacement starts first. The old engine announces
+    /// its end (`is_announced`) or only drops its entry, then closes its listener, and exits once
+    /// it and the head of its group have finished their work.
     pub async fn retire(&self, target: usize, is_announced: bool) {
-        let seat = self.engine(target);
+        let slot = self.engine(target);
         let old = {
-            let mut seat = seat.lock().await;
-            let next = self.start_slot(seat.service, seat.domain.clone()).await;
-            std::mem::replace(&mut *seat, next)
+            let mut slot = slot.lock().await;
+            let next = self.start_slot(slot.service, slot.domain.clone()).await;
+            std::mem::replace(&mut *slot, next)
         };
         if is_announced {
             old.instance.drain();
@@ -369,7 +373,7 @@
         old.instance.crash();
     }
 
-    /// A new configuration: one key more, the oldest taken away.
+    /// Writes a new configuration with one more key, which revokes the oldest one in force.
     pub fn new_config(&self) {
         let mut keys = self.keys.lock();
         let version = keys.last().map_or(FIRST_VERSION, |key| key.since_version) + VERSION_STEP;
@@ -384,22 +388,22 @@
         }
     }
 
-    /// All keys that ever were.
+    /// All keys that were ever configured, oldest first.
     pub fn keys(&self) -> Vec<Key> {
         self.keys.lock().clone()
     }
 
-    /// When instances stated that they will end.
+    /// When each draining or retired instance began to leave, by its name.
     pub fn leaving(&self) -> BTreeMap<String, Instant> {
         self.leaving.lock().clone()
     }
 
-    /// Streams that engines work on.
+    /// Number of streams that instances are working on.
     pub async fn streams(&self) -> usize {
         let slots = self.slots.lock().clone();
         let mut streams = 0;
-        for seat in slots {
-            streams += seat.lock().await.instance.streams();
+        for slot in slots {
+            streams += slot.lock().await.instance.streams();
         }
         streams
     }
--- a/crates/workshold-soak/src/judge.rs
+++ b/crates/workshold-soak/src/judge.rs
@@ -1,4 +1,4 @@
-//! Which promises were broken, by what callers and upstreams saw.
+//! Checks the product's promises against what callers and upstreams recorded during a run.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
 use crate::fleet::Key;
 use crate::nodes::KEY_REVOCATION_TIMEOUT;
 
-/// A promise of the product.
+/// A guarantee of the product that the soak checks. The names appear in printed breaches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Promise {
     /// a caller receives the whole answer to its own request
@@ -60,12 +60,12 @@
     LetsRest,
 }
 
-/// A promise that was broken, and how.
+/// A broken promise and the observation that shows it.
 #[derive(Debug, Clone)]
 pub struct Breach {
-    /// Which.
+    /// The broken promise.
     pub promise: Promise,
-    /// What was seen.
+    /// The observation, as printed.
     pub what: String,
 }
 
@@ -75,52 +75,55 @@
     }
 }
 
-/// All that was seen of a seed.
+/// Everything that was recorded while a seed ran.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
-    /// What became of each request.
+    /// The result of each request.
     pub outcomes: Vec<Outcome>,
-    /// What upstreams ran.
+    /// Requests that upstreams ran.
     pub runs: Vec<Run>,
-    /// What came to upstreams, what they refused among it.
+    /// Requests that reached upstreams, including those that they refused.
     pub arrivals: Vec<Arrival>,
-    /// All keys that ever were.
+    /// All API keys that were ever configured, including revoked ones.
     pub keys: Vec<Key>,
-    /// When instances stated that they will end.
+    /// When each draining instance announced that it will end, by its name.
     pub leaving: BTreeMap<String, Instant>,
-    /// When faults began, and the last one was over: outside this, all is calm.
+    /// Start of the first fault and end of the last one; no faults are injected outside this
+    /// period. `None` if there is no such period.
     pub faults: Option<(Instant, Instant)>,
-    /// When planned work began, and the last of it was over.
+    /// Start and end of the planned work; `None` if there was none.
     pub planned: Option<(Instant, Instant)>,
-    /// When silences of the store alone began, and the last configuration after them had had
-    /// its time.
+    /// From the first silence of the store without other faults until the configuration written
+    /// after the last one had time to propagate; `None` if there was none.
     pub silences: Option<(Instant, Instant)>,
-    /// When faults began that may hide a leaving instance from nodes.
+    /// Periods of faults that may keep nodes from learning that an instance is draining.
     pub visibility_faults: Vec<(Instant, Instant)>,
 }
 
-/// The team that all keys belong to.
+/// The team that owns all keys.
 const TEAM: &str = "night-desk";
-/// Attempts that the configuration allows for a stream, and for what may repeat.
+/// Attempts that the configuration allows for a stream and for a repeatable request.
 const ATTEMPTS_MAX: usize = 2;
-/// Who is leaving gets nothing new after this: the bound and a second for the way of
-/// a request that was sent just before.
+/// A draining instance gets no new request after this: the product's bound plus one second for a
+/// request that was sent just before.
 const DRAIN_NOTICE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// A configuration that is written after the store's return is in force everywhere by then.
+/// A configuration that is written after the store answers again is in force on every node within
+/// this time.
 pub const CONFIG_PROPAGATION_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Instances that end under a request until it is known, how soon all nodes have heard, and
-/// how often it may be sent on all the same.
+/// Instances that have to crash under a request before nodes recognise it as a crashing request.
 const CRASHES_UNTIL_KNOWN: usize = 3;
+/// Time until all nodes have heard that a request crashes instances.
 const CRASH_GOSSIP_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Times that a crashing request may still be forwarded after [`CRASH_GOSSIP_TIMEOUT`].
 const LATE_CRASHES_MAX: usize = 3;
-/// What is on its way when an instance answers arrives within this, and so many more may come
-/// in a rest.
+/// Requests already in flight when an instance answers arrive within this time.
 const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Further requests that may arrive during a backoff.
 const REQUESTS_IN_BACKOFF_MAX: usize = 2;
-/// Statuses that say that a request has not run.
+/// Statuses that promise that the request has not run.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Judges a record.
+/// Returns every broken promise that the record shows.
 pub fn judge(record: &Record) -> Vec<Breach> {
     let mut runs: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in &record.runs {
@@ -148,8 +151,8 @@
     breaches
 }
 
-/// Once three instances have ended under one request, and all had the time to hear of it,
-/// it is sent on a few times at most.
+/// Checks that a crashing request is forwarded only a few more times once three instances have
+/// crashed under it and all nodes had time to hear of that.
 fn check_crash_requests(record: &Record) -> Option<Breach> {
     let mut runs: Vec<&Run> =
         record.runs.iter().filter(|run| run.request.starts_with(CRASH_ID_PREFIX)).collect();
@@ -161,8 +164,8 @@
     (late > LATE_CRASHES_MAX).then(|| Breach { promise: Promise::EndsFew, what: what() })
 }
 
-/// Two requests at most come to an instance from a node that it has asked for rest, once what was
-/// under way has arrived and until the rest is over.
+/// Checks that an instance gets at most two requests from a node while the Retry-After it sent to
+/// that node lasts, not counting requests already in flight.
 fn check_retry_after(record: &Record) -> Vec<Breach> {
     let nodes = request_targets(record);
     let mut arrivals: HashMap<_, Vec<&Arrival>> = HashMap::new();
@@ -187,8 +190,8 @@
     breaches
 }
 
-/// An instance that says in its answers that it leaves gets nothing that was sent later, from any
-/// node.
+/// Checks that an instance which announces its departure in its answers gets no request that any
+/// node received from a caller later than [`DRAIN_NOTICE_TIMEOUT`] after that.
 fn check_announced_departures(record: &Record) -> Vec<Breach> {
     let nodes = request_targets(record);
     let mut announced_at: HashMap<&str, Instant> = HashMap::new();
@@ -207,7 +210,7 @@
     late.map(|what| Breach { promise: Promise::LeavingGetsNothing, what }).collect()
 }
 
-/// The node that each request went to, and when it was sent.
+/// Maps each request id to the node (and its incarnation) that it was sent to and the time.
 fn request_targets(record: &Record) -> HashMap<&str, ((usize, u32), Instant)> {
     let of = |outcome: &Outcome| (outcome.node, outcome.sent);
     record.outcomes.iter().map(|outcome| (outcome.id.as_str(), of(outcome))).collect()
@@ -217,7 +220,8 @@
     Some(Breach { promise, what })
 }
 
-/// A success carries the proof of an instance that ran it, and its whole answer.
+/// Checks that a success carries the proof (stamp) of an instance that ran the request, and the
+/// complete answer.
 fn check_whole_answer(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
     let CallerResult::Answer { status, stamp, text, .. } = &outcome.result else { return None };
     let (id, wrong) = (&outcome.id, Promise::OwnWholeAnswer);
@@ -229,7 +233,7 @@
         return breach(wrong, format!("{id}: the proof of {stamp}, which did not run it"));
     }
     if *status != 200 {
-        // The instance's own failure is passed on.
+        // Status 500 is the instance's own failure, which a node passes on with its proof.
         return (*status != 500).then(|| Breach {
             promise: wrong,
             what: format!("{id}: proof of {stamp} with status {status}"),
@@ -249,6 +253,7 @@
     (!is_whole).then(|| Breach { promise: wrong, what: format!("{id}: not its answer: {short}") })
 }
 
+/// Checks that a request ran no more often than its kind allows.
 fn check_run_count(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
     let most = if outcome.kind == RequestKind::Print { 1 } else { ATTEMPTS_MAX };
     if runs.len() <= most {
@@ -258,6 +263,7 @@
     breach(Promise::AtMostOnce, format!("{} ran at {}", outcome.id, at.join(", ")))
 }
 
+/// Checks that a run-once request that was answered as not run did not run.
 fn check_not_run(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
     let CallerResult::Answer { status, .. } = &outcome.result else { return None };
     let is_wrong =
@@ -266,7 +272,8 @@
     is_wrong.then(|| Breach { promise: Promise::NotRunMeansNotRun, what: what() })
 }
 
-/// What was sent later than the bound after its key was taken away does not run.
+/// Checks that a request does not run if it was sent later than [`KEY_REVOCATION_TIMEOUT`] after
+/// its key was revoked.
 fn check_key_revocation(outcome: &Outcome, runs: &[&Run], keys: &[Key]) -> Option<Breach> {
     let key = keys.iter().find(|key| key.text == outcome.key)?;
     let (_, revoked) = key.revoked?;
@@ -276,8 +283,8 @@
     is_wrong.then(|| Breach { promise: Promise::KeysInTime, what: what() })
 }
 
-/// Outside faults no request that was read is cut.
-/// Beside silences of the store alone: a key that is new is known in time.
+/// Checks that a new key is accepted within [`CONFIG_PROPAGATION_TIMEOUT`] when silences of the
+/// store are the only faults.
 fn check_config_in_force(outcome: &Outcome, record: &Record) -> Option<Breach> {
     let (from, to) = record.silences?;
     let key = record.keys.iter().find(|key| key.text == outcome.key)?;
@@ -292,6 +299,7 @@
     breach(Promise::InForceInTime, what)
 }
 
+/// Checks that no request is cut off outside the fault period.
 fn check_uncut(outcome: &Outcome, record: &Record) -> Option<Breach> {
     let (began, over) = record.faults?;
     let is_calm = outcome.ended < began || outcome.sent > over;
@@ -305,6 +313,7 @@
     is_calm.then(|| Breach { promise, what: what() })
 }
 
+/// Checks that every run belongs to a request that a caller sent, and to the right team.
 fn check_only_requested(record: &Record) -> Vec<Breach> {
     let sent: HashMap<&str, ()> = record.outcomes.iter().map(|o| (o.id.as_str(), ())).collect();
     let wrong = record.runs.iter().filter(|run| {
@@ -314,8 +323,9 @@
     wrong.map(|run| Breach { promise: Promise::OnlyWhatWasAsked, what: describe(run) }).collect()
 }
 
-/// Within a node's life, what was served by a version shows that it is in force there:
-/// nothing sent later is treated as an older one would.
+/// Checks that configuration versions never go back within one incarnation of a node: a request
+/// served with a version's key shows that the version is in force there, so no later request may
+/// be treated as an older version would.
 fn check_version_order(record: &Record) -> Vec<Breach> {
     let key_of = |outcome: &Outcome| record.keys.iter().find(|key| key.text == outcome.key);
     let mut in_force: HashMap<(usize, u32), Vec<(Instant, u64)>> = HashMap::new();
@@ -349,7 +359,8 @@
     breaches
 }
 
-/// Who is leaving gets no new work, unless faults hid its word from nodes.
+/// Checks that draining instances get no new work, unless a fault may have hidden the announcement
+/// from nodes.
 fn check_draining_instances(record: &Record) -> Vec<Breach> {
     let sent: HashMap<&str, Instant> =
         record.outcomes.iter().map(|outcome| (outcome.id.as_str(), outcome.sent)).collect();
--- a/crates/workshold-soak/src/lib.rs
+++ b/crates/workshold-soak/src/lib.rs
@@ -1,13 +1,13 @@
-//! A fault soak: the real nodes as processes on loopback, against the stand-ins, with
-//! faults from outside only, drawn from a seed; promises are judged by what callers
-//! and upstreams see.
+//! A fault-injection soak test: runs the real nodes as processes on loopback against stand-ins for
+//! the store and the instances. Faults come from outside the nodes only and are drawn from a seed;
+//! the product's promises are judged by what callers and upstreams see.
 //!
-//! - [`plan`]: the faults of a seed.
+//! - [`plan`]: draws the faults of a seed.
 //! - [`nodes`]: the nodes' processes, and signals to them.
-//! - [`fleet`]: store, instances and the ways to them, and what befalls these.
-//! - [`callers`]: the load, and what became of each request.
-//! - [`judge`]: which promises were broken.
-//! - [`run`]: one seed from its start to its verdict.
+//! - [`fleet`]: store, instances and the links to them, and their faults.
+//! - [`callers`]: the load, and the result of each request.
+//! - [`judge`]: checks the promises.
+//! - [`run`]: runs one seed from start to verdict.
 
 pub mod callers;
 pub mod fleet;
--- a/crates/workshold-soak/src/main.rs
+++ b/crates/workshold-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `workshold-soak`: plays seeds of the fault soak and says which promises broke.
+//! `workshold-soak`: runs seeds of the fault-injection soak test and prints broken promises.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
     jobs: usize,
 }
 
-const EXIT_BROKEN: u8 = 1;
+const EXIT_PROMISE_BROKEN: u8 = 1;
 
 fn number(name: &'static str, help: &'static str, usual: u64) -> impl Parser<u64> {
     bpaf::long(name).help(help).argument::<u64>("N").fallback(usual).display_fallback()
@@ -94,37 +94,37 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let args = args().run();
-    let mut left: Vec<u64> = (args.first..args.first + args.seeds).rev().collect();
-    let mut playing = tokio::task::JoinSet::new();
-    let mut is_good = true;
+    let mut pending_seeds: Vec<u64> = (args.first..args.first + args.seeds).rev().collect();
+    let mut runs = tokio::task::JoinSet::new();
+    let mut all_passed = true;
     loop {
-        while playing.len() < args.jobs.max(1) {
-            let Some(seed) = left.pop() else { break };
+        while runs.len() < args.jobs.max(1) {
+            let Some(seed) = pending_seeds.pop() else { break };
             let options = args.options.clone();
-            playing.spawn(async move { (seed, run::play(&options, seed).await) });
+            runs.spawn(async move { (seed, run::play(&options, seed).await) });
         }
-        match playing.join_next().await {
+        match runs.join_next().await {
             None => break,
             Some(Ok((seed, Ok(verdict)))) => {
-                is_good &= verdict.breaches.is_empty();
+                all_passed &= verdict.breaches.is_empty();
                 print_verdict(&verdict);
                 if verdict.breaches.is_empty() {
-                    // What stays behind is only in the way.
+                    // Settings and logs are only of use if a promise was broken.
                     let _ =
                         std::fs::remove_dir_all(args.options.folder.join(format!("seed-{seed}")));
                 }
             }
             Some(Ok((seed, Err(err)))) => {
-                is_good = false;
+                all_passed = false;
                 print_line(&format!("seed {seed} was not played: {err}"));
             }
             Some(Err(err)) => {
-                is_good = false;
+                all_passed = false;
                 print_line(&format!("a seed ended in a panic: {err}"));
             }
         }
     }
-    if is_good { ExitCode::SUCCESS } else { ExitCode::from(EXIT_BROKEN) }
+    if all_passed { ExitCode::SUCCESS } else { ExitCode::from(EXIT_PROMISE_BROKEN) }
 }
 
 fn print_verdict(verdict: &Verdict) {
--- a/crates/workshold-soak/src/nodes.rs
+++ b/crates/workshold-soak/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes' processes, and signals to them.
+//! Starts the nodes as processes, signals them and watches for their exit.
 
 use std::fs;
 use std::fs::File;
@@ -18,27 +18,27 @@
 use workshold_platform_standin::caller;
 use workshold_platform_standin::free_address;
 
-/// A planned stop has to be over within this.
+/// Time within which a graceful shutdown has to finish.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(8);
-/// What a node may use up, in kilobytes: the bound for control of the size that it is
+/// Maximum resident memory of a node: the bound for a control plane of the size that the product is
 /// designed for.
 pub const MEMORY_MAX_KB: u64 = 64 * 1024;
-/// How long a key may be believed after it was taken away.
+/// How long a node may still accept a key after it was revoked.
 pub const KEY_REVOCATION_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// One node: its addresses stay, its process comes and goes.
+/// One node, whose addresses stay the same across restarts of its process.
 pub struct SoakNode {
-    /// Its name.
+    /// Name of the node, also of its settings and log files.
     pub name: String,
-    /// For callers.
+    /// Address for requests of callers.
     pub callers: SocketAddr,
-    /// For callers who ask which addresses to use.
+    /// Address of the directory, which tells callers the nodes' addresses.
     pub directory: SocketAddr,
-    /// For the question whether it serves.
+    /// Address of the readiness check.
     pub readiness: SocketAddr,
-    /// For its state and metrics.
+    /// Address for state and metrics.
     pub control: SocketAddr,
-    /// Lives that it has begun.
+    /// Number of times that its process was started.
     pub incarnations: u32,
     store: SocketAddr,
     binary: PathBuf,
@@ -46,14 +46,14 @@
     child: Option<Child>,
 }
 
-/// A process writes its first line within this.
+/// Time within which a process writes its first log line.
 const FIRST_LOG_LINE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How a node's process ended without being told to.
+/// Describes an exit that was not requested, or a shutdown that failed.
 pub type UnexpectedExit = String;
 
 impl SoakNode {
-    /// A node that does not run yet and will reach its store at `store`.
+    /// Creates a node that is not started yet and uses the store at `store`.
     pub fn new(name: &str, binary: &Path, folder: &Path, store: SocketAddr) -> Self {
         Self {
             name: name.to_owned(),
@@ -69,11 +69,11 @@
         }
     }
 
-    /// Starts its process, unless it runs.
+    /// Starts its process, unless it is running.
     ///
     /// # Errors
     ///
-    /// What the machine says.
+    /// If its settings or log cannot be written or its process not spawned.
     pub fn start(&mut self) -> io::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -114,8 +114,8 @@
         )
     }
 
-    /// Waits until its process answers to signals: until then the machine ends it by
-    /// any of them, whatever the program does.
+    /// Waits for the first log line, by which the process has installed its signal handlers: before
+    /// that, the default action of any signal would kill it.
     pub async fn wait_for_first_log_line(&self) {
         let began = Instant::now();
         while self.child.is_some() && began.elapsed() < FIRST_LOG_LINE_TIMEOUT {
@@ -127,10 +127,10 @@
         }
     }
 
-    /// Sends a signal, if its process runs.
+    /// Sends a signal, if its process is running.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
-            // It may have ended just now; whether it should have is seen elsewhere.
+            // It may just have exited; `check_exited` reports an unexpected exit.
             let _ = signal::kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
@@ -138,24 +138,25 @@
     /// Kills its process and waits for it.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself; then there is nothing to kill.
+            // It may already have exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Whether its process has ended although nobody told it to.
+    /// Describes the exit of its process if it ended without being told to; `None` if it runs or
+    /// was stopped.
     pub fn check_exited(&mut self) -> Option<UnexpectedExit> {
         let ended = self.child.as_mut()?.try_wait().ok().flatten()?;
         self.child = None;
         Some(format!("{} ended by itself: {ended}", self.name))
     }
 
-    /// Waits for the end of a planned stop.
+    /// Waits for a graceful shutdown to finish, and kills the process after [`STOP_TIMEOUT`].
     ///
     /// # Errors
     ///
-    /// How it ended otherwise.
+    /// If it exits with a failure, or not within the timeout.
     pub async fn wait_for_stop(&mut self) -> Result<(), UnexpectedExit> {
         let began = Instant::now();
         loop {
@@ -173,12 +174,12 @@
         }
     }
 
-    /// Whether it says that it serves.
+    /// Whether its readiness check succeeds.
     pub async fn is_ready(&self) -> bool {
         caller::is_ready(self.readiness).await
     }
 
-    /// What its process holds in memory, in kilobytes.
+    /// Resident memory of its process in kilobytes; `None` if it is not running.
     pub fn memory_kb(&self) -> Option<u64> {
         let pid = self.child.as_ref()?.id();
         let text = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
--- a/crates/workshold-soak/src/plan.rs
+++ b/crates/workshold-soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of a seed: what, whom, when and for how long.
+//! Draws the faults of a seed: kind, target, start and duration.
 
 use std::time::Duration;
 
@@ -7,75 +7,75 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// What befalls some part of the deployment.
+/// Kind of fault or planned work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A node is killed, and started again at the end.
+    /// A node is killed, and started again when the fault ends.
     KillNode,
-    /// All nodes are killed, and started again at the end.
+    /// All nodes are killed, and started again when the fault ends.
     KillAllNodes,
-    /// A node stands still until the end.
+    /// A node is suspended (SIGSTOP) for the duration.
     FreezeNode,
-    /// A node is stopped with a plan, and started again once it has ended.
+    /// A node is shut down gracefully (SIGTERM), and started again once it has exited.
     StopNode,
-    /// A node is told to read its settings.
+    /// A node is told to reload its settings (SIGHUP).
     ReloadNode,
-    /// A node and the store do not hear each other.
+    /// A node and the store are partitioned from each other.
     CutNode,
-    /// The store hears a node, but not the other way round.
+    /// The store receives from a node, but the node receives nothing from the store.
     CutNodeOneWay,
-    /// The way between a node and the store is slow.
+    /// The link between a node and the store is slow.
     SlowNode,
     /// Connections between a node and the store break.
     ResetNode,
     /// The store refuses all calls.
     StoreDown,
-    /// The store says nothing.
+    /// The store does not answer calls.
     StoreSilent,
-    /// The store does what it is asked, and its answers are lost.
+    /// The store executes calls, but its answers are lost.
     StoreLosesAnswers,
     /// The store is slow.
     StoreSlow,
-    /// The store forgets all but the newest records.
+    /// The store compacts its log to the newest records.
     CompactStore,
-    /// The store deals the lease anew.
+    /// The store reassigns the partitions of the lease.
     ReassignPartitions,
-    /// The store comes back from a copy as old as the fault lasts, three seconds at most.
+    /// The store is restored from a backup as old as the fault's duration, three seconds at most.
     RestoreStore,
-    /// An engine crashes; a new life of it comes at the end.
+    /// An engine crashes; another incarnation replaces it when the fault ends.
     CrashEngine,
-    /// An engine crashes, and starts again under its id within moments.
+    /// An engine crashes and restarts under the same id after a short pause.
     RestartEngine,
     /// All engines of a domain crash.
     CrashDomain,
-    /// Nobody reaches an engine until the end; it lives.
+    /// An engine runs on, but is unreachable for the duration.
     IsolateEngine,
-    /// An engine leaves orders unanswered and carries them out late.
+    /// An engine leaves orders unanswered and executes them late.
     DelayOrders,
-    /// An instance states that it will end, and does so; a new life comes at the end.
+    /// An instance announces that it drains, then exits; another incarnation replaces it.
     DrainInstance,
-    /// A plain instance crashes; a new life comes at the end.
+    /// An instance of the plain service crashes; another incarnation replaces it.
     CrashPlainInstance,
     /// Connections to an instance break.
     ResetInstance,
-    /// An instance answers wrongly, or breaks what it has begun.
+    /// An instance sends wrong answers, or breaks off answers that it has begun.
     BadAnswers,
-    /// A new configuration with a new key, the last but one taken away.
+    /// A new configuration adds a key and revokes the oldest one in force.
     NewConfig,
-    /// An engine is replaced: it states that it will end.
+    /// An engine is replaced and announces that it will end.
     RetireEngine,
-    /// An engine is replaced: its entry disappears, and it states nothing.
+    /// An engine is replaced: its entry disappears without an announcement.
     RetireUnannounced,
 }
 
 impl FaultKind {
-    /// Whether it is planned work alone and hides nothing from anybody.
+    /// Whether it is planned work, which keeps no node from learning about instances.
     pub fn is_planned(self) -> bool {
         PLANNED_KINDS.contains(&self)
     }
 }
 
-/// All kinds, the likelier ones more than once.
+/// Fault kinds to draw from; a kind that is listed twice is twice as likely.
 const FAULT_KINDS: &[FaultKind] = &[
     FaultKind::KillNode,
     FaultKind::KillNode,
@@ -110,7 +110,7 @@
     FaultKind::NewConfig,
 ];
 
-/// Planned work, the likelier kinds more than once.
+/// Kinds of planned work to draw from, weighted in the same way.
 const PLANNED_KINDS: &[FaultKind] = &[
     FaultKind::RetireEngine,
     FaultKind::RetireEngine,
@@ -122,33 +122,34 @@
 /// One fault, or one piece of planned work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
-    /// When it begins, from the start of the load.
+    /// Start, from the beginning of the fault period.
     pub at: Duration,
     /// How long it lasts.
     pub duration: Duration,
-    /// What it is.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Whom it befalls: taken modulo those that there are.
+    /// Index of the affected node or instance, modulo their number.
     pub target: usize,
 }
 
-/// Time between two faults, and how long one lasts, in milliseconds: so that several
-/// overlap, and that lists lapse and leases pass on under some.
+/// Time between two faults, short enough that several overlap.
 const GAP_MS: (u64, u64) = (150, 1_400);
+/// Duration of a fault: the longer ones outlast the TTL of list entries and of leases.
 const DURATION_MS: (u64, u64) = (400, 5_000);
-/// One fault in so many is an engine that starts again under its id.
+/// One fault in this many becomes [`FaultKind::RestartEngine`].
 const RESTART_ONE_IN: u64 = 4;
-/// One fault in so many is a store that comes back from a copy.
+/// One fault in this many becomes [`FaultKind::RestoreStore`].
 const RESTORE_ONE_IN: u64 = 6;
-/// One fault in so many comes at once with the next one.
+/// One fault in this many starts at the same time as the one before it.
 const SIMULTANEOUS_ONE_IN: u64 = 5;
 
-/// The faults of `seed` over `length`.
+/// Draws the faults of `seed` over `length`; the same seed always gives the same faults.
 pub fn draw(seed: u64, length: Duration) -> Vec<Fault> {
     draw_kinds(FAULT_KINDS, seed, length)
 }
 
-/// The same with engines that start again under their ids, one fault in so many.
+/// Like [`draw`], with one fault in [`RESTART_ONE_IN`] replaced by a restart of an engine under
+/// its id.
 pub fn draw_with_restarts(seed: u64, length: Duration) -> Vec<Fault> {
     let mut faults = draw(seed, length);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -160,7 +161,8 @@
     faults
 }
 
-/// The same with a store that comes back from copies, one fault in so many.
+/// Like [`draw_with_restarts`], with one fault in [`RESTORE_ONE_IN`] replaced by a restore of the
+/// store from a backup.
 pub fn draw_with_restores(seed: u64, length: Duration) -> Vec<Fault> {
     let mut faults = draw_with_restarts(seed, length);
     let mut rng = ChaCha8Rng::seed_from_u64(!seed);
@@ -172,26 +174,26 @@
     faults
 }
 
-/// The planned work of `seed` over `length`.
+/// Draws the planned work of `seed` over `length`.
 pub fn draw_planned(seed: u64, length: Duration) -> Vec<Fault> {
     draw_kinds(PLANNED_KINDS, seed, length)
 }
 
-/// The store says nothing for a while, and a new configuration comes after its return.
+/// The store does not answer for a while; a new configuration is written after it answers again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreSilence {
     /// How long it lasts.
     pub duration: Duration,
-    /// From its end to the new configuration.
+    /// Time from the end of the silence to the new configuration.
     pub config_delay: Duration,
 }
 
-/// How long a silence lasts, and from its end to a new configuration, in milliseconds: so that it
-/// ends at any moment of what nodes do about it.
+/// Duration of a silence: a wide range, so that it ends at any point of the nodes' reaction to it.
 const SILENCE_MS: (u64, u64) = (300, 9_000);
+/// Time from the end of a silence to the new configuration.
 const CONFIG_DELAY_MS: (u64, u64) = (0, 400);
 
-/// The silences of `seed`, so many.
+/// Draws `count` silences of the store from `seed`.
 pub fn draw_silences(seed: u64, count: usize) -> Vec<StoreSilence> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut silence = || StoreSilence {
@@ -201,26 +203,27 @@
     (0..count).map(|_| silence()).collect()
 }
 
-/// An instance names a limit for a while.
+/// An instance announces a rate limit for a while.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RateLimitFault {
-    /// From the beginning of the last one.
+    /// Time since the start of the previous one.
     pub delay: Duration,
     /// How long it lasts.
     pub duration: Duration,
-    /// Tenths of a request a second.
+    /// Rate limit in tenths of a request per second.
     pub tenths: u32,
-    /// Whom it befalls: taken modulo those that there are.
+    /// Index of the affected node or instance, modulo their number.
     pub target: usize,
 }
 
-/// Time between two limits and how long one lasts, in milliseconds, so that several overlap and
-/// each lasts for longer than it takes until all nodes keep to it; and the highest, in tenths.
+/// Time between the starts of two rate limits, shorter than their duration so that several overlap.
 const RATE_LIMIT_GAP_MS: (u64, u64) = (200, 1_500);
+/// Duration of a rate limit, longer than all nodes need until they comply with it.
 const RATE_LIMIT_DURATION_MS: (u64, u64) = (5_000, 9_000);
+/// Upper bound (exclusive) of a rate limit, in tenths of a request per second.
 const RATE_LIMIT_TENTHS_MAX: u32 = 30;
 
-/// The limits of `seed`, so many.
+/// Draws `count` rate limits from `seed`.
 pub fn draw_limits(seed: u64, count: usize) -> Vec<RateLimitFault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut rate_limit = || RateLimitFault {
@@ -234,27 +237,30 @@
     (0..count).map(|_| rate_limit()).collect()
 }
 
-/// An instance refuses all requests for a while and asks for rest, or says that it leaves.
+/// An instance refuses all requests with Retry-After for a while, or announces its departure in its
+/// answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryAfterFault {
-    /// From the beginning of the last one.
+    /// Time since the start of the previous one.
     pub delay: Duration,
     /// How long it lasts.
     pub duration: Duration,
-    /// How much rest each refusal asks for, in tenths of a second; none if it leaves.
+    /// Retry-After of each refusal, in tenths of a second; `None` if the instance departs instead.
     pub tenths: Option<u32>,
-    /// Whom it befalls: taken modulo those that there are.
+    /// Index of the affected node or instance, modulo their number.
     pub target: usize,
 }
 
-/// Time between two rests and how long one lasts, in milliseconds; how much is asked for, in tenths
-/// of a second; and one in so many leaves.
+/// Time between the starts of two of these faults.
 const RETRY_AFTER_GAP_MS: (u64, u64) = (200, 2_000);
+/// How long an instance refuses requests.
 const RETRY_AFTER_DURATION_MS: (u64, u64) = (1_000, 6_000);
+/// Retry-After, in tenths of a second.
 const RETRY_AFTER_TENTHS: (u32, u32) = (8, 40);
+/// One of these faults in this many is a departure.
 const DEPARTURE_ONE_IN: u32 = 3;
 
-/// The rests of `seed`, so many.
+/// Draws `count` Retry-After faults and departures from `seed`.
 pub fn draw_retry_after_faults(seed: u64, count: usize) -> Vec<RetryAfterFault> {
     let mut rng = ChaCha8Rng::seed_from_u64(!seed);
     let mut retry_after_fault = || RetryAfterFault {
@@ -269,6 +275,7 @@
     (0..count).map(|_| retry_after_fault()).collect()
 }
 
+/// Draws faults of the given kinds over `length`.
 fn draw_kinds(kinds: &[FaultKind], seed: u64, length: Duration) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut faults = Vec::new();
--- a/crates/workshold-soak/src/run.rs
+++ b/crates/workshold-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seed from its start to its verdict.
+//! Runs one seed: starts the deployment, injects the faults and judges the result.
 
 use std::io;
 use std::net::SocketAddr;
@@ -40,66 +40,67 @@
 use crate::plan::RetryAfterFault;
 use crate::plan::StoreSilence;
 
-/// How a seed is played.
+/// Options of a run; the same for every seed.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The nodes' program.
+    /// Executable of the nodes.
     pub binary: PathBuf,
-    /// Where settings and logs go.
+    /// Directory for settings and logs, with one subdirectory per seed.
     pub folder: PathBuf,
-    /// How large the deployment is.
+    /// Size of the deployment.
     pub size: Size,
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: u64,
-    /// How long faults come.
+    /// Length of the period in which faults start.
     pub length: Duration,
-    /// Whether engines start again under their ids, beside all other faults.
+    /// Whether engines also restart under their ids, in addition to the other faults.
     pub new_lives: bool,
-    /// Whether the store comes back from copies, beside that.
+    /// Whether the store is also restored from backups; this includes `new_lives`.
     pub copies: bool,
-    /// Whether a request that ends whoever begins to run it is asked at all nodes.
+    /// Whether requests that crash any instance which runs them are sent to all nodes.
     pub ends_instances: bool,
-    /// How long planned work comes, once faults are over.
+    /// Length of the period of planned work after the faults.
     pub planned: Duration,
-    /// How many silences of the store come after that, each with a new configuration.
+    /// Number of silences of the store after the planned work, each followed by a new
+    /// configuration.
     pub silences: usize,
-    /// How many limits instances name after that.
+    /// Number of rate limits that instances announce after the silences.
     pub limits: usize,
-    /// How many instances ask for rest or say that they leave, beside those.
+    /// Number of instances that send Retry-After or announce a departure during the rate limits.
     pub rests: usize,
-    /// All has to be served again this long after the last fault.
+    /// Every node has to serve again within this time after the last fault.
     pub recovers_within: Duration,
 }
 
-/// What a seed showed.
+/// Result of a seed.
 #[derive(Debug)]
 pub struct Verdict {
-    /// The seed.
+    /// The seed that was run.
     pub seed: u64,
-    /// Broken promises; none is what is wanted.
+    /// Broken promises; empty if the seed passed.
     pub breaches: Vec<Breach>,
-    /// Requests, and those that were served whole.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Of these, served.
+    /// Number of requests answered with status 200.
     pub served: usize,
-    /// How long after the last fault all was served again.
+    /// Time from the last fault until every node served again; `None` if that took too long.
     pub recovered_after: Option<Duration>,
-    /// The largest node, in kilobytes.
+    /// Resident memory of the largest node, in kilobytes.
     pub memory_kb: u64,
 }
 
-/// Why a seed could not be played.
+/// Why a seed could not be run.
 #[derive(Debug, Display)]
 pub enum SoakError {
-    /// a node could not be started or its folder made: {0}
+    /// cannot start a node or create its directory: {0}
     Machine(io::Error),
-    /// the nodes did not serve before any fault came; their logs are in {0}
+    /// the nodes did not start serving before the first fault; their logs are in {0}
     NeverServed(PathBuf),
 }
 
 impl std::error::Error for SoakError {}
 
-/// All that a seed is played with.
+/// The deployment that a seed runs against, and what is recorded on the side.
 struct Harness {
     fleet: Arc<Fleet>,
     nodes: Vec<tokio::sync::Mutex<SoakNode>>,
@@ -110,29 +111,29 @@
     visibility_faults: Mutex<Vec<(Instant, Instant)>>,
 }
 
-/// The oldest copy that the store comes back from, and when others have written again what it
-/// lost: at their next check-in.
+/// Maximum age of the backup that the store is restored from.
 const BACKUP_AGE_MAX: Duration = Duration::from_millis(3_000);
+/// Time until instances write the lost entries again, at their next check-in.
 const REWRITE_DELAY: Duration = Duration::from_millis(900);
-/// Nodes start within this, before any load.
+/// Time for nodes to start serving, before any load.
 const NODE_START_TIMEOUT: Duration = Duration::from_secs(30);
-/// Before and after faults, load runs in calm for this long.
+/// Load runs without faults for this long before the first fault and after each configuration.
 const FAULT_FREE_PERIOD: Duration = Duration::from_secs(1);
-/// What a fault leaves behind in lists and leases.
+/// Time until the effects of a fault on lists and leases are gone.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
-/// Work whose caller is gone has ended after this.
+/// Time within which work whose caller has disconnected has to end.
 const ABANDONED_WORK_TIMEOUT: Duration = Duration::from_millis(1_500);
 const ORDER_DELAY: Duration = Duration::from_millis(3_000);
 const SLOW_LINK_DELAY: Duration = Duration::from_millis(300);
 const SLOW_STORE_DELAY: Duration = Duration::from_millis(240);
-/// How often processes are looked at.
+/// Interval between checks of processes and readiness.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Plays a seed.
+/// Runs a seed and judges it.
 ///
 /// # Errors
 ///
-/// [`SoakError`] if it could not be played at all.
+/// [`SoakError`] if it could not be run at all.
 pub async fn play(options: &Options, seed: u64) -> Result<Verdict, SoakError> {
     let harness = set_up(options, seed).await?;
     if !harness.all_serve(NODE_START_TIMEOUT).await {
@@ -248,12 +249,12 @@
     SoakNode::new(&format!("node-{i}"), binary, folder, link.address)
 }
 
-/// Looks whether processes end that nobody told to.
+/// Reports processes that exit unexpectedly, and restarts them.
 async fn watch_processes(harness: Arc<Harness>) {
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
         for (i, node) in harness.nodes.iter().enumerate() {
-            // Whoever holds it is about to end or start it.
+            // The holder of the lock is about to stop or start the process.
             let Ok(mut node) = node.try_lock() else { continue };
             if let Some(what) = node.check_exited() {
                 harness.breaches.lock().push(Breach { promise: Promise::KeepsRunning, what });
@@ -263,7 +264,7 @@
     }
 }
 
-/// Lets all faults come at their times, and waits until the last one is over.
+/// Injects each fault at its time, and waits until the last one is over.
 async fn inject_faults(harness: &Arc<Harness>, faults: Vec<Fault>) {
     let began = Instant::now();
     let mut under_way = JoinSet::new();
@@ -273,7 +274,7 @@
         under_way.spawn(async move {
             let from = Instant::now();
             harness.inject(fault).await;
-            // A leaving instance's word comes through the store, to nodes that run.
+            // Nodes learn of draining instances through the store and only while they run.
             let to = Instant::now() + SETTLE_TIME;
             if !fault.kind.is_planned() {
                 harness.visibility_faults.lock().push((from, to));
@@ -283,7 +284,7 @@
     under_way.join_all().await;
 }
 
-/// Carries planned work out while engines are full, and waits until the last is over.
+/// Carries out planned work while engines answer as overloaded, and waits until it is over.
 async fn run_planned_work(harness: &Arc<Harness>, work: Vec<Fault>) {
     harness.fleet.set_engines_behaviour(InstanceBehaviour::Overloaded).await;
     inject_faults(harness, work).await;
@@ -291,7 +292,7 @@
     tokio::time::sleep(SETTLE_TIME).await;
 }
 
-/// Lets the store be silent again and again, and writes a configuration after each return.
+/// Silences the store repeatedly, and writes a configuration after each silence.
 async fn run_store_silences(harness: &Arc<Harness>, silences: Vec<StoreSilence>) {
     for StoreSilence { duration, config_delay } in silences {
         harness.store(StoreBehaviour::Silent, duration).await;
@@ -301,7 +302,7 @@
     }
 }
 
-/// Lets instances name limits, several at once, and waits until all are lifted.
+/// Makes instances announce rate limits, several at once, and waits until all are lifted.
 async fn run_rate_limits(harness: &Arc<Harness>, limits: Vec<RateLimitFault>) {
     let mut under_way = JoinSet::new();
     for RateLimitFault { delay, duration, tenths, target } in limits {
@@ -313,7 +314,7 @@
     under_way.join_all().await;
 }
 
-/// Lets instances refuse and ask for rest, or say that they leave.
+/// Makes instances refuse with Retry-After, or announce their departure.
 async fn run_retry_after_faults(harness: &Arc<Harness>, rests: Vec<RetryAfterFault>) {
     let mut under_way = JoinSet::new();
     for RetryAfterFault { delay, duration, tenths, target } in rests {
@@ -329,7 +330,7 @@
     under_way.join_all().await;
 }
 
-/// Stops one node after the other with a plan, and starts it again.
+/// Shuts each node down gracefully in turn, and starts it again.
 async fn restart_each_node(harness: &Arc<Harness>) {
     for (i, node) in harness.nodes.iter().enumerate() {
         let mut node = node.lock().await;
@@ -461,7 +462,7 @@
         self.fleet.store.set_behaviour(StoreBehaviour::Normal);
     }
 
-    /// Whether each node serves a stream and a print, soon enough.
+    /// Whether every node serves a stream and a run-once request before the timeout.
     async fn all_serve(&self, within: Duration) -> bool {
         let began = Instant::now();
         loop {
@@ -506,7 +507,7 @@
     }
 }
 
-/// One of the ways in which answers go wrong.
+/// Picks one of the ways in which an instance answers wrongly.
 fn bad_answer_behaviour(target: usize) -> InstanceBehaviour {
     const BEHAVIOURS: [InstanceBehaviour; 7] = [
         InstanceBehaviour::Refuses,
--- a/crates/workshold-soak/tests/judge.rs
+++ b/crates/workshold-soak/tests/judge.rs
@@ -1,4 +1,4 @@
-//! Each promise that is broken is seen, and what is as it should be is not.
+//! Tests that the judge reports each broken promise, and nothing for a correct record.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,7 +15,7 @@
 use workshold_soak::judge::Record;
 use workshold_soak::judge::judge;
 
-/// A record of one request, sent two seconds after the start.
+/// A record of one request that is sent two seconds after the start.
 struct Case {
     start: Instant,
     record: Record,
@@ -85,17 +85,17 @@
 
 #[rstest]
 #[case::stream(RequestKind::Chat)]
-#[case::once(RequestKind::Print)]
-#[case::again(RequestKind::Plate)]
-fn what_is_as_it_should_be_breaks_nothing(#[case] kind: RequestKind) {
+#[case::run_once(RequestKind::Print)]
+#[case::repeatable(RequestKind::Plate)]
+fn correct_record_breaks_nothing(#[case] kind: RequestKind) {
     assert_eq!(Case::new(kind).broken_promises(), []);
 }
 
 #[rstest]
 #[case::missing(events("r-1", 1..STREAM_EVENTS))]
 #[case::twice(events("r-1", (1..=5).chain(5..=STREAM_EVENTS)))]
-#[case::anothers(events("r-2", 1..=STREAM_EVENTS))]
-fn a_stream_that_is_not_its_whole_own_answer_is_seen(#[case] text: String) {
+#[case::foreign(events("r-2", 1..=STREAM_EVENTS))]
+fn incomplete_or_foreign_stream_is_reported(#[case] text: String) {
     let case = Case::new(RequestKind::Chat).with_result(answer(200, Some("i-1"), text));
     assert_eq!(case.broken_promises(), [Promise::OwnWholeAnswer]);
 }
@@ -104,7 +104,7 @@
 #[case::without_proof(answer(200, None, String::new()))]
 #[case::of_one_that_did_not_run_it(answer(200, Some("i-9"), "i-9 /print/r-1".to_owned()))]
 #[case::proof_of_another_status(answer(404, Some("i-1"), String::new()))]
-fn a_proof_that_does_not_fit_is_seen(#[case] result: CallerResult) {
+fn wrong_proof_is_reported(#[case] result: CallerResult) {
     assert_eq!(
         Case::new(RequestKind::Print).with_result(result).broken_promises(),
         [Promise::OwnWholeAnswer]
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn what_may_run_once_and_ran_twice_is_seen() {
+fn second_run_of_a_run_once_request_is_reported() {
     assert_eq!(
         Case::new(RequestKind::Print).run_again("i-2").broken_promises(),
         [Promise::AtMostOnce]
@@ -120,14 +120,14 @@
     assert_eq!(
         Case::new(RequestKind::Chat).run_again("i-2").broken_promises(),
         [],
-        "a stream may go on"
+        "a stream may fail over"
     );
 }
 
 #[rstest]
 #[case(429)]
 #[case(503)]
-fn a_refusal_of_what_has_run_is_seen(#[case] status: u16) {
+fn refusal_of_a_request_that_ran_is_reported(#[case] status: u16) {
     let case = Case::new(RequestKind::Print).with_result(answer(status, None, String::new()));
     assert_eq!(case.broken_promises(), [Promise::NotRunMeansNotRun]);
     let unknown = Case::new(RequestKind::Print).with_result(answer(502, None, String::new()));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_run_that_nobody_asked_for_is_seen() {
+fn run_without_a_request_is_reported() {
     let mut case = Case::new(RequestKind::Print);
     case.record.runs[0].team = Some("another".to_owned());
     assert_eq!(case.broken_promises(), [Promise::OnlyWhatWasAsked]);
@@ -145,17 +145,17 @@
 }
 
 #[test]
-fn a_key_that_is_believed_for_too_long_is_seen() {
+fn key_accepted_too_long_after_revocation_is_reported() {
     let mut case = Case::new(RequestKind::Print);
     case.record.keys[0].revoked = Some((4, case.at(0)));
-    assert_eq!(case.broken_promises(), [], "two seconds after it was taken away");
+    assert_eq!(case.broken_promises(), [], "two seconds after its revocation");
     case.record.outcomes[0].sent = case.at(6);
     case.record.outcomes[0].ended = case.at(7);
     assert_eq!(case.broken_promises(), [Promise::KeysInTime]);
 }
 
 #[test]
-fn a_configuration_that_goes_back_is_seen() {
+fn configuration_that_goes_back_is_reported() {
     let mut case = Case::new(RequestKind::Print);
     let since = case.at(1);
     let newer = Key { text: "key-4".to_owned(), since_version: 4, since, revoked: None };
@@ -167,41 +167,41 @@
     denied.ended = case.at(6);
     denied.result = answer(401, None, String::new());
     case.record.outcomes.push(denied);
-    assert_eq!(case.broken_promises(), [], "it may not have come yet");
+    assert_eq!(case.broken_promises(), [], "it may not have propagated yet");
     case.record.outcomes[0].key = "key-4".to_owned();
     assert_eq!(case.broken_promises(), [Promise::OnlyForward]);
     case.record.outcomes[1].node = (0, 2);
-    assert_eq!(case.broken_promises(), [], "another life of the node begins anew");
+    assert_eq!(case.broken_promises(), [], "another incarnation may start with an older version");
 }
 
 #[test]
-fn a_new_key_that_is_denied_for_too_long_after_a_silence_is_seen() {
+fn new_key_denied_too_long_after_a_silence_is_reported() {
     let mut case = Case::new(RequestKind::Print).with_result(answer(401, None, String::new()));
     case.record.runs.clear();
     case.record.silences = Some((case.at(0), case.at(8)));
     case.record.outcomes[0].sent = case.at(3);
-    assert_eq!(case.broken_promises(), [], "it may not have come yet");
+    assert_eq!(case.broken_promises(), [], "it may not have propagated yet");
     case.record.outcomes[0].sent = case.at(4);
     assert_eq!(case.broken_promises(), [Promise::InForceInTime]);
     case.record.silences = Some((case.at(1), case.at(8)));
-    assert_eq!(case.broken_promises(), [], "it was written among other faults");
+    assert_eq!(case.broken_promises(), [], "it was written during other faults");
     case.record.silences = None;
     assert_eq!(case.broken_promises(), [], "faults may have hidden it");
 }
 
 #[test]
-fn new_work_for_who_is_leaving_is_seen() {
+fn new_work_for_a_draining_instance_is_reported() {
     let mut case = Case::new(RequestKind::Print);
     case.record.outcomes[0].sent = case.at(6);
     case.record.runs[0].at = case.at(6);
     case.record.leaving.insert("i-1".to_owned(), case.at(2));
     assert_eq!(case.broken_promises(), [Promise::LeavingGetsNothing]);
     case.record.visibility_faults.push((case.at(1), case.at(7)));
-    assert_eq!(case.broken_promises(), [], "a fault may have hidden its word");
+    assert_eq!(case.broken_promises(), [], "a fault may have hidden the announcement");
 }
 
 #[test]
-fn a_cut_in_calm_is_seen_and_one_under_faults_is_not() {
+fn cut_is_reported_only_outside_faults() {
     let mut case = Case::new(RequestKind::Chat).with_result(CallerResult::Cut("reset".to_owned()));
     assert_eq!(case.broken_promises(), [Promise::StopCutsNothing]);
     case.record.planned = Some((case.at(3), case.at(4)));
@@ -212,12 +212,12 @@
     assert_eq!(case.broken_promises(), []);
 }
 
-/// Once three have ended, and all had the time to hear, three more are too many by one.
+/// Three more runs are allowed once three instances have crashed and all nodes had time to hear.
 #[rstest]
-#[case::nobody_sends_it_on(0, 0)]
-#[case::whoever_had_not_heard(9, 1)]
+#[case::not_forwarded(0, 0)]
+#[case::by_nodes_that_had_not_heard(9, 1)]
 #[case::a_few_later(3, 20)]
-fn what_ends_its_instance_may_be_sent_on_for_a_moment_and_a_few_times(
+fn crashing_request_may_be_forwarded_briefly_and_a_few_times(
     #[case] more: u64,
     #[case] after_secs: u64,
 ) {
@@ -225,11 +225,11 @@
 }
 
 #[test]
-fn what_ends_its_instance_and_is_sent_on_is_seen() {
+fn crashing_request_forwarded_too_often_is_reported() {
     assert_eq!(ends_few(4, 20), [Promise::EndsFew]);
 }
 
-/// Three have ended, and so many more later; what is broken of this promise.
+/// Breaches of [`Promise::EndsFew`] if three instances crash and `more` crash `after_secs` later.
 fn ends_few(more: u64, after_secs: u64) -> Vec<Promise> {
     let start = Instant::now();
     let run = |n: u64, secs: u64| Run {
@@ -245,9 +245,10 @@
     broken.filter(|promise| *promise == Promise::EndsFew).collect()
 }
 
-/// Requests of two nodes at one instance that asks node 0 for three seconds of rest at second two:
-/// those of node 0 come at these times, in tenths of a second.
-fn resting(of_node_0: &[u64], of_node_1: &[u64], leaves: bool) -> Vec<Promise> {
+/// Breaches if requests of two nodes arrive, at these times in tenths of a second, at an instance
+/// that at second two sends node 0 a Retry-After of three seconds or, if `leaves`, announces its
+/// departure.
+fn breaches_after_notice(of_node_0: &[u64], of_node_1: &[u64], leaves: bool) -> Vec<Promise> {
     let mut case = Case::new(RequestKind::Chat);
     let at = |tenths: u64| case.start + Duration::from_millis(tenths * 100);
     let first = (0, 20);
@@ -280,27 +281,27 @@
 #[rstest]
 #[case::two(&[26, 48], &[], false)]
 #[case::three(&[26, 30, 48], &[], true)]
-#[case::what_was_on_its_way(&[21, 22, 23, 24, 48], &[], false)]
-#[case::after_it(&[51, 52, 53, 54], &[], false)]
+#[case::in_flight(&[21, 22, 23, 24, 48], &[], false)]
+#[case::after_the_backoff(&[51, 52, 53, 54], &[], false)]
 #[case::from_another_node(&[], &[26, 30, 40, 48], false)]
-fn who_has_asked_for_rest_gets_two_at_most(
+fn instance_gets_two_requests_at_most_during_retry_after(
     #[case] of_node_0: &[u64],
     #[case] of_node_1: &[u64],
     #[case] is_broken: bool,
 ) {
     let expected = if is_broken { vec![Promise::LetsRest] } else { Vec::new() };
-    assert_eq!(resting(of_node_0, of_node_1, false), expected);
+    assert_eq!(breaches_after_notice(of_node_0, of_node_1, false), expected);
 }
 
 #[rstest]
 #[case::in_time(&[49], &[49], 0)]
 #[case::too_late(&[51], &[], 1)]
 #[case::from_another_node(&[], &[51, 60], 2)]
-fn who_says_that_it_leaves_gets_nothing_later(
+fn instance_that_announces_departure_gets_nothing_later(
     #[case] of_node_0: &[u64],
     #[case] of_node_1: &[u64],
     #[case] breaches: usize,
 ) {
-    let seen = resting(of_node_0, of_node_1, true);
+    let seen = breaches_after_notice(of_node_0, of_node_1, true);
     assert_eq!(seen, vec![Promise::LeavingGetsNothing; breaches]);
 }
--- a/crates/workshold-soak/tests/plan.rs
+++ b/crates/workshold-soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of a seed.
+//! Tests that a seed always gives the same faults, and that draws cover what they should.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 const LENGTH: Duration = Duration::from_secs(12);
 
 #[test]
-fn a_seed_is_always_the_same_and_another_one_is_not() {
+fn draws_depend_on_the_seed_only() {
     assert_eq!(draw(7, LENGTH), draw(7, LENGTH));
     assert_ne!(draw(7, LENGTH), draw(8, LENGTH));
 }
 
 #[test]
-fn faults_come_in_order_overlap_and_cover_all_kinds() {
+fn faults_are_ordered_overlap_and_cover_all_kinds() {
     let mut kinds = BTreeSet::new();
     let mut overlaps = 0;
     for seed in 0..50 {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn engines_begin_anew_beside_all_other_faults() {
+fn engine_restarts_join_all_other_faults() {
     let with: Vec<_> = (0..50).flat_map(|seed| draw_with_restarts(seed, LENGTH)).collect();
     let anew = with.iter().filter(|fault| fault.kind == FaultKind::RestartEngine).count();
     assert!(anew * 6 > with.len() && anew * 3 < with.len(), "{anew} of {}", with.len());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_store_comes_back_from_copies_beside_all_other_faults() {
+fn store_restores_join_all_other_faults() {
     let with: Vec<_> = (0..50).flat_map(|seed| draw_with_restores(seed, LENGTH)).collect();
     let returns = with.iter().filter(|fault| fault.kind == FaultKind::RestoreStore).count();
     assert!(returns * 9 > with.len() && returns * 4 < with.len(), "{returns} of {}", with.len());
@@ -61,9 +61,9 @@
     assert_eq!(kinds.len(), 3, "{kinds:?}");
 }
 
-/// Each is longer than it takes until all nodes keep to it, and some overlap.
+/// Each rate limit outlasts the time until all nodes comply with it, and some overlap.
 #[test]
-fn limits_last_overlap_and_go_down_to_nothing() {
+fn rate_limits_last_overlap_and_can_be_zero() {
     let limits: Vec<_> = (0..50).flat_map(|seed| draw_limits(seed, 4)).collect();
     assert_eq!(draw_limits(7, 4), draw_limits(7, 4));
     assert!(limits.iter().all(|limit| limit.duration > Duration::from_secs(4)));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn some_of_those_that_rest_leave() {
+fn some_retry_after_faults_are_departures() {
     let rests: Vec<_> = (0..50).flat_map(|seed| draw_retry_after_faults(seed, 4)).collect();
     assert_eq!(draw_retry_after_faults(7, 4), draw_retry_after_faults(7, 4));
     let leave = rests.iter().filter(|resting| resting.tenths.is_none()).count();
