--- a/crates/workshold-soak/src/run.rs
+++ b/crates/workshold-soak/src/run.rs
@@ -92,9 +92,9 @@
 /// Why a seed could not be run.
 #[derive(Debug, Display)]
 pub enum SoakError {
-    /// cannot start a node or create its directory: {0}
+    /// a node could not be started or its folder made: {0}
     Machine(io::Error),
-    /// the nodes did not start serving before the first fault; their logs are in {0}
+    /// the nodes did not serve before any fault came; their logs are in {0}
     NeverServed(PathBuf),
 }
 
