--- a/crates/workshold-standins/src/commands/ask.rs
+++ b/crates/workshold-standins/src/commands/ask.rs
@@ -12,7 +12,7 @@
 use workshold_http::body;
 use workshold_http::client;
 
-const WITHIN: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What to ask.
 #[derive(Debug, Clone)]
@@ -34,9 +34,9 @@
 /// If the question cannot be asked, or no answer comes.
 pub async fn run(question: Question) -> Result<(), String> {
     let req = request(&question)?;
-    let connected = client::connect(&question.address, WITHIN).await;
+    let connected = client::connect(&question.address, REQUEST_TIMEOUT).await;
     let connected = connected.map_err(|err| err.to_string())?;
-    let sent = connected.send(req, WITHIN).await;
+    let sent = connected.send(req, REQUEST_TIMEOUT).await;
     let (res, _driver) = sent.map_err(|err| err.to_string())?;
     let mut body = res.into_body();
     let mut out = std::io::stdout();
--- a/crates/workshold-standins/src/commands/compare.rs
+++ b/crates/workshold-standins/src/commands/compare.rs
@@ -18,8 +18,8 @@
 use crate::load::Load;
 use crate::load::Request;
 
-const WITHIN: Duration = Duration::from_secs(5);
-const PER_MS: f64 = 100.0;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+const HUNDREDTHS_PER_MS: f64 = 100.0;
 
 /// Asks `pairs` times each way and prints percentiles and their ratios.
 ///
@@ -28,7 +28,7 @@
 /// If the deployment does not answer, or an answer was wrong.
 #[expect(clippy::print_stdout, reason = "this is where a command prints")]
 pub async fn run(layout: &Layout, pairs: u32, tokens: u32) -> Result<(), String> {
-    let (engine, mut generate) = any_group(layout).await?;
+    let (engine, mut generate) = find_serving_group(layout).await?;
     let load = Arc::new(Load {
         entries: vec![layout.callers(0)],
         model: generate.model.to_string(),
@@ -42,29 +42,32 @@
     });
     let entries = EntryList::new(load.entries.clone());
     let histogram = || Histogram::<u64>::new(3).expect("three digits are allowed");
-    let (mut direct, mut through) = (histogram(), histogram());
+    let (mut direct, mut via_node) = (histogram(), histogram());
     for n in 0..pairs {
         let request = Request { prompt: format!("pair {n}"), tokens };
         generate.prompt.clone_from(&request.prompt);
         generate.max_tokens = tokens;
-        let one = load::call_engine(&engine, generate.clone()).await;
-        let other = load::call(Arc::clone(&load), Arc::clone(&entries), request).await;
-        if !one.is_right || !other.is_right {
-            return Err(format!("pair {n} was not answered right: {one:?} {other:?}"));
+        let direct_end = load::call_engine(&engine, generate.clone()).await;
+        let via_node_end = load::call(Arc::clone(&load), Arc::clone(&entries), request).await;
+        if !direct_end.is_right || !via_node_end.is_right {
+            return Err(format!(
+                "pair {n} was not answered right: {direct_end:?} {via_node_end:?}"
+            ));
         }
         let hundredths = |first: Option<Duration>| {
-            (first.unwrap_or_default().as_secs_f64() * 1000.0 * PER_MS) as u64
+            (first.unwrap_or_default().as_secs_f64() * 1000.0 * HUNDREDTHS_PER_MS) as u64
         };
-        let _ = direct.record(hundredths(one.first_token));
-        let _ = through.record(hundredths(other.first_token));
+        let _ = direct.record(hundredths(direct_end.first_token));
+        let _ = via_node.record(hundredths(via_node_end.first_token));
     }
-    let row = |h: &Histogram<u64>| [0.5, 0.99].map(|q| h.value_at_quantile(q) as f64 / PER_MS);
-    let (direct, through) = (row(&direct), row(&through));
-    let ratio = [through[0] / direct[0], through[1] / direct[1]];
+    let row =
+        |h: &Histogram<u64>| [0.5, 0.99].map(|q| h.value_at_quantile(q) as f64 / HUNDREDTHS_PER_MS);
+    let (direct, via_node) = (row(&direct), row(&via_node));
+    let ratio = [via_node[0] / direct[0], via_node[1] / direct[1]];
     let printed = serde_json::json!({
         "pairs": pairs,
         "direct_first_token_ms_p50_p99": direct,
-        "through_a_node_first_token_ms_p50_p99": through,
+        "through_a_node_first_token_ms_p50_p99": via_node,
         "ratio_p50_p99": ratio,
     });
     println!("{printed}");
@@ -72,8 +75,8 @@
 }
 
 /// The head of a group that serves, and a request for it.
-async fn any_group(layout: &Layout) -> Result<(String, GenerateRequest), String> {
-    let status: Value = client::get(&layout.operators(0), "/status", WITHIN)
+async fn find_serving_group(layout: &Layout) -> Result<(String, GenerateRequest), String> {
+    let status: Value = client::get(&layout.operators(0), "/status", REQUEST_TIMEOUT)
         .await
         .map_err(|err| err.to_string())?;
     let groups = status["groups"].as_array().map(Vec::as_slice).unwrap_or_default();
--- a/crates/workshold-standins/src/commands/fault.rs
+++ b/crates/workshold-standins/src/commands/fault.rs
@@ -16,8 +16,9 @@
 pub async fn run(layout: &Layout, text: &str) -> Result<(), String> {
     let fault: Fault = serde_json::from_str(text).map_err(|err| err.to_string())?;
     let sent: Result<serde_json::Value, _> =
-        client::call(&layout.control(), Method::POST, "/faults", Some(&fault), WITHIN).await;
+        client::call(&layout.control(), Method::POST, "/faults", Some(&fault), REQUEST_TIMEOUT)
+            .await;
     sent.map(|_| ()).map_err(|err| err.to_string())
 }
 
-const WITHIN: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/workshold-standins/src/commands/sample.rs
+++ b/crates/workshold-standins/src/commands/sample.rs
@@ -7,10 +7,10 @@
 
 /// Ticks of processor time in a second, as the machine counts them.
 const TICKS_PER_S: f64 = 100.0;
-const WITHIN: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
-struct Moment {
+struct Sample {
     cpu_ticks: f64,
     counts: Value,
     memory_kib: u64,
@@ -23,11 +23,11 @@
 /// If the process or the node does not answer.
 #[expect(clippy::print_stdout, reason = "this is where a command prints")]
 pub async fn run(pid: u32, operators: &str, secs: u64) -> Result<(), String> {
-    let before = moment(pid, operators).await?;
+    let before = sample(pid, operators).await?;
     tokio::time::sleep(Duration::from_secs(secs)).await;
-    let after = moment(pid, operators).await?;
+    let after = sample(pid, operators).await?;
     let per_s = |name: &str| {
-        let value = |moment: &Moment| moment.counts[name].as_f64().unwrap_or_default();
+        let value = |sample: &Sample| sample.counts[name].as_f64().unwrap_or_default();
         (value(&after) - value(&before)) / secs as f64
     };
     let cpu = (after.cpu_ticks - before.cpu_ticks) / TICKS_PER_S / secs as f64;
@@ -45,14 +45,14 @@
     Ok(())
 }
 
-async fn moment(pid: u32, operators: &str) -> Result<Moment, String> {
+async fn sample(pid: u32, operators: &str) -> Result<Sample, String> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).map_err(|e| e.to_string())?;
     // After the name in brackets: user and system time are the 12th and 13th.
     let fields: Vec<_> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or_default();
     let state: Value =
-        client::get(operators, "/debug/state", WITHIN).await.map_err(|e| e.to_string())?;
-    Ok(Moment {
+        client::get(operators, "/debug/state", REQUEST_TIMEOUT).await.map_err(|e| e.to_string())?;
+    Ok(Sample {
         cpu_ticks: ticks(11) + ticks(12),
         counts: state["counts"].clone(),
         memory_kib: state["memory_kib"].as_u64().unwrap_or_default(),
--- a/crates/workshold-standins/src/engine.rs
+++ b/crates/workshold-standins/src/engine.rs
@@ -37,7 +37,7 @@
 
 use crate::engine::streams::StreamBuffer;
 use crate::faults::Observed;
-use crate::log::number;
+use crate::log::query_number;
 use crate::weights::WeightStore;
 
 /// Whether an engine's process runs.
@@ -92,7 +92,7 @@
 }
 
 #[derive(Debug)]
-struct Seat {
+struct Assignment {
     order: JoinOrder,
     fence: FencingToken,
     ready_at: Instant,
@@ -104,12 +104,12 @@
     incarnation: Incarnation,
     mode: Mode,
     mode_since: Instant,
-    seat: Option<Seat>,
-    left_seat: Instant,
+    assignment: Option<Assignment>,
+    unassigned_since: Instant,
     highest_fence: FencingToken,
     loaded: Option<ModelWeights>,
     /// When what is named there is whole.
-    loaded_at: Instant,
+    weights_loaded_at: Instant,
     slow_factor: u32,
     running: u32,
     queued: u32,
@@ -125,12 +125,12 @@
     inner: Mutex<Inner>,
 }
 
-const MAX_BODY_LEN: usize = 16 * 1024 * 1024;
-const MAX_BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_LEN_MAX: usize = 16 * 1024 * 1024;
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a whole stream is kept for those who resume.
-const KEEP_STREAM: Duration = Duration::from_secs(20);
+const STREAM_RETENTION: Duration = Duration::from_secs(20);
 /// Bytes of a prompt that a step prefills.
-const PREFILL_BYTES: usize = 4096;
+const PREFILL_BYTES_PER_STEP: usize = 4096;
 
 impl Engine {
     fn new(id: InstanceId, rules: EngineRules, fabric: Weak<Fabric>) -> Arc<Self> {
@@ -139,11 +139,11 @@
             incarnation: Incarnation(1),
             mode: Mode::Up,
             mode_since: now,
-            seat: None,
-            left_seat: now,
+            assignment: None,
+            unassigned_since: now,
             highest_fence: FencingToken(0),
             loaded: None,
-            loaded_at: now,
+            weights_loaded_at: now,
             slow_factor: 1,
             running: 0,
             queued: 0,
@@ -180,7 +180,7 @@
         self.set_mode(Mode::Dead);
         let mut inner = self.inner.lock();
         inner.incarnation.0 += 1;
-        inner.leave_seat();
+        inner.clear_assignment();
         inner.loaded = None;
         inner.running = 0;
         inner.queued = 0;
@@ -195,12 +195,12 @@
 
     /// The group it is in by its own account.
     pub fn group(&self) -> Option<GroupId> {
-        self.inner.lock().seat.as_ref().map(|seat| seat.order.group.clone())
+        self.inner.lock().assignment.as_ref().map(|assignment| assignment.order.group.clone())
     }
 
     /// Answers a request; `None` leaves it without an answer.
     pub async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Option<Response<Body>> {
-        self.wait_while_frozen().await;
+        self.wait_until_unfrozen().await;
         let path = req.uri().path().to_owned();
         let query = req.uri().query().unwrap_or_default().to_owned();
         match (req.method().clone(), path.as_str()) {
@@ -215,23 +215,23 @@
         }
     }
 
-    async fn wait_while_frozen(&self) {
+    async fn wait_until_unfrozen(&self) {
         while self.mode() == Mode::Frozen {
-            tokio::time::sleep(FROZEN_PAUSE).await;
+            tokio::time::sleep(FROZEN_POLL_INTERVAL).await;
         }
     }
 
     fn report(&self) -> Report {
         let inner = self.inner.lock();
-        let membership = inner.seat.as_ref().map(|seat| GroupMembership {
-            group: seat.order.group.clone(),
-            fence: seat.fence,
-            readiness: seat.readiness(),
+        let membership = inner.assignment.as_ref().map(|assignment| GroupMembership {
+            group: assignment.order.group.clone(),
+            fence: assignment.fence,
+            readiness: assignment.readiness(),
         });
         Report {
             incarnation: inner.incarnation,
             membership,
-            loaded: inner.loaded.clone().filter(|_| inner.loaded_at <= Instant::now()),
+            loaded: inner.loaded.clone().filter(|_| inner.weights_loaded_at <= Instant::now()),
             lag: Millis::ZERO,
             running: inner.running,
             queued: inner.queued,
@@ -240,7 +240,7 @@
     }
 
     async fn on_order(&self, req: Request<Incoming>) -> Option<Response<Body>> {
-        let bytes = body::read(req.into_body(), MAX_BODY_LEN, MAX_BODY_TIME).await.ok()?;
+        let bytes = body::read(req.into_body(), BODY_LEN_MAX, BODY_READ_TIMEOUT).await.ok()?;
         let Ok(order) = serde_json::from_slice::<Order>(&bytes) else {
             return Some(body::json(StatusCode::BAD_REQUEST, &"not an order"));
         };
@@ -251,28 +251,34 @@
             return Some(body::json(StatusCode::CONFLICT, &"an old fencing number"));
         }
         inner.highest_fence = inner.highest_fence.max(order.fence);
-        self.obey(&mut inner, order);
+        self.apply_order(&mut inner, order);
         Some(body::json(StatusCode::OK, &"done"))
     }
 
-    fn obey(&self, inner: &mut Inner, order: Order) {
+    fn apply_order(&self, inner: &mut Inner, order: Order) {
         match order.action {
             OrderAction::Join(join) => self.join(inner, join, order.fence),
             OrderAction::Load { weights, weights_mib } => {
-                if inner.seat.is_none() {
+                if inner.assignment.is_none() {
                     self.load(inner, weights, weights_mib);
                 }
             }
             OrderAction::Drain { group } => {
-                if let Some(seat) = inner.seat.as_mut().filter(|seat| seat.order.group == group) {
-                    seat.is_draining = true;
+                if let Some(assignment) =
+                    inner.assignment.as_mut().filter(|assignment| assignment.order.group == group)
+                {
+                    assignment.is_draining = true;
                 }
             }
             OrderAction::Leave { group } => {
-                if inner.seat.as_ref().is_some_and(|seat| seat.order.group == group) {
+                if inner
+                    .assignment
+                    .as_ref()
+                    .is_some_and(|assignment| assignment.order.group == group)
+                {
                     let cut = u64::from(inner.running);
                     inner.streams.values().for_each(|stream| stream.fail("the group has ended"));
-                    inner.leave_seat();
+                    inner.clear_assignment();
                     self.observe(|observed| observed.cut_by_leave += cut);
                 }
             }
@@ -285,32 +291,31 @@
             return;
         }
         if let Some(fabric) = self.fabric.upgrade() {
-            inner.loaded_at = fabric.store.load(weights_mib, self.rules.load_mib_per_s);
+            inner.weights_loaded_at = fabric.store.load(weights_mib, self.rules.load_mib_per_s);
         }
         inner.loaded = Some(wanted);
     }
 
     fn join(&self, inner: &mut Inner, join: JoinOrder, fence: FencingToken) {
-        let is_same = inner
-            .seat
-            .as_ref()
-            .is_some_and(|seat| seat.order.group == join.group && seat.fence == fence);
+        let is_same = inner.assignment.as_ref().is_some_and(|assignment| {
+            assignment.order.group == join.group && assignment.fence == fence
+        });
         if is_same {
             return;
         }
         let wanted = ModelWeights { model: join.model.clone(), version: join.version.clone() };
         self.load(inner, wanted, join.weights_mib);
-        let ready_at = inner.loaded_at;
-        inner.leave_seat();
-        inner.seat = Some(Seat { order: join, fence, ready_at, is_draining: false });
+        let ready_at = inner.weights_loaded_at;
+        inner.clear_assignment();
+        inner.assignment = Some(Assignment { order: join, fence, ready_at, is_draining: false });
     }
 
     async fn on_generate(self: &Arc<Self>, req: Request<Incoming>) -> Option<Response<Body>> {
-        let bytes = body::read(req.into_body(), MAX_BODY_LEN, MAX_BODY_TIME).await.ok()?;
+        let bytes = body::read(req.into_body(), BODY_LEN_MAX, BODY_READ_TIMEOUT).await.ok()?;
         let Ok(generate) = serde_json::from_slice::<GenerateRequest>(&bytes) else {
             return Some(body::json(StatusCode::BAD_REQUEST, &"not a request"));
         };
-        if let Err(why) = self.check(&generate) {
+        if let Err(why) = self.check_assignment(&generate) {
             return Some(not_started(why));
         }
         self.observe(|observed| observed.streams_started += 1);
@@ -321,26 +326,26 @@
     }
 
     /// What an engine knows before it starts; also where the breaches are counted.
-    fn check(&self, generate: &GenerateRequest) -> Result<(), &'static str> {
+    fn check_assignment(&self, generate: &GenerateRequest) -> Result<(), &'static str> {
         let order = {
             let inner = self.inner.lock();
-            let Some(seat) = &inner.seat else {
-                let missing = Millis(inner.left_seat.elapsed().as_millis() as u64);
+            let Some(assignment) = &inner.assignment else {
+                let missing = Millis(inner.unassigned_since.elapsed().as_millis() as u64);
                 self.observe_incomplete(missing);
                 return Err("it is in no group");
             };
-            if seat.order.group != generate.group || seat.fence != generate.fence {
-                let missing = Millis(inner.left_seat.elapsed().as_millis() as u64);
+            if assignment.order.group != generate.group || assignment.fence != generate.fence {
+                let missing = Millis(inner.unassigned_since.elapsed().as_millis() as u64);
                 self.observe_incomplete(missing);
                 return Err("it is in another group");
             }
-            if seat.readiness() == Readiness::Draining {
+            if assignment.readiness() == Readiness::Draining {
                 self.observe(|observed| observed.sent_to_draining += 1);
                 return Err("it is draining");
             }
-            seat.order.clone()
+            assignment.order.clone()
         };
-        match self.missing_member(&order, generate.fence) {
+        match self.longest_missing_member(&order, generate.fence) {
             None => Ok(()),
             Some(missing_for) => {
                 self.observe_incomplete(missing_for);
@@ -350,19 +355,18 @@
     }
 
     /// For how long a member of the group has been missing, if one is.
-    fn missing_member(&self, order: &JoinOrder, fence: FencingToken) -> Option<Millis> {
+    fn longest_missing_member(&self, order: &JoinOrder, fence: FencingToken) -> Option<Millis> {
         let fabric = self.fabric.upgrade()?;
         let missing = order.members.iter().filter_map(|member| {
             let engine = fabric.engine(member)?;
             let inner = engine.inner.lock();
-            let is_in = inner
-                .seat
-                .as_ref()
-                .is_some_and(|seat| seat.order.group == order.group && seat.fence == fence);
+            let is_in = inner.assignment.as_ref().is_some_and(|assignment| {
+                assignment.order.group == order.group && assignment.fence == fence
+            });
             let since = if inner.mode != Mode::Up {
                 inner.mode_since
             } else if !is_in {
-                inner.left_seat
+                inner.unassigned_since
             } else {
                 return None;
             };
@@ -372,14 +376,15 @@
     }
 
     async fn generate(self: Arc<Self>, generate: GenerateRequest, stream: Arc<StreamBuffer>) {
-        let order = self.inner.lock().seat.as_ref().map(|seat| seat.order.clone());
+        let order =
+            self.inner.lock().assignment.as_ref().map(|assignment| assignment.order.clone());
         self.inner.lock().queued += 1;
-        while !self.take_slot() && !stream.is_over() {
+        while !self.acquire_slot() && !stream.is_finished() {
             tokio::time::sleep(self.step()).await;
         }
         self.run_steps(&generate, order.as_ref(), &stream).await;
-        self.give_slot_back();
-        tokio::time::sleep(KEEP_STREAM).await;
+        self.release_slot();
+        tokio::time::sleep(STREAM_RETENTION).await;
         self.inner.lock().streams.remove(&generate.stream);
     }
 
@@ -389,19 +394,19 @@
         order: Option<&JoinOrder>,
         stream: &StreamBuffer,
     ) {
-        let prefill = generate.prompt.len() / PREFILL_BYTES + 1;
+        let prefill = generate.prompt.len() / PREFILL_BYTES_PER_STEP + 1;
         for _ in 0..prefill {
             tokio::time::sleep(self.step()).await;
         }
         let first = generate.generated.len() as u32;
         for index in first..generate.max_tokens {
-            self.wait_while_frozen().await;
-            let is_whole =
-                order.is_some_and(|order| self.missing_member(order, generate.fence).is_none());
-            if !is_whole {
+            self.wait_until_unfrozen().await;
+            let has_all_members = order
+                .is_some_and(|order| self.longest_missing_member(order, generate.fence).is_none());
+            if !has_all_members {
                 stream.fail("a member of the group is missing");
             }
-            if stream.is_over() {
+            if stream.is_finished() {
                 return;
             }
             let text = crate::answer::token(&generate.prompt, index);
@@ -416,7 +421,7 @@
         self.rules.step.to_duration() * factor
     }
 
-    fn take_slot(&self) -> bool {
+    fn acquire_slot(&self) -> bool {
         let mut inner = self.inner.lock();
         let has_room = inner.running < self.rules.slots;
         if has_room {
@@ -426,13 +431,13 @@
         has_room
     }
 
-    fn give_slot_back(&self) {
+    fn release_slot(&self) {
         let mut inner = self.inner.lock();
         inner.running = inner.running.saturating_sub(1);
     }
 
     fn resume(&self, id: &str, query: &str) -> Response<Body> {
-        let from = number(query, "from").unwrap_or(0) as u32;
+        let from = query_number(query, "from").unwrap_or(0) as u32;
         match self.inner.lock().streams.get(id) {
             Some(stream) => stream_response(Arc::clone(stream), from),
             None => body::json(StatusCode::NOT_FOUND, &"no such stream"),
@@ -460,9 +465,9 @@
     }
 }
 
-const FROZEN_PAUSE: Duration = Duration::from_millis(5);
+const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-impl Seat {
+impl Assignment {
     fn readiness(&self) -> Readiness {
         if self.is_draining {
             Readiness::Draining
@@ -475,9 +480,9 @@
 }
 
 impl Inner {
-    fn leave_seat(&mut self) {
-        if self.seat.take().is_some() {
-            self.left_seat = Instant::now();
+    fn clear_assignment(&mut self) {
+        if self.assignment.take().is_some() {
+            self.unassigned_since = Instant::now();
         }
     }
 }
--- a/crates/workshold-standins/src/engine/streams.rs
+++ b/crates/workshold-standins/src/engine/streams.rs
@@ -15,7 +15,7 @@
     count: watch::Sender<usize>,
 }
 
-fn ends(event: &TokenEvent) -> bool {
+fn is_final(event: &TokenEvent) -> bool {
     matches!(event, TokenEvent::Done { .. } | TokenEvent::Failed { .. })
 }
 
@@ -27,7 +27,7 @@
 
     pub(super) fn push(&self, event: TokenEvent) {
         let mut events = self.events.lock();
-        if events.last().is_some_and(ends) {
+        if events.last().is_some_and(is_final) {
             return;
         }
         events.push(event);
@@ -38,8 +38,8 @@
         self.push(TokenEvent::Failed { why: why.to_owned() });
     }
 
-    pub(super) fn is_over(&self) -> bool {
-        self.events.lock().last().is_some_and(ends)
+    pub(super) fn is_finished(&self) -> bool {
+        self.events.lock().last().is_some_and(is_final)
     }
 
     /// The events from token `from` on, as they come.
@@ -58,7 +58,7 @@
                     _ => true,
                 };
                 if is_wanted {
-                    let over = ends(&event);
+                    let over = is_final(&event);
                     return Some((event, (buffer, rx, next, over)));
                 }
             }
--- a/crates/workshold-standins/src/layout.rs
+++ b/crates/workshold-standins/src/layout.rs
@@ -11,11 +11,11 @@
 use workshold_protocol::report::ListedInstance;
 
 /// Ports kept for the platform before those of the engines.
-const ENGINES_AT: u16 = 10;
+const ENGINE_PORT_OFFSET: u16 = 10;
 /// Ports from the engines to the plain services.
-const SERVICES_AT: u16 = 200;
+const SERVICE_PORT_OFFSET: u16 = 200;
 /// Ports from the engines to the entry nodes.
-const ENTRIES_AT: u16 = 220;
+const ENTRY_PORT_OFFSET: u16 = 220;
 /// Ports that each entry node takes.
 const PORTS_PER_ENTRY: u16 = 3;
 /// Ports that a whole deployment takes.
@@ -98,27 +98,27 @@
 
     /// Where an engine listens.
     pub fn engine(&self, i: u16) -> String {
-        address(self.base_port + ENGINES_AT + i)
+        address(self.base_port + ENGINE_PORT_OFFSET + i)
     }
 
     /// Where an instance of the plain service listens.
     pub fn service(&self, i: u16) -> String {
-        address(self.base_port + SERVICES_AT + i)
+        address(self.base_port + SERVICE_PORT_OFFSET + i)
     }
 
     /// Where an entry node listens for callers.
     pub fn callers(&self, i: u16) -> String {
-        address(self.base_port + ENTRIES_AT + PORTS_PER_ENTRY * i)
+        address(self.base_port + ENTRY_PORT_OFFSET + PORTS_PER_ENTRY * i)
     }
 
     /// Where an entry node listens for other nodes.
     pub fn peers(&self, i: u16) -> String {
-        address(self.base_port + ENTRIES_AT + PORTS_PER_ENTRY * i + 1)
+        address(self.base_port + ENTRY_PORT_OFFSET + PORTS_PER_ENTRY * i + 1)
     }
 
     /// Where an entry node listens for operators.
     pub fn operators(&self, i: u16) -> String {
-        address(self.base_port + ENTRIES_AT + PORTS_PER_ENTRY * i + 2)
+        address(self.base_port + ENTRY_PORT_OFFSET + PORTS_PER_ENTRY * i + 2)
     }
 
     /// The data centre of an entry node.
--- a/crates/workshold-standins/src/list.rs
+++ b/crates/workshold-standins/src/list.rs
@@ -17,18 +17,18 @@
 
 #[derive(Debug)]
 struct Inner {
-    editions: VecDeque<(Instant, Vec<ListedInstance>)>,
+    versions: VecDeque<(Instant, Vec<ListedInstance>)>,
     lag: Millis,
 }
 
 /// Past editions that are kept.
-const MAX_EDITIONS: usize = 256;
+const VERSIONS_MAX: usize = 256;
 
 impl InstanceList {
     /// A list of `instances` that lags by `lag`.
     pub fn new(instances: Vec<ListedInstance>, lag: Millis) -> Arc<Self> {
-        let editions = VecDeque::from([(Instant::now(), instances)]);
-        Arc::new(Self { inner: Mutex::new(Inner { editions, lag }) })
+        let versions = VecDeque::from([(Instant::now(), instances)]);
+        Arc::new(Self { inner: Mutex::new(Inner { versions, lag }) })
     }
 
     /// Changes the lag.
@@ -38,7 +38,7 @@
 
     /// Marks an instance as leaving, or as staying.
     pub fn set_leaving(&self, instance: &InstanceId, leaving: bool) {
-        self.edit(|list| {
+        self.update(|list| {
             list.iter_mut()
                 .filter(|listed| &listed.instance == instance)
                 .for_each(|listed| listed.leaving = leaving);
@@ -47,25 +47,25 @@
 
     /// Takes an instance off the list.
     pub fn remove(&self, instance: &InstanceId) {
-        self.edit(|list| list.retain(|listed| &listed.instance != instance));
+        self.update(|list| list.retain(|listed| &listed.instance != instance));
     }
 
     /// What the list shows now, which is what was so a lag ago.
-    pub fn shown(&self) -> Vec<ListedInstance> {
+    pub fn visible(&self) -> Vec<ListedInstance> {
         let inner = self.inner.lock();
         let lag = inner.lag.to_duration();
-        let old_enough = inner.editions.iter().rev().find(|(since, _)| since.elapsed() >= lag);
-        let edition = old_enough.or_else(|| inner.editions.front());
-        edition.map(|(_, list)| list.clone()).unwrap_or_default()
+        let old_enough = inner.versions.iter().rev().find(|(since, _)| since.elapsed() >= lag);
+        let version = old_enough.or_else(|| inner.versions.front());
+        version.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    fn edit(&self, change: impl FnOnce(&mut Vec<ListedInstance>)) {
+    fn update(&self, change: impl FnOnce(&mut Vec<ListedInstance>)) {
         let mut inner = self.inner.lock();
-        let mut list = inner.editions.back().map(|(_, list)| list.clone()).unwrap_or_default();
+        let mut list = inner.versions.back().map(|(_, list)| list.clone()).unwrap_or_default();
         change(&mut list);
-        if inner.editions.len() == MAX_EDITIONS {
-            inner.editions.pop_front();
+        if inner.versions.len() == VERSIONS_MAX {
+            inner.versions.pop_front();
         }
-        inner.editions.push_back((Instant::now(), list));
+        inner.versions.push_back((Instant::now(), list));
     }
 }
--- a/crates/workshold-standins/src/load.rs
+++ b/crates/workshold-standins/src/load.rs
@@ -51,15 +51,15 @@
 }
 
 /// Letters of the beginning that prompts share.
-const PREFIX_LEN: usize = 512;
+const SHARED_PREFIX_LEN: usize = 512;
 
 impl Load {
     /// The `n`th request.
     pub fn request(&self, rng: &mut ChaCha8Rng, n: u64) -> Request {
         let prefix = rng.random_range(0..self.prefixes.max(1));
-        let beginning = format!("template {prefix} ").repeat(PREFIX_LEN / 10);
+        let shared_prefix = format!("template {prefix} ").repeat(SHARED_PREFIX_LEN / 10);
         let tokens = rng.random_range(self.tokens.0..=self.tokens.1.max(self.tokens.0));
-        Request { prompt: format!("{beginning}request {n} of seed {}", self.seed), tokens }
+        Request { prompt: format!("{shared_prefix}request {n} of seed {}", self.seed), tokens }
     }
 }
 
@@ -84,7 +84,7 @@
     let mut report = Report::default();
     while let Some(end) = calls.join_next().await {
         match end {
-            Ok(end) => report.take(&end),
+            Ok(end) => report.add(&end),
             Err(_) => report.lost += 1,
         }
     }
--- a/crates/workshold-standins/src/load/caller.rs
+++ b/crates/workshold-standins/src/load/caller.rs
@@ -41,14 +41,14 @@
 /// The addresses to use, as the system gave them out.
 #[derive(Debug)]
 pub struct EntryList {
-    inner: Mutex<Known>,
+    inner: Mutex<AddressCache>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct AddressCache {
     addresses: Vec<String>,
-    until: Option<Instant>,
-    turn: usize,
+    expires_at: Option<Instant>,
+    next_index: usize,
 }
 
 #[derive(Debug, Deserialize)]
@@ -62,43 +62,48 @@
     address: String,
 }
 
-const WITHIN: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest silence in a stream before the caller tries elsewhere.
-const SILENCE: Duration = Duration::from_secs(15);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// How often a caller tries elsewhere.
-const MAX_MOVES: u32 = 8;
-const MOVE_PAUSE: Duration = Duration::from_millis(100);
+const ATTEMPTS_MAX: u32 = 8;
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl EntryList {
     /// A list that knows the addresses of the settings only.
     pub fn new(addresses: Vec<String>) -> Arc<Self> {
-        Arc::new(Self { inner: Mutex::new(Known { addresses, until: None, turn: 0 }) })
+        Arc::new(Self {
+            inner: Mutex::new(AddressCache { addresses, expires_at: None, next_index: 0 }),
+        })
     }
 
     /// An address in turn; asks the system again when the list has run out.
     async fn next(&self) -> String {
-        let (is_old, known) = {
+        let (is_expired, known) = {
             let inner = self.inner.lock();
-            (inner.until.is_none_or(|until| Instant::now() >= until), inner.addresses.clone())
+            (
+                inner.expires_at.is_none_or(|expires_at| Instant::now() >= expires_at),
+                inner.addresses.clone(),
+            )
         };
-        if is_old {
+        if is_expired {
             self.refresh(&known).await;
         }
         let mut inner = self.inner.lock();
-        inner.turn += 1;
-        let turn = inner.turn % inner.addresses.len();
-        inner.addresses[turn].clone()
+        inner.next_index += 1;
+        let next_index = inner.next_index % inner.addresses.len();
+        inner.addresses[next_index].clone()
     }
 
     async fn refresh(&self, known: &[String]) {
         for address in known {
-            let reply = client::get::<EntriesReply>(address, "/v1/entries", WITHIN).await;
+            let reply = client::get::<EntriesReply>(address, "/v1/entries", REQUEST_TIMEOUT).await;
             if let Ok(reply) = reply
                 && !reply.entries.is_empty()
             {
                 let mut inner = self.inner.lock();
                 inner.addresses = reply.entries.into_iter().map(|row| row.address).collect();
-                inner.until = Some(Instant::now() + Duration::from_millis(reply.ttl_ms));
+                inner.expires_at = Some(Instant::now() + Duration::from_millis(reply.ttl_ms));
                 return;
             }
         }
@@ -112,12 +117,12 @@
     last: Option<Instant>,
     id: Option<String>,
     tokens: Vec<String>,
-    is_whole: bool,
+    is_complete: bool,
     end: CallerEnd,
 }
 
 /// Why a connection was left.
-enum Left {
+enum AttemptEnd {
     Finished,
     Broken,
 }
@@ -129,21 +134,21 @@
         last: None,
         id: None,
         tokens: Vec::new(),
-        is_whole: false,
+        is_complete: false,
         end: CallerEnd::default(),
     };
-    for _ in 0..MAX_MOVES {
+    for _ in 0..ATTEMPTS_MAX {
         let address = entries.next().await;
-        if let Left::Finished = follower.try_at(&load, &address, &request).await {
+        if let AttemptEnd::Finished = follower.attempt(&load, &address, &request).await {
             break;
         }
-        tokio::time::sleep(MOVE_PAUSE).await;
+        tokio::time::sleep(ATTEMPT_INTERVAL).await;
     }
     follower.finish(&request)
 }
 
 impl Follower {
-    async fn try_at(&mut self, load: &Load, address: &str, request: &Request) -> Left {
+    async fn attempt(&mut self, load: &Load, address: &str, request: &Request) -> AttemptEnd {
         let req = match &self.id {
             None => first_request(load, address, request),
             Some(id) => {
@@ -153,10 +158,12 @@
             }
         };
         let req = with_team(req, load);
-        let Ok(connected) = client::connect(address, WITHIN).await else { return Left::Broken };
-        let patience = load.deadline.to_duration() + WITHIN;
-        let Ok((res, _driver)) = connected.send(req, patience).await else {
-            return Left::Broken;
+        let Ok(connected) = client::connect(address, REQUEST_TIMEOUT).await else {
+            return AttemptEnd::Broken;
+        };
+        let answer_timeout = load.deadline.to_duration() + REQUEST_TIMEOUT;
+        let Ok((res, _driver)) = connected.send(req, answer_timeout).await else {
+            return AttemptEnd::Broken;
         };
         if res.status() != StatusCode::OK {
             return self.on_refusal(res.into_body()).await;
@@ -166,28 +173,29 @@
         self.read(res.into_body()).await
     }
 
-    async fn on_refusal(&mut self, body: hyper::body::Incoming) -> Left {
+    async fn on_refusal(&mut self, body: hyper::body::Incoming) -> AttemptEnd {
         let bytes = body.collect().await.map(http_body_util::Collected::to_bytes);
         let problem = bytes.ok().and_then(|bytes| serde_json::from_slice(&bytes).ok());
-        let Some(problem): Option<Problem> = problem else { return Left::Broken };
+        let Some(problem): Option<Problem> = problem else { return AttemptEnd::Broken };
         if matches!(problem.code, ProblemCode::Leaving | ProblemCode::NotReady) {
-            return Left::Broken;
+            return AttemptEnd::Broken;
         }
         self.end.problem = Some(problem);
-        Left::Finished
+        AttemptEnd::Finished
     }
 
-    async fn read(&mut self, mut body: hyper::body::Incoming) -> Left {
+    async fn read(&mut self, mut body: hyper::body::Incoming) -> AttemptEnd {
         let mut buf = BytesMut::new();
         loop {
-            let Ok(Some(Ok(frame))) = tokio::time::timeout(SILENCE, body.frame()).await else {
-                return Left::Broken;
+            let Ok(Some(Ok(frame))) = tokio::time::timeout(STREAM_IDLE_TIMEOUT, body.frame()).await
+            else {
+                return AttemptEnd::Broken;
             };
             let Ok(data) = frame.into_data() else { continue };
             buf.extend_from_slice(&data);
             while let Some(event) = take_event(&mut buf) {
                 if self.on_event(&event) {
-                    return Left::Finished;
+                    return AttemptEnd::Finished;
                 }
             }
         }
@@ -209,7 +217,7 @@
         match data {
             None => false,
             Some("[DONE]") => {
-                self.is_whole = true;
+                self.is_complete = true;
                 true
             }
             Some(text) if is_error => {
@@ -240,7 +248,7 @@
 
     fn finish(mut self, request: &Request) -> CallerEnd {
         let is_own = self.tokens.concat() == answer::whole(&request.prompt, request.tokens);
-        self.end.is_right = self.is_whole && is_own;
+        self.end.is_right = self.is_complete && is_own;
         self.end
     }
 }
@@ -276,9 +284,9 @@
     generate.stream = uuid::Uuid::new_v4().to_string();
     let started = Instant::now();
     let mut end = CallerEnd::default();
-    let Ok(connected) = client::connect(address, WITHIN).await else { return end };
+    let Ok(connected) = client::connect(address, REQUEST_TIMEOUT).await else { return end };
     let req = client::request(address, Method::POST, "/engine/generate", Some(&generate));
-    let Ok((res, _driver)) = connected.send(req, WITHIN).await else { return end };
+    let Ok((res, _driver)) = connected.send(req, REQUEST_TIMEOUT).await else { return end };
     let mut body = res.into_body();
     let mut buf = BytesMut::new();
     let mut last = None;
--- a/crates/workshold-standins/src/load/report.rs
+++ b/crates/workshold-standins/src/load/report.rs
@@ -50,7 +50,7 @@
 
 /// A report as it is printed.
 #[derive(Debug, Serialize)]
-struct Printed<'a> {
+struct PrintedReport<'a> {
     sent: u64,
     answered: u64,
     not_run: u64,
@@ -64,15 +64,15 @@
 }
 
 /// Histograms count hundredths of a millisecond.
-const PER_MS: f64 = 100.0;
+const HUNDREDTHS_PER_MS: f64 = 100.0;
 
 fn percentiles(histogram: &Histogram<u64>) -> [f64; 3] {
-    [0.5, 0.95, 0.99].map(|q| histogram.value_at_quantile(q) as f64 / PER_MS)
+    [0.5, 0.95, 0.99].map(|q| histogram.value_at_quantile(q) as f64 / HUNDREDTHS_PER_MS)
 }
 
 impl Report {
     /// Counts one request.
-    pub fn take(&mut self, end: &CallerEnd) {
+    pub fn add(&mut self, end: &CallerEnd) {
         self.sent += 1;
         self.resumed += u64::from(end.resumed);
         match &end.problem {
@@ -86,7 +86,8 @@
                 *self.codes.entry(format!("{:?}", problem.code)).or_default() += 1;
             }
         }
-        let hundredths = |time: std::time::Duration| (time.as_secs_f64() * 1000.0 * PER_MS) as u64;
+        let hundredths =
+            |time: std::time::Duration| (time.as_secs_f64() * 1000.0 * HUNDREDTHS_PER_MS) as u64;
         if let Some(first) = end.first_token {
             let _ = self.first_token.record(hundredths(first));
         }
@@ -102,7 +103,7 @@
 
     /// The report as JSON; times as p50, p95 and p99.
     pub fn to_json(&self) -> String {
-        let printed = Printed {
+        let printed = PrintedReport {
             sent: self.sent,
             answered: self.answered,
             not_run: self.not_run,
--- a/crates/workshold-standins/src/log.rs
+++ b/crates/workshold-standins/src/log.rs
@@ -22,11 +22,11 @@
 use workshold_protocol::log_api::ReadReply;
 
 /// The largest record that the log takes, in bytes.
-const MAX_RECORD_LEN: usize = 8 * 1024 * 1024;
+const RECORD_LEN_MAX: usize = 8 * 1024 * 1024;
 /// The most records in one answer.
-const MAX_READ: usize = 512;
+const RECORDS_PER_READ_MAX: usize = 512;
 /// The longest that a read waits for something new.
-const MAX_WAIT: Duration = Duration::from_secs(10);
+const WAIT_MAX: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
 struct Inner {
@@ -34,11 +34,11 @@
     records: VecDeque<String>,
     retain: usize,
     is_down: bool,
-    slow: Millis,
+    delay: Millis,
     lose_replies: u32,
     appends: u64,
-    allowance: f64,
-    refilled: Instant,
+    append_tokens: f64,
+    refilled_at: Instant,
 }
 
 /// The log of one deployment; it has one stream, whatever its name.
@@ -57,11 +57,11 @@
             records: VecDeque::new(),
             retain: usize::MAX,
             is_down: false,
-            slow: Millis::ZERO,
+            delay: Millis::ZERO,
             lose_replies: 0,
             appends: 0,
-            allowance: f64::from(appends_per_s),
-            refilled: Instant::now(),
+            append_tokens: f64::from(appends_per_s),
+            refilled_at: Instant::now(),
         };
         Arc::new(Self {
             inner: Mutex::new(inner),
@@ -77,8 +77,8 @@
     }
 
     /// Waits before each answer.
-    pub fn set_slow(&self, slow: Millis) {
-        self.inner.lock().slow = slow;
+    pub fn set_delay(&self, delay: Millis) {
+        self.inner.lock().delay = delay;
     }
 
     /// Loses the replies of the next appends, after their effect.
@@ -106,14 +106,14 @@
 
     /// Answers a request; `None` leaves it without an answer.
     pub async fn handle(&self, req: Request<Incoming>) -> Option<Response<Body>> {
-        let (is_down, slow) = {
+        let (is_down, delay) = {
             let inner = self.inner.lock();
-            (inner.is_down, inner.slow)
+            (inner.is_down, inner.delay)
         };
         if is_down {
             return None;
         }
-        tokio::time::sleep(slow.to_duration()).await;
+        tokio::time::sleep(delay.to_duration()).await;
         match *req.method() {
             Method::POST => self.append(req).await,
             Method::GET => self.read(req.uri().query().unwrap_or_default()).await,
@@ -122,7 +122,7 @@
     }
 
     async fn append(&self, req: Request<Incoming>) -> Option<Response<Body>> {
-        let bytes = body::read(req.into_body(), MAX_RECORD_LEN, MAX_WAIT).await.ok()?;
+        let bytes = body::read(req.into_body(), RECORD_LEN_MAX, WAIT_MAX).await.ok()?;
         let Ok(append) = serde_json::from_slice::<AppendRequest>(&bytes) else {
             return Some(body::json(StatusCode::BAD_REQUEST, &"not an append"));
         };
@@ -130,7 +130,7 @@
         if inner.is_down {
             return None;
         }
-        if !inner.take_allowance(self.appends_per_s) {
+        if !inner.take_append_token(self.appends_per_s) {
             return Some(body::json(StatusCode::TOO_MANY_REQUESTS, &"too many appends"));
         }
         let offset = Offset(inner.end());
@@ -145,8 +145,8 @@
     }
 
     async fn read(&self, query: &str) -> Option<Response<Body>> {
-        let from = number(query, "from").unwrap_or(0);
-        let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0)).min(MAX_WAIT);
+        let from = query_number(query, "from").unwrap_or(0);
+        let wait = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0)).min(WAIT_MAX);
         let deadline = tokio::time::Instant::now() + wait;
         loop {
             let appended = self.appended.notified();
@@ -176,21 +176,21 @@
         }
     }
 
-    fn take_allowance(&mut self, per_s: f64) -> bool {
-        let gained = self.refilled.elapsed().as_secs_f64() * per_s;
-        self.refilled = Instant::now();
-        self.allowance = (self.allowance + gained).min(per_s);
-        let has_one = self.allowance >= 1.0;
+    fn take_append_token(&mut self, per_s: f64) -> bool {
+        let gained = self.refilled_at.elapsed().as_secs_f64() * per_s;
+        self.refilled_at = Instant::now();
+        self.append_tokens = (self.append_tokens + gained).min(per_s);
+        let has_one = self.append_tokens >= 1.0;
         if has_one {
-            self.allowance -= 1.0;
+            self.append_tokens -= 1.0;
         }
         has_one
     }
 
-    fn read(&self, from: u64, most: usize) -> Vec<ReadRecord> {
+    fn read(&self, from: u64, limit: usize) -> Vec<ReadRecord> {
         let skip = from.saturating_sub(self.first) as usize;
         let start = self.first + skip as u64;
-        let records = self.records.iter().skip(skip).take(most).zip(start..);
+        let records = self.records.iter().skip(skip).take(limit).zip(start..);
         records.map(|(data, at)| ReadRecord { offset: Offset(at), data: data.clone() }).collect()
     }
 
@@ -198,13 +198,13 @@
         ReadReply {
             first: Offset(self.first),
             end: Offset(self.end()),
-            records: self.read(from.max(self.first), MAX_READ),
+            records: self.read(from.max(self.first), RECORDS_PER_READ_MAX),
         }
     }
 }
 
 /// The number under `key` of a query string.
-pub fn number(query: &str, key: &str) -> Option<u64> {
+pub fn query_number(query: &str, key: &str) -> Option<u64> {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
--- a/crates/workshold-standins/src/platform.rs
+++ b/crates/workshold-standins/src/platform.rs
@@ -33,7 +33,7 @@
 use crate::layout::Layout;
 use crate::list::InstanceList;
 use crate::log::LogService;
-use crate::service::GateService;
+use crate::service::CountingService;
 use crate::weights::WeightStore;
 
 /// One engine with the port it listens on while it lives.
@@ -42,7 +42,7 @@
     engine: Arc<Engine>,
     address: String,
     domain: FabricDomain,
-    stage: watch::Sender<ServerState>,
+    state_tx: watch::Sender<ServerState>,
     server: Option<JoinHandle<usize>>,
 }
 
@@ -54,10 +54,10 @@
     pub log: Arc<LogService>,
     /// The instance list.
     pub list: Arc<InstanceList>,
-    service: Arc<GateService>,
+    service: Arc<CountingService>,
     fabric: Arc<Fabric>,
     engines: tokio::sync::Mutex<Vec<EnginePort>>,
-    stage: watch::Sender<ServerState>,
+    state_tx: watch::Sender<ServerState>,
 }
 
 /// Leaves a request without an answer by cutting its connection.
@@ -80,17 +80,17 @@
     }};
 }
 
-const BIND_TRIES: u32 = 100;
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+const BIND_ATTEMPTS_MAX: u32 = 100;
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Binds, and waits a little for a port whose last user is just ending.
 async fn bind(address: &str) -> io::Result<TcpListener> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
         match TcpListener::bind(address).await {
-            Err(_) if tries < BIND_TRIES => {
-                tries += 1;
-                tokio::time::sleep(BIND_PAUSE).await;
+            Err(_) if attempts < BIND_ATTEMPTS_MAX => {
+                attempts += 1;
+                tokio::time::sleep(BIND_RETRY_INTERVAL).await;
             }
             bound => return bound,
         }
@@ -104,14 +104,14 @@
     ///
     /// What the machine says if a port cannot be had.
     pub async fn start(layout: Layout) -> io::Result<Arc<Self>> {
-        let (stage, _) = watch::channel(ServerState::Running);
+        let (state_tx, _) = watch::channel(ServerState::Running);
         let platform = Arc::new(Self {
             log: LogService::new(layout.appends_per_s),
             list: InstanceList::new(layout.instances(), Millis(200)),
-            service: GateService::new(),
+            service: CountingService::new(),
             fabric: Fabric::new(WeightStore::new(layout.store_mib_per_s)),
             engines: tokio::sync::Mutex::default(),
-            stage,
+            state_tx,
             layout,
         });
         platform.serve_services().await?;
@@ -136,7 +136,7 @@
     pub async fn inject(&self, fault: Fault) {
         match fault {
             Fault::LogDown(is_down) => self.log.set_down(is_down),
-            Fault::LogSlow(slow) => self.log.set_slow(slow),
+            Fault::LogSlow(delay) => self.log.set_delay(delay),
             Fault::LoseReplies(count) => self.log.lose_replies(count),
             Fault::Retain(count) => self.log.retain(count),
             Fault::ListLag(lag) => self.list.set_lag(lag),
@@ -148,12 +148,12 @@
     async fn inject_engine(&self, fault: Fault) {
         let mut engines = self.engines.lock().await;
         for port in engines.iter_mut() {
-            port.take(&fault).await;
+            port.apply_fault(&fault).await;
         }
     }
 
     /// The group that each engine says it is in.
-    pub async fn seats(&self) -> Vec<(InstanceId, Option<String>)> {
+    pub async fn memberships(&self) -> Vec<(InstanceId, Option<String>)> {
         let engines = self.engines.lock().await;
         let ids = (0..self.layout.engines).map(|i| self.layout.engine_id(i));
         ids.zip(engines.iter())
@@ -165,12 +165,12 @@
         let log = bind(&self.layout.log()).await?;
         self.spawn(log, handler!(self.log));
         let list = bind(&self.layout.list()).await?;
-        let shown = Arc::clone(&self.list);
+        let visible = Arc::clone(&self.list);
         self.spawn(
             list,
             service_fn(move |_| {
-                let shown = Arc::clone(&shown);
-                async move { Ok(body::json(StatusCode::OK, &shown.shown())) }
+                let visible = Arc::clone(&visible);
+                async move { Ok(body::json(StatusCode::OK, &visible.visible())) }
             }),
         );
         for i in 0..self.layout.services {
@@ -201,8 +201,8 @@
         S: Clone + Send + 'static,
         S::Future: Send,
     {
-        let stage = self.stage.subscribe();
-        tokio::spawn(server::serve(listener, ServerLimits::default(), service, stage));
+        let state_rx = self.state_tx.subscribe();
+        tokio::spawn(server::serve(listener, ServerLimits::default(), service, state_rx));
     }
 
     async fn start_engines(&self) -> io::Result<()> {
@@ -215,12 +215,12 @@
                 load_mib_per_s: self.layout.load_mib_per_s,
             };
             let engine = self.fabric.add(self.layout.engine_id(i), rules);
-            let (stage, _) = watch::channel(ServerState::Running);
+            let (state_tx, _) = watch::channel(ServerState::Running);
             let mut port = EnginePort {
                 engine,
                 address: self.layout.engine(i),
                 domain: self.layout.engine_domain(i),
-                stage,
+                state_tx,
                 server: None,
             };
             port.listen().await?;
@@ -232,7 +232,7 @@
     async fn handle_control(&self, req: Request<Incoming>) -> Response<Body> {
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/observed") => body::json(StatusCode::OK, &self.observed()),
-            (&Method::GET, "/seats") => body::json(StatusCode::OK, &self.seats().await),
+            (&Method::GET, "/seats") => body::json(StatusCode::OK, &self.memberships().await),
             (&Method::POST, "/faults") => self.handle_fault(req).await,
             _ => body::json(StatusCode::NOT_FOUND, &"no such path"),
         }
@@ -251,9 +251,9 @@
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        self.stage.send_replace(ServerState::Aborting);
+        self.state_tx.send_replace(ServerState::Aborting);
         for port in self.engines.get_mut() {
-            port.stage.send_replace(ServerState::Aborting);
+            port.state_tx.send_replace(ServerState::Aborting);
         }
     }
 }
@@ -261,17 +261,17 @@
 impl EnginePort {
     async fn listen(&mut self) -> io::Result<()> {
         let listener = bind(&self.address).await?;
-        self.stage.send_replace(ServerState::Running);
+        self.state_tx.send_replace(ServerState::Running);
         let engine = Arc::clone(&self.engine);
         let service =
             service_fn(move |req: Request<Incoming>| answer(Arc::clone(&engine).handle(req)));
-        let stage = self.stage.subscribe();
-        let served = server::serve(listener, ServerLimits::default(), service, stage);
+        let state_rx = self.state_tx.subscribe();
+        let served = server::serve(listener, ServerLimits::default(), service, state_rx);
         self.server = Some(tokio::spawn(served));
         Ok(())
     }
 
-    async fn take(&mut self, fault: &Fault) {
+    async fn apply_fault(&mut self, fault: &Fault) {
         let id = self.engine.id();
         match fault {
             Fault::Freeze(target, frozen) if target == id => {
@@ -289,14 +289,14 @@
 
     async fn kill(&mut self) {
         self.engine.set_mode(Mode::Dead);
-        self.stage.send_replace(ServerState::Aborting);
+        self.state_tx.send_replace(ServerState::Aborting);
         if let Some(server) = self.server.take() {
             let _ = server.await;
         }
     }
 
-    async fn revive(&mut self, as_other_life: bool) {
-        if as_other_life {
+    async fn revive(&mut self, as_new_incarnation: bool) {
+        if as_new_incarnation {
             self.engine.restart();
         }
         if self.server.is_none() && self.listen().await.is_err() {
--- a/crates/workshold-standins/src/service.rs
+++ b/crates/workshold-standins/src/service.rs
@@ -14,16 +14,16 @@
 
 /// All instances of the service share what they ran, as a database would.
 #[derive(Debug, Default)]
-pub struct GateService {
+pub struct CountingService {
     runs: Mutex<BTreeMap<String, u32>>,
 }
 
-const MAX_BODY_LEN: usize = 1024 * 1024;
-const MAX_BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_LEN_MAX: usize = 1024 * 1024;
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a run takes.
-const RUN_TIME: Duration = Duration::from_millis(10);
+const RUN_DURATION: Duration = Duration::from_millis(10);
 
-impl GateService {
+impl CountingService {
     /// A service that ran nothing yet.
     pub fn new() -> Arc<Self> {
         Arc::default()
@@ -37,7 +37,7 @@
     /// Runs a request; the answer says which run of this body it was.
     pub async fn handle(&self, req: Request<Incoming>) -> Option<Response<Body>> {
         let path = req.uri().path().to_owned();
-        let bytes = body::read(req.into_body(), MAX_BODY_LEN, MAX_BODY_TIME).await.ok()?;
+        let bytes = body::read(req.into_body(), BODY_LEN_MAX, BODY_READ_TIMEOUT).await.ok()?;
         let text = String::from_utf8_lossy(&bytes).into_owned();
         let run = {
             let mut runs = self.runs.lock();
@@ -45,7 +45,7 @@
             *count += 1;
             *count
         };
-        tokio::time::sleep(RUN_TIME).await;
+        tokio::time::sleep(RUN_DURATION).await;
         let answer = serde_json::json!({ "path": path, "echo": text, "run": run });
         Some(body::json(StatusCode::OK, &answer))
     }
