--- a/crates/workshold-standins/src/commands/ask.rs
+++ b/crates/workshold-standins/src/commands/ask.rs
@@ -1,4 +1,4 @@
-//! `workshold-dev ask`: one HTTP request, its answer printed as it comes.
+//! `workshold-dev ask`: sends one HTTP request and prints the answer as it arrives.
 
 use std::io::Write as _;
 use std::time::Duration;
@@ -14,24 +14,24 @@
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What to ask.
+/// The request to send.
 #[derive(Debug, Clone)]
 pub struct Question {
-    /// `ip:port`.
+    /// Address of the server, as `ip:port`.
     pub address: String,
-    /// The path.
+    /// Path and query.
     pub path: String,
     /// Headers, each as `name: value`.
     pub headers: Vec<String>,
-    /// The body; with one, the request is a POST.
+    /// Body; the request is a POST if there is one, and a GET otherwise.
     pub data: Option<String>,
 }
 
-/// Asks, and prints the answer.
+/// Sends the request, and prints the body of the answer.
 ///
 /// # Errors
 ///
-/// If the question cannot be asked, or no answer comes.
+/// If the request is malformed or cannot be sent, or the answer cannot be read.
 pub async fn run(question: Question) -> Result<(), String> {
     let req = request(&question)?;
     let connected = client::connect(&question.address, REQUEST_TIMEOUT).await;
--- a/crates/workshold-standins/src/commands/compare.rs
+++ b/crates/workshold-standins/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `workshold-dev compare`: an engine asked directly and through an entry node, in turn.
+//! `workshold-dev compare`: compares requests sent directly to an engine and through an entry node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,11 +21,11 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const HUNDREDTHS_PER_MS: f64 = 100.0;
 
-/// Asks `pairs` times each way and prints percentiles and their ratios.
+/// Sends `pairs` requests each way, alternating, and prints percentiles and their ratios.
 ///
 /// # Errors
 ///
-/// If the deployment does not answer, or an answer was wrong.
+/// If the deployment does not answer, no group serves, or an answer is wrong.
 #[expect(clippy::print_stdout, reason = "this is where a command prints")]
 pub async fn run(layout: &Layout, pairs: u32, tokens: u32) -> Result<(), String> {
     let (engine, mut generate) = find_serving_group(layout).await?;
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// The head of a group that serves, and a request for it.
+/// Returns the address of the head of a serving group, and a request for that group.
 async fn find_serving_group(layout: &Layout) -> Result<(String, GenerateRequest), String> {
     let status: Value = client::get(&layout.operators(0), "/status", REQUEST_TIMEOUT)
         .await
--- a/crates/workshold-standins/src/commands/fault.rs
+++ b/crates/workshold-standins/src/commands/fault.rs
@@ -1,4 +1,4 @@
-//! `workshold-dev fault`: makes something go wrong in running stand-ins.
+//! `workshold-dev fault`: injects a fault into running stand-ins.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// If it is no fault, or the stand-ins do not answer.
+/// If the text is not a valid fault, or the stand-ins do not answer.
 pub async fn run(layout: &Layout, text: &str) -> Result<(), String> {
     let fault: Fault = serde_json::from_str(text).map_err(|err| err.to_string())?;
     let sent: Result<serde_json::Value, _> =
--- a/crates/workshold-standins/src/commands/key.rs
+++ b/crates/workshold-standins/src/commands/key.rs
@@ -1,4 +1,4 @@
-//! `workshold-dev key`: prints a fresh idempotency key.
+//! `workshold-dev key`: prints a new idempotency key.
 
 use uuid::Uuid;
 
--- a/crates/workshold-standins/src/commands/load.rs
+++ b/crates/workshold-standins/src/commands/load.rs
@@ -1,13 +1,13 @@
-//! `workshold-dev load`: makes load and prints what became of it.
+//! `workshold-dev load`: runs a load and prints its report.
 
 use crate::load;
 use crate::load::Load;
 
-/// Makes the load.
+/// Runs the load and prints the report as JSON.
 ///
 /// # Errors
 ///
-/// If an answer was wrong or lost.
+/// If an answer is wrong or lost.
 #[expect(clippy::print_stdout, reason = "this is where a command prints")]
 pub async fn run(load: Load) -> Result<(), String> {
     let report = load::run(load).await;
--- a/crates/workshold-standins/src/commands/prepare.rs
+++ b/crates/workshold-standins/src/commands/prepare.rs
@@ -1,4 +1,4 @@
-//! `workshold-dev prepare`: writes keys, settings and a bundle into a folder.
+//! `workshold-dev prepare`: writes keys, settings and a bundle into a directory.
 
 use std::path::Path;
 
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// What the machine says if a file cannot be written.
+/// If the directory or a file cannot be written.
 pub fn run(layout: &Layout, folder: &Path, times: &str) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join("cluster.key"), ClusterKey::generate_text())?;
@@ -49,7 +49,8 @@
     )
 }
 
-/// A bundle for the layout: as many groups of four as it has domains.
+/// Creates a bundle for the layout: one replica per fabric domain, with all but one of the
+/// domain's engines (four by default); the small role needs half as many.
 pub fn bundle(layout: &Layout, name: &str, version: &str) -> String {
     let domains = layout.engines / layout.engines_per_domain.max(1);
     let size = layout.engines_per_domain.saturating_sub(1).max(1);
--- a/crates/workshold-standins/src/commands/sample.rs
+++ b/crates/workshold-standins/src/commands/sample.rs
@@ -1,11 +1,11 @@
-//! `workshold-dev sample`: what one entry node uses up over some time.
+//! `workshold-dev sample`: measures the resource use and rates of one entry node.
 
 use std::time::Duration;
 
 use serde_json::Value;
 use workshold_http::client;
 
-/// Ticks of processor time in a second, as the machine counts them.
+/// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -16,7 +16,8 @@
     memory_kib: u64,
 }
 
-/// Samples the process `pid`, whose operators' address is `operators`.
+/// Samples process `pid`, whose address for operators is `operators`, twice, `secs` seconds apart,
+/// and prints CPU use, memory and rates as JSON.
 ///
 /// # Errors
 ///
@@ -47,7 +48,8 @@
 
 async fn sample(pid: u32, operators: &str) -> Result<Sample, String> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).map_err(|e| e.to_string())?;
-    // After the name in brackets: user and system time are the 12th and 13th.
+    // The name in brackets may contain spaces. Of the fields after it, user and system time are the
+    // 12th and 13th.
     let fields: Vec<_> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or_default();
     let state: Value =
--- a/crates/workshold-standins/src/engine.rs
+++ b/crates/workshold-standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: one member of a replica group.
+//! A stand-in for a model engine, which is one member of a replica group.
 
 mod streams;
 
@@ -40,46 +40,46 @@
 use crate::log::query_number;
 use crate::weights::WeightStore;
 
-/// Whether an engine's process runs.
+/// State of an engine's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// It does.
+    /// Running.
     Up,
-    /// It is stopped: connections are taken, nothing is answered.
+    /// Suspended: connections are accepted, but nothing is answered.
     Frozen,
-    /// It is gone.
+    /// Not running: nothing listens on its port.
     Dead,
 }
 
-/// How an engine behaves.
+/// Fixed properties of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineRules {
-    /// Whether it refuses old fencing numbers.
+    /// Whether it refuses orders with an old fencing token.
     pub fenced: bool,
-    /// Time of one step.
+    /// Duration of one step, which generates one token.
     pub step: Millis,
-    /// Requests that it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// What it reads from the weight store in a second, in MiB.
+    /// Maximum rate at which it reads from the weight store, in MiB per second.
     pub load_mib_per_s: u32,
 }
 
-/// What all engines of a deployment share.
+/// State shared by all engines of a deployment.
 #[derive(Debug)]
 pub struct Fabric {
     engines: Mutex<BTreeMap<InstanceId, Arc<Engine>>>,
     store: WeightStore,
-    /// What was seen.
+    /// Counters of what the engines observed.
     pub observed: Mutex<Observed>,
 }
 
 impl Fabric {
-    /// A fabric without engines.
+    /// Creates a fabric without engines.
     pub fn new(store: WeightStore) -> Arc<Self> {
         Arc::new(Self { engines: Mutex::default(), store, observed: Mutex::default() })
     }
 
-    /// Adds an engine.
+    /// Adds an engine that is running and in no group.
     pub fn add(self: &Arc<Self>, id: InstanceId, rules: EngineRules) -> Arc<Engine> {
         let engine = Engine::new(id.clone(), rules, Arc::downgrade(self));
         self.engines.lock().insert(id, Arc::clone(&engine));
@@ -108,7 +108,7 @@
     unassigned_since: Instant,
     highest_fence: FencingToken,
     loaded: Option<ModelWeights>,
-    /// When what is named there is whole.
+    /// When the weights in `loaded` are completely loaded.
     weights_loaded_at: Instant,
     slow_factor: u32,
     running: u32,
@@ -116,7 +116,7 @@
     streams: BTreeMap<String, Arc<StreamBuffer>>,
 }
 
-/// One engine.
+/// A stand-in engine.
 #[derive(Debug)]
 pub struct Engine {
     id: InstanceId,
@@ -127,9 +127,9 @@
 
 const BODY_LEN_MAX: usize = 16 * 1024 * 1024;
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a whole stream is kept for those who resume.
+/// How long a finished stream is kept so that readers can resume it.
 const STREAM_RETENTION: Duration = Duration::from_secs(20);
-/// Bytes of a prompt that a step prefills.
+/// Bytes of a prompt that one step prefills.
 const PREFILL_BYTES_PER_STEP: usize = 4096;
 
 impl Engine {
@@ -152,17 +152,18 @@
         Arc::new(Self { id, rules, fabric, inner: Mutex::new(inner) })
     }
 
-    /// Its name.
+    /// Id of the engine.
     pub fn id(&self) -> &InstanceId {
         &self.id
     }
 
-    /// Its mode.
+    /// Current state of its process.
     pub fn mode(&self) -> Mode {
         self.inner.lock().mode
     }
 
-    /// Changes its mode; what it remembers stays.
+    /// Changes the state of its process. Its group and weights are kept; its streams fail if it
+    /// becomes [`Mode::Dead`].
     pub fn set_mode(&self, mode: Mode) {
         let mut inner = self.inner.lock();
         if inner.mode != mode {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Comes up as another life that remembers nothing.
+    /// Restarts it as a new incarnation without group, weights or requests.
     pub fn restart(&self) {
         self.set_mode(Mode::Dead);
         let mut inner = self.inner.lock();
@@ -188,17 +189,17 @@
         self.set_mode(Mode::Up);
     }
 
-    /// Makes each step take so many times as long.
+    /// Multiplies the duration of each step by `factor`.
     pub fn set_slow(&self, factor: u32) {
         self.inner.lock().slow_factor = factor.max(1);
     }
 
-    /// The group it is in by its own account.
+    /// The group that it reports to be in; `None` if it is in no group.
     pub fn group(&self) -> Option<GroupId> {
         self.inner.lock().assignment.as_ref().map(|assignment| assignment.order.group.clone())
     }
 
-    /// Answers a request; `None` leaves it without an answer.
+    /// Handles a request; `None` leaves it unanswered.
     pub async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Option<Response<Body>> {
         self.wait_until_unfrozen().await;
         let path = req.uri().path().to_owned();
@@ -285,7 +286,7 @@
         }
     }
 
-    /// Begins to load weights, unless it has them or loads them already.
+    /// Starts loading weights, unless they are loaded or being loaded.
     fn load(&self, inner: &mut Inner, wanted: ModelWeights, weights_mib: u32) {
         if inner.loaded.as_ref() == Some(&wanted) {
             return;
@@ -325,7 +326,8 @@
         Some(stream_response(stream, 0))
     }
 
-    /// What an engine knows before it starts; also where the breaches are counted.
+    /// Checks that this engine may start a request: that it is in the requested group, not
+    /// draining, and no member is missing. Counts requests that should not have been sent here.
     fn check_assignment(&self, generate: &GenerateRequest) -> Result<(), &'static str> {
         let order = {
             let inner = self.inner.lock();
@@ -354,7 +356,7 @@
         }
     }
 
-    /// For how long a member of the group has been missing, if one is.
+    /// Longest time that a member of the group has been missing; `None` if none is missing.
     fn longest_missing_member(&self, order: &JoinOrder, fence: FencingToken) -> Option<Millis> {
         let fabric = self.fabric.upgrade()?;
         let missing = order.members.iter().filter_map(|member| {
--- a/crates/workshold-standins/src/engine/streams.rs
+++ b/crates/workshold-standins/src/engine/streams.rs
@@ -1,4 +1,4 @@
-//! What an engine generated for one request, for readers that come and go.
+//! Buffers the events of one request, so that readers can disconnect and resume.
 
 use std::sync::Arc;
 
@@ -8,13 +8,14 @@
 use tokio::sync::watch;
 use workshold_protocol::engine::TokenEvent;
 
-/// The events of one stream so far.
+/// The events of one stream so far, and their count for readers that wait.
 #[derive(Debug)]
 pub(super) struct StreamBuffer {
     events: Mutex<Vec<TokenEvent>>,
     count: watch::Sender<usize>,
 }
 
+/// Whether no event may follow this one.
 fn is_final(event: &TokenEvent) -> bool {
     matches!(event, TokenEvent::Done { .. } | TokenEvent::Failed { .. })
 }
@@ -42,7 +43,7 @@
         self.events.lock().last().is_some_and(is_final)
     }
 
-    /// The events from token `from` on, as they come.
+    /// Streams the events from token `from` on, as they are generated.
     pub(super) fn events(self: Arc<Self>, from: u32) -> impl Stream<Item = TokenEvent> + Sync {
         let rx = self.count.subscribe();
         stream::unfold((self, rx, 0, false), move |(buffer, mut rx, mut next, over)| async move {
--- a/crates/workshold-standins/src/faults.rs
+++ b/crates/workshold-standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! What can be made to go wrong, over `POST /faults` of the control port.
+//! Faults that can be injected with `POST /faults` on the control port.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,55 +6,55 @@
 use workshold_protocol::ids::FabricDomain;
 use workshold_protocol::ids::InstanceId;
 
-/// A fault, or the end of one.
+/// A fault to inject, or to end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// The log answers nobody, or answers again.
+    /// The log stops answering (`true`), or answers again (`false`).
     LogDown(bool),
-    /// The log waits this long before each answer.
+    /// The log delays each answer by this time.
     LogSlow(Millis),
-    /// The next so many appends take effect, and their replies are lost.
+    /// This many of the next appends take effect, but their replies are lost.
     LoseReplies(u32),
-    /// The log keeps only this many records.
+    /// The log retains only this many records.
     Retain(usize),
-    /// The instance list shows what was so this long ago.
+    /// The instance list shows its contents as they were this long ago.
     ListLag(Millis),
-    /// The platform is about to take an instance away, or no longer.
+    /// The list marks an instance as leaving (`true`), or no longer (`false`).
     Leaving(InstanceId, bool),
-    /// An instance takes connections and answers nothing, or answers again.
+    /// An engine accepts connections but does not answer (`true`), or answers again (`false`).
     Freeze(InstanceId, bool),
-    /// An instance dies.
+    /// An engine crashes.
     Kill(InstanceId),
-    /// A dead instance comes back as another life.
+    /// A crashed engine restarts as a new incarnation.
     Restart(InstanceId),
-    /// A dead or frozen instance comes back as if nothing had happened.
+    /// A crashed or frozen engine returns with the same incarnation, group and weights.
     Return(InstanceId),
-    /// Each step of an instance takes this many times as long.
+    /// Multiplies the duration of an engine's steps by this factor.
     Slow(InstanceId, u32),
-    /// All instances of a domain die.
+    /// All engines of a fabric domain crash.
     Dark(FabricDomain),
-    /// All dead instances of a domain come back as other lives.
+    /// All engines of a fabric domain restart as new incarnations.
     Light(FabricDomain),
 }
 
-/// What the stand-ins saw.
+/// Counters of what the stand-ins observed.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observed {
     /// Streams that engines started.
     pub streams_started: u64,
     /// Requests that reached a group with a member missing, and were refused.
     pub sent_to_incomplete: u64,
-    /// The longest that a member had been missing when such a request came.
+    /// Longest time that a member had been missing when such a request arrived.
     pub longest_missing: Millis,
     /// Requests that reached an instance that was draining.
     pub sent_to_draining: u64,
-    /// Streams that were cut by an order to leave.
+    /// Running streams that were cut off by an order to leave the group.
     pub cut_by_leave: u64,
-    /// Orders that were refused for an old fencing number.
+    /// Orders that were refused because of an old fencing token.
     pub fenced_off: u64,
-    /// Runs of the plain services for each body that they got.
+    /// Number of times that the plain services ran each request body.
     pub service_runs: std::collections::BTreeMap<String, u32>,
-    /// Appends that the log took.
+    /// Appends that the log accepted.
     pub appends: u64,
 }
--- a/crates/workshold-standins/src/layout.rs
+++ b/crates/workshold-standins/src/layout.rs
@@ -1,4 +1,4 @@
-//! Where everything listens in one development deployment.
+//! Sizes, names and ports of a development deployment.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,46 +10,46 @@
 use workshold_protocol::report::InstanceKind;
 use workshold_protocol::report::ListedInstance;
 
-/// Ports kept for the platform before those of the engines.
+/// Offset of the engines' ports from the base port; those below are for the platform's services.
 const ENGINE_PORT_OFFSET: u16 = 10;
-/// Ports from the engines to the plain services.
+/// Offset of the plain services' ports from the base port.
 const SERVICE_PORT_OFFSET: u16 = 200;
-/// Ports from the engines to the entry nodes.
+/// Offset of the entry nodes' ports from the base port.
 const ENTRY_PORT_OFFSET: u16 = 220;
-/// Ports that each entry node takes.
+/// Ports of each entry node: callers, peers and operators.
 const PORTS_PER_ENTRY: u16 = 3;
-/// Ports that a whole deployment takes.
+/// Number of ports to reserve for one deployment.
 pub const PORTS: u16 = 300;
 
-/// The size and place of one development deployment, all on loopback.
+/// Sizes and ports of one development deployment, all on loopback.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Layout {
-    /// The first of its ports.
+    /// First port of the deployment.
     pub base_port: u16,
-    /// Entry nodes that are to be listed.
+    /// Number of entry nodes in the instance list.
     pub entries: u16,
-    /// Engines.
+    /// Number of engines.
     pub engines: u16,
-    /// Engines in one fabric domain.
+    /// Number of engines per fabric domain.
     pub engines_per_domain: u16,
-    /// Data centres; domains and entry nodes go round them.
+    /// Number of data centres; domains, services and entry nodes are assigned to them in turn.
     pub data_centres: u16,
-    /// Instances of the plain service.
+    /// Number of instances of the plain service.
     pub services: u16,
-    /// Every how many engines one ignores fencing numbers; 0 for none.
+    /// One engine in this many ignores fencing tokens; 0 for none.
     pub unfenced_every: u16,
-    /// Time of one step of an engine.
+    /// Duration of one step of an engine.
     pub step: Millis,
-    /// Requests that a group works on at once.
+    /// Number of requests that a group runs concurrently.
     pub slots: u32,
-    /// What one engine reads from the weight store in a second, in MiB.
+    /// Maximum rate at which one engine reads from the weight store, in MiB per second.
     pub load_mib_per_s: u32,
-    /// What the weight store gives in a second to all, in MiB.
+    /// Total bandwidth of the weight store, in MiB per second.
     pub store_mib_per_s: u32,
-    /// Appends a second that the log takes.
+    /// Rate limit of the log, in appends per second.
     pub appends_per_s: u32,
-    /// Seed of all chance.
+    /// Seed for random numbers.
     pub seed: u64,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// The plain service that stands beside the engines.
+/// Name of the plain service.
 pub const SERVICE: &str = "gate";
 
 fn address(port: u16) -> String {
@@ -81,68 +81,68 @@
 }
 
 impl Layout {
-    /// Where the log service listens.
+    /// Address of the log service.
     pub fn log(&self) -> String {
         address(self.base_port)
     }
 
-    /// Where the instance list is.
+    /// Address of the instance list.
     pub fn list(&self) -> String {
         address(self.base_port + 1)
     }
 
-    /// Where faults are switched on, and what was seen is read.
+    /// Address at which faults are injected and counters are read.
     pub fn control(&self) -> String {
         address(self.base_port + 2)
     }
 
-    /// Where an engine listens.
+    /// Address of engine `i`.
     pub fn engine(&self, i: u16) -> String {
         address(self.base_port + ENGINE_PORT_OFFSET + i)
     }
 
-    /// Where an instance of the plain service listens.
+    /// Address of instance `i` of the plain service.
     pub fn service(&self, i: u16) -> String {
         address(self.base_port + SERVICE_PORT_OFFSET + i)
     }
 
-    /// Where an entry node listens for callers.
+    /// Address at which entry node `i` serves callers.
     pub fn callers(&self, i: u16) -> String {
         address(self.base_port + ENTRY_PORT_OFFSET + PORTS_PER_ENTRY * i)
     }
 
-    /// Where an entry node listens for other nodes.
+    /// Address at which entry node `i` serves other nodes.
     pub fn peers(&self, i: u16) -> String {
         address(self.base_port + ENTRY_PORT_OFFSET + PORTS_PER_ENTRY * i + 1)
     }
 
-    /// Where an entry node listens for operators.
+    /// Address at which entry node `i` serves operators.
     pub fn operators(&self, i: u16) -> String {
         address(self.base_port + ENTRY_PORT_OFFSET + PORTS_PER_ENTRY * i + 2)
     }
 
-    /// The data centre of an entry node.
+    /// Data centre of entry node `i`.
     pub fn entry_data_centre(&self, i: u16) -> DataCentre {
         self.data_centre(i)
     }
 
-    /// The name of an engine.
+    /// Id of engine `i`.
     pub fn engine_id(&self, i: u16) -> InstanceId {
         InstanceId::new(&format!("engine-{i}")).expect("a dash and digits make a name")
     }
 
-    /// The fabric domain of an engine.
+    /// Fabric domain of engine `i`.
     pub fn engine_domain(&self, i: u16) -> FabricDomain {
         let domain = i / self.engines_per_domain.max(1);
         FabricDomain::new(&format!("fabric-{domain}")).expect("a dash and digits make a name")
     }
 
-    /// Whether an engine refuses old fencing numbers.
+    /// Whether engine `i` refuses orders with an old fencing token.
     pub fn is_fenced(&self, i: u16) -> bool {
         self.unfenced_every == 0 || i % self.unfenced_every != self.unfenced_every - 1
     }
 
-    /// The instance list at the start.
+    /// Initial contents of the instance list.
     pub fn instances(&self) -> Vec<ListedInstance> {
         let engines = (0..self.engines).map(|i| self.listed_engine(i));
         let services = (0..self.services).map(|i| self.listed_service(i));
--- a/crates/workshold-standins/src/lib.rs
+++ b/crates/workshold-standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Development only: small stand-ins for what the platform gives, and a load tool.
+//! Development only: small stand-ins for the platform's services, and a load generator.
 //!
 //! [`Platform`] runs a log service, an instance list, model engines with a
-//! rate-limited weight store, and plain services, each on a port of its own, with
-//! faults switched on by request. [`load`] sends requests and checks every answer.
+//! rate-limited weight store, and plain services, each on its own port. Faults are
+//! injected by request. [`load`] sends requests and checks every answer.
 
 pub mod answer;
 pub mod commands;
--- a/crates/workshold-standins/src/list.rs
+++ b/crates/workshold-standins/src/list.rs
@@ -1,4 +1,4 @@
-//! The instance list: live and leaving instances, with a lag.
+//! A stand-in for the instance list: live and leaving instances, shown with a lag.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::report::ListedInstance;
 
-/// The list and what it was before.
+/// The instance list and its past versions, from which the lagging view is read.
 #[derive(Debug)]
 pub struct InstanceList {
     inner: Mutex<Inner>,
@@ -21,22 +21,22 @@
     lag: Millis,
 }
 
-/// Past editions that are kept.
+/// Number of past versions that are kept.
 const VERSIONS_MAX: usize = 256;
 
 impl InstanceList {
-    /// A list of `instances` that lags by `lag`.
+    /// Creates a list of `instances` that readers see with a delay of `lag`.
     pub fn new(instances: Vec<ListedInstance>, lag: Millis) -> Arc<Self> {
         let versions = VecDeque::from([(Instant::now(), instances)]);
         Arc::new(Self { inner: Mutex::new(Inner { versions, lag }) })
     }
 
-    /// Changes the lag.
+    /// Changes the delay with which readers see updates.
     pub fn set_lag(&self, lag: Millis) {
         self.inner.lock().lag = lag;
     }
 
-    /// Marks an instance as leaving, or as staying.
+    /// Marks an instance as leaving, or clears the mark.
     pub fn set_leaving(&self, instance: &InstanceId, leaving: bool) {
         self.update(|list| {
             list.iter_mut()
@@ -45,12 +45,12 @@
         });
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list.
     pub fn remove(&self, instance: &InstanceId) {
         self.update(|list| list.retain(|listed| &listed.instance != instance));
     }
 
-    /// What the list shows now, which is what was so a lag ago.
+    /// Returns what readers see now: the list as it was one lag ago.
     pub fn visible(&self) -> Vec<ListedInstance> {
         let inner = self.inner.lock();
         let lag = inner.lag.to_duration();
--- a/crates/workshold-standins/src/load.rs
+++ b/crates/workshold-standins/src/load.rs
@@ -1,4 +1,4 @@
-//! The load tool: open-loop arrivals, every answer checked byte for byte.
+//! The load generator: open-loop arrivals, with every answer checked byte for byte.
 
 mod caller;
 mod report;
@@ -18,43 +18,43 @@
 pub use crate::load::caller::call_engine;
 pub use crate::load::report::Report;
 
-/// What load to make.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Any entry nodes' addresses; more are asked for as they are given out.
+    /// Addresses of some entry nodes, which tell callers the addresses of the others.
     pub entries: Vec<String>,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The team, if the deployment has any.
+    /// Team to send as; `None` in a deployment without teams.
     pub team: Option<String>,
-    /// Requests a second.
+    /// Mean arrival rate, in requests per second.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the load.
     pub time: Millis,
-    /// Tokens of each answer, at the least and at the most.
+    /// Minimum and maximum number of tokens of an answer.
     pub tokens: (u32, u32),
-    /// Different beginnings that prompts share.
+    /// Number of different prefixes that prompts share.
     pub prefixes: u32,
     /// Deadline of each request.
     pub deadline: Millis,
-    /// Seed of all chance.
+    /// Seed for random numbers.
     pub seed: u64,
 }
 
 /// One request of the load.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its prompt; no two are alike.
+    /// Prompt, which is unique within the load.
     pub prompt: String,
-    /// Tokens of its answer.
+    /// Number of tokens of the answer.
     pub tokens: u32,
 }
 
-/// Letters of the beginning that prompts share.
+/// Approximate length of the prefix that prompts share, in characters.
 const SHARED_PREFIX_LEN: usize = 512;
 
 impl Load {
-    /// The `n`th request.
+    /// Creates the `n`th request.
     pub fn request(&self, rng: &mut ChaCha8Rng, n: u64) -> Request {
         let prefix = rng.random_range(0..self.prefixes.max(1));
         let shared_prefix = format!("template {prefix} ").repeat(SHARED_PREFIX_LEN / 10);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Runs the load to its end; every request is accounted for.
+/// Runs the load to its end; the report counts every request.
 pub async fn run(load: Load) -> Report {
     let mut rng = ChaCha8Rng::seed_from_u64(load.seed);
     let load = Arc::new(load);
@@ -76,7 +76,7 @@
         tokio::time::sleep_until(start + at).await;
         let request = load.request(&mut rng, n);
         calls.spawn(call(Arc::clone(&load), Arc::clone(&entries), request));
-        // Arrivals of many independent callers: exponential gaps.
+        // Exponential gaps give the Poisson arrivals of many independent callers.
         let gap = -(1.0 - rng.random::<f64>()).ln() / load.rate;
         at += Duration::from_secs_f64(gap);
         n += 1;
--- a/crates/workshold-standins/src/load/caller.rs
+++ b/crates/workshold-standins/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: asks which address to use, streams, resumes, checks the answer.
+//! One caller: picks an entry node, streams the answer, resumes it if needed, and checks it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,22 +23,22 @@
 use crate::load::Load;
 use crate::load::Request;
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Debug, Clone, Default)]
 pub struct CallerEnd {
-    /// Whether the answer was whole and the caller's own.
+    /// Whether the answer was complete and as expected.
     pub is_right: bool,
-    /// What the caller was told instead.
+    /// The problem that was answered instead, if any.
     pub problem: Option<Problem>,
-    /// Time to the first token.
+    /// Time to the first token; `None` if there was none.
     pub first_token: Option<Duration>,
     /// Times between tokens.
     pub gaps: Vec<Duration>,
-    /// How often the stream was taken up elsewhere.
+    /// Number of times that the caller tried to resume the stream.
     pub resumed: u32,
 }
 
-/// The addresses to use, as the system gave them out.
+/// Addresses of entry nodes, refreshed from the nodes when their TTL expires.
 #[derive(Debug)]
 pub struct EntryList {
     inner: Mutex<AddressCache>,
@@ -63,21 +63,21 @@
 }
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest silence in a stream before the caller tries elsewhere.
+/// Time without data in a stream after which the caller tries another node.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How often a caller tries elsewhere.
+/// Maximum number of attempts of one request.
 const ATTEMPTS_MAX: u32 = 8;
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl EntryList {
-    /// A list that knows the addresses of the settings only.
+    /// Creates a list of configured addresses, to be refreshed on first use.
     pub fn new(addresses: Vec<String>) -> Arc<Self> {
         Arc::new(Self {
             inner: Mutex::new(AddressCache { addresses, expires_at: None, next_index: 0 }),
         })
     }
 
-    /// An address in turn; asks the system again when the list has run out.
+    /// Returns the next address in rotation; refreshes the list if its TTL has expired.
     async fn next(&self) -> String {
         let (is_expired, known) = {
             let inner = self.inner.lock();
@@ -110,7 +110,7 @@
     }
 }
 
-/// A stream as one caller follows it.
+/// State of one caller that follows a stream across nodes.
 #[derive(Debug)]
 struct Follower {
     started: Instant,
@@ -121,13 +121,13 @@
     end: CallerEnd,
 }
 
-/// Why a connection was left.
+/// How an attempt at one node ended.
 enum AttemptEnd {
     Finished,
     Broken,
 }
 
-/// Makes one request and follows it to its end, over as many nodes as it takes.
+/// Sends one request and follows it to its end, trying up to [`ATTEMPTS_MAX`] nodes.
 pub async fn call(load: Arc<Load>, entries: Arc<EntryList>, request: Request) -> CallerEnd {
     let mut follower = Follower {
         started: Instant::now(),
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Takes one event; true at the end of the stream.
+    /// Handles one server-sent event; returns whether the stream has ended.
     fn on_event(&mut self, event: &str) -> bool {
         let mut data = None;
         let mut is_error = false;
@@ -279,7 +279,7 @@
     req
 }
 
-/// Asks an engine directly, as a baseline for what an entry node adds.
+/// Sends a request directly to an engine, as a baseline for the latency that an entry node adds.
 pub async fn call_engine(address: &str, mut generate: GenerateRequest) -> CallerEnd {
     generate.stream = uuid::Uuid::new_v4().to_string();
     let started = Instant::now();
--- a/crates/workshold-standins/src/load/report.rs
+++ b/crates/workshold-standins/src/load/report.rs
@@ -1,32 +1,32 @@
-//! What became of a load.
+//! Results of a load.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
 use crate::load::caller::CallerEnd;
 
-/// Counts of each end, and times.
+/// Number of requests with each result, and latencies.
 #[derive(Debug)]
 pub struct Report {
-    /// Requests sent.
+    /// Requests that were sent and returned a result.
     pub sent: u64,
-    /// Whole answers, byte for byte the caller's own.
+    /// Complete answers that match the expected answer byte for byte.
     pub answered: u64,
-    /// Requests that were told "not run".
+    /// Requests answered with a problem that says that they were not run.
     pub not_run: u64,
-    /// Requests that were told "unknown".
+    /// Requests answered with a problem that says that it is unknown whether they ran.
     pub unknown: u64,
-    /// Answers that were not the caller's own, or not whole.
+    /// Answers that were incomplete or did not match the expected answer.
     pub wrong: u64,
-    /// Requests that got no final answer.
+    /// Requests without a result, because their task panicked.
     pub lost: u64,
-    /// Streams that were taken up at another node.
+    /// Number of times that a stream was resumed.
     pub resumed: u64,
-    /// Milliseconds to the first token, in hundredths.
+    /// Time to the first token, in hundredths of a millisecond.
     pub first_token: Histogram<u64>,
-    /// Milliseconds between tokens, in hundredths.
+    /// Time between tokens, in hundredths of a millisecond.
     pub between_tokens: Histogram<u64>,
-    /// Codes of problems, and how many of each.
+    /// Number of problems with each code.
     pub codes: std::collections::BTreeMap<String, u64>,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Report {
-    /// Counts one request.
+    /// Adds the result of one request.
     pub fn add(&mut self, end: &CallerEnd) {
         self.sent += 1;
         self.resumed += u64::from(end.resumed);
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Whether every request got its own whole answer, or was told what became of it.
+    /// Whether every request got its complete answer or a problem that says whether it ran.
     pub fn is_clean(&self) -> bool {
         self.wrong == 0 && self.lost == 0
     }
 
-    /// The report as JSON; times as p50, p95 and p99.
+    /// Formats the report as JSON, with times as p50, p95 and p99 in milliseconds.
     pub fn to_json(&self) -> String {
         let printed = PrintedReport {
             sent: self.sent,
--- a/crates/workshold-standins/src/log.rs
+++ b/crates/workshold-standins/src/log.rs
@@ -1,4 +1,4 @@
-//! The log service: append-only, with offsets, limited in rate and retention.
+//! A stand-in for the log service: append-only, with offsets, limited in rate and retention.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,11 +21,11 @@
 use workshold_protocol::log_api::ReadRecord;
 use workshold_protocol::log_api::ReadReply;
 
-/// The largest record that the log takes, in bytes.
+/// Maximum size of an append request, in bytes.
 const RECORD_LEN_MAX: usize = 8 * 1024 * 1024;
-/// The most records in one answer.
+/// Maximum number of records in one answer.
 const RECORDS_PER_READ_MAX: usize = 512;
-/// The longest that a read waits for something new.
+/// Maximum time that a read waits for new records, and timeout for reading a request body.
 const WAIT_MAX: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     refilled_at: Instant,
 }
 
-/// The log of one deployment; it has one stream, whatever its name.
+/// The log of one deployment. It has a single stream, which is served under every path.
 #[derive(Debug)]
 pub struct LogService {
     inner: Mutex<Inner>,
@@ -50,7 +50,7 @@
 }
 
 impl LogService {
-    /// An empty log that takes so many appends a second.
+    /// Creates an empty log that accepts `appends_per_s` appends per second.
     pub fn new(appends_per_s: u32) -> Arc<Self> {
         let inner = Inner {
             first: 0,
@@ -70,41 +70,41 @@
         })
     }
 
-    /// Stops answering, or answers again.
+    /// Makes the log stop answering, or answer again; waiting reads end at once.
     pub fn set_down(&self, is_down: bool) {
         self.inner.lock().is_down = is_down;
         self.appended.notify_waiters();
     }
 
-    /// Waits before each answer.
+    /// Delays each answer by `delay`.
     pub fn set_delay(&self, delay: Millis) {
         self.inner.lock().delay = delay;
     }
 
-    /// Loses the replies of the next appends, after their effect.
+    /// Drops the replies of the next `count` appends, which still take effect.
     pub fn lose_replies(&self, count: u32) {
         self.inner.lock().lose_replies = count;
     }
 
-    /// Keeps only the last so many records from now on.
+    /// Retains only the last `count` records from now on.
     pub fn retain(&self, count: usize) {
         let mut inner = self.inner.lock();
         inner.retain = count;
         inner.expire();
     }
 
-    /// Appends taken so far.
+    /// Number of appends accepted so far.
     pub fn appends(&self) -> u64 {
         self.inner.lock().appends
     }
 
-    /// All records that are still kept.
+    /// Returns all records that are still retained.
     pub fn records(&self) -> Vec<ReadRecord> {
         let inner = self.inner.lock();
         inner.read(inner.first, usize::MAX)
     }
 
-    /// Answers a request; `None` leaves it without an answer.
+    /// Handles a request; `None` leaves it unanswered.
     pub async fn handle(&self, req: Request<Incoming>) -> Option<Response<Body>> {
         let (is_down, delay) = {
             let inner = self.inner.lock();
@@ -203,7 +203,7 @@
     }
 }
 
-/// The number under `key` of a query string.
+/// Returns the number under `key` in a query string; `None` if it is missing or not a number.
 pub fn query_number(query: &str, key: &str) -> Option<u64> {
     query
         .split('&')
--- a/crates/workshold-standins/src/main.rs
+++ b/crates/workshold-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! `workshold-dev`: stand-ins and a load tool, for development only.
+//! `workshold-dev`: runs stand-ins and a load generator, for development only.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/workshold-standins/src/platform.rs
+++ b/crates/workshold-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! All stand-ins of one deployment, each on its port.
+//! Runs all stand-ins of one deployment, each on its own port.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -36,7 +36,7 @@
 use crate::service::CountingService;
 use crate::weights::WeightStore;
 
-/// One engine with the port it listens on while it lives.
+/// An engine and its server, which runs unless the engine has crashed.
 #[derive(Debug)]
 struct EnginePort {
     engine: Arc<Engine>,
@@ -46,11 +46,11 @@
     server: Option<JoinHandle<usize>>,
 }
 
-/// A running set of stand-ins; dropping it ends them all.
+/// A running set of stand-ins; dropping it stops them all.
 #[derive(Debug)]
 pub struct Platform {
     layout: Layout,
-    /// The log.
+    /// The log service.
     pub log: Arc<LogService>,
     /// The instance list.
     pub list: Arc<InstanceList>,
@@ -60,7 +60,8 @@
     state_tx: watch::Sender<ServerState>,
 }
 
-/// Leaves a request without an answer by cutting its connection.
+/// Answers a request; if the handler returns `None`, the request stays pending and is never
+/// answered.
 async fn answer(
     handled: impl Future<Output = Option<Response<Body>>>,
 ) -> Result<Response<Body>, Infallible> {
@@ -83,7 +84,7 @@
 const BIND_ATTEMPTS_MAX: u32 = 100;
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Binds, and waits a little for a port whose last user is just ending.
+/// Binds an address, and retries for up to two seconds while the port's last user is shutting down.
 async fn bind(address: &str) -> io::Result<TcpListener> {
     let mut attempts = 0;
     loop {
@@ -102,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// What the machine says if a port cannot be had.
+    /// If a port cannot be bound.
     pub async fn start(layout: Layout) -> io::Result<Arc<Self>> {
         let (state_tx, _) = watch::channel(ServerState::Running);
         let platform = Arc::new(Self {
@@ -119,12 +120,12 @@
         Ok(platform)
     }
 
-    /// Where everything listens.
+    /// Sizes and ports of the deployment.
     pub fn layout(&self) -> &Layout {
         &self.layout
     }
 
-    /// What the stand-ins saw so far.
+    /// Returns the counters of all stand-ins so far.
     pub fn observed(&self) -> Observed {
         let mut observed = self.fabric.observed.lock().clone();
         observed.service_runs = self.service.runs();
@@ -132,7 +133,7 @@
         observed
     }
 
-    /// Makes something go wrong, or right again.
+    /// Injects a fault, or ends one.
     pub async fn inject(&self, fault: Fault) {
         match fault {
             Fault::LogDown(is_down) => self.log.set_down(is_down),
@@ -152,7 +153,7 @@
         }
     }
 
-    /// The group that each engine says it is in.
+    /// Returns the group that each engine reports to be in; `None` if it is in no group.
     pub async fn memberships(&self) -> Vec<(InstanceId, Option<String>)> {
         let engines = self.engines.lock().await;
         let ids = (0..self.layout.engines).map(|i| self.layout.engine_id(i));
@@ -178,7 +179,7 @@
             self.spawn(listener, handler!(self.service));
         }
         let control = bind(&self.layout.control()).await?;
-        // Held weakly, or the stand-ins would keep themselves alive.
+        // A strong reference would keep the platform from ever being dropped.
         let weak = Arc::downgrade(self);
         self.spawn(
             control,
--- a/crates/workshold-standins/src/service.rs
+++ b/crates/workshold-standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each body was run.
+//! A plain service that counts how often it ran each request body.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use workshold_http::Body;
 use workshold_http::body;
 
-/// All instances of the service share what they ran, as a database would.
+/// The service; its instances share these counters, as they would share a database.
 #[derive(Debug, Default)]
 pub struct CountingService {
     runs: Mutex<BTreeMap<String, u32>>,
@@ -20,21 +20,21 @@
 
 const BODY_LEN_MAX: usize = 1024 * 1024;
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a run takes.
+/// Duration of one run.
 const RUN_DURATION: Duration = Duration::from_millis(10);
 
 impl CountingService {
-    /// A service that ran nothing yet.
+    /// Creates a service without any runs.
     pub fn new() -> Arc<Self> {
         Arc::default()
     }
 
-    /// Runs of each body.
+    /// Number of runs of each request body.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.runs.lock().clone()
     }
 
-    /// Runs a request; the answer says which run of this body it was.
+    /// Runs a request; the answer contains the number of runs of this body so far.
     pub async fn handle(&self, req: Request<Incoming>) -> Option<Response<Body>> {
         let path = req.uri().path().to_owned();
         let bytes = body::read(req.into_body(), BODY_LEN_MAX, BODY_READ_TIMEOUT).await.ok()?;
