--- a/crates/workshold-soak/src/judge.rs
+++ b/crates/workshold-soak/src/judge.rs
@@ -299,7 +299,7 @@
     breach(Promise::InForceInTime, what)
 }
 
-/// Checks that no request is cut off outside the fault period.
+/// Checks that no request which a node has read is cut off outside the fault period.
 fn check_uncut(outcome: &Outcome, record: &Record) -> Option<Breach> {
     let (began, over) = record.faults?;
     let is_calm = outcome.ended < began || outcome.sent > over;
--- a/crates/workshold-soak/src/run.rs
+++ b/crates/workshold-soak/src/run.rs
@@ -123,8 +123,11 @@
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// Time within which work whose caller has disconnected has to end.
 const ABANDONED_WORK_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How late an engine executes orders under [`FaultKind::DelayOrders`].
 const ORDER_DELAY: Duration = Duration::from_millis(3_000);
+/// Delay of a link under [`FaultKind::SlowNode`].
 const SLOW_LINK_DELAY: Duration = Duration::from_millis(300);
+/// Delay of each answer under [`FaultKind::StoreSlow`].
 const SLOW_STORE_DELAY: Duration = Duration::from_millis(240);
 /// Interval between checks of processes and readiness.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
