--- a/crates/workshold-soak/src/fleet.rs
+++ b/crates/workshold-soak/src/fleet.rs
@@ -364,8 +364,8 @@
         tokio::time::sleep(DRAIN_TIME).await;
         old.link.stop_listening();
         old.instance.stop_listening();
-        let began = Instant::now();
-        while old.instance.has_work() && began.elapsed() < MEMBER_STAY_MAX {
+        let started_at = Instant::now();
+        while old.instance.has_work() && started_at.elapsed() < MEMBER_STAY_MAX {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         tokio::time::sleep(FLUSH_TIME).await;
--- a/crates/workshold-soak/src/judge.rs
+++ b/crates/workshold-soak/src/judge.rs
@@ -255,8 +255,8 @@
 
 /// Checks that a request ran no more often than its kind allows.
 fn check_run_count(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
-    let most = if outcome.kind == RequestKind::Print { 1 } else { ATTEMPTS_MAX };
-    if runs.len() <= most {
+    let max_runs = if outcome.kind == RequestKind::Print { 1 } else { ATTEMPTS_MAX };
+    if runs.len() <= max_runs {
         return None;
     }
     let at: Vec<&str> = runs.iter().map(|run| run.instance.as_str()).collect();
@@ -288,11 +288,11 @@
 fn check_config_in_force(outcome: &Outcome, record: &Record) -> Option<Breach> {
     let (from, to) = record.silences?;
     let key = record.keys.iter().find(|key| key.text == outcome.key)?;
-    let is_beside = key.since >= from && outcome.sent <= to;
+    let is_in_period = key.since >= from && outcome.sent <= to;
     let since = outcome.sent.saturating_duration_since(key.since);
     let is_valid = key.revoked.is_none_or(|(_, at)| at > outcome.ended);
     let is_denied = matches!(&outcome.result, CallerResult::Answer { status: 401, .. });
-    if !(is_beside && is_valid && is_denied && since > CONFIG_PROPAGATION_TIMEOUT) {
+    if !(is_in_period && is_valid && is_denied && since > CONFIG_PROPAGATION_TIMEOUT) {
         return None;
     }
     let what = format!("{} with {} at node {:?}, {since:?} on", outcome.id, key.text, outcome.node);
@@ -301,16 +301,16 @@
 
 /// Checks that no request which a node has read is cut off outside the fault period.
 fn check_uncut(outcome: &Outcome, record: &Record) -> Option<Breach> {
-    let (began, over) = record.faults?;
-    let is_calm = outcome.ended < began || outcome.sent > over;
+    let (faults_start, faults_end) = record.faults?;
+    let is_outside_faults = outcome.ended < faults_start || outcome.sent > faults_end;
     let CallerResult::Cut(why) = &outcome.result else { return None };
     let what = || format!("{} at node {}: {why}", outcome.id, outcome.node.0);
-    let is_beside = |(from, to)| outcome.ended >= from && outcome.sent <= to;
+    let overlaps = |(from, to)| outcome.ended >= from && outcome.sent <= to;
     let promise = match record.planned {
-        Some(planned) if is_beside(planned) => Promise::PlannedCutsNothing,
+        Some(planned) if overlaps(planned) => Promise::PlannedCutsNothing,
         _ => Promise::StopCutsNothing,
     };
-    is_calm.then(|| Breach { promise, what: what() })
+    is_outside_faults.then(|| Breach { promise, what: what() })
 }
 
 /// Checks that every run belongs to a request that a caller sent, and to the right team.
--- a/crates/workshold-soak/src/nodes.rs
+++ b/crates/workshold-soak/src/nodes.rs
@@ -117,8 +117,8 @@
     /// Waits for the first log line, by which the process has installed its signal handlers: before
     /// that, the default action of any signal would kill it.
     pub async fn wait_for_first_log_line(&self) {
-        let began = Instant::now();
-        while self.child.is_some() && began.elapsed() < FIRST_LOG_LINE_TIMEOUT {
+        let started_at = Instant::now();
+        while self.child.is_some() && started_at.elapsed() < FIRST_LOG_LINE_TIMEOUT {
             let log = self.folder.join(format!("{}-{}.log", self.name, self.incarnations));
             if fs::metadata(log).is_ok_and(|log| log.len() > 0) {
                 return;
@@ -158,7 +158,7 @@
     ///
     /// If it exits with a failure, or not within the timeout.
     pub async fn wait_for_stop(&mut self) -> Result<(), UnexpectedExit> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             let Some(child) = &mut self.child else { return Ok(()) };
             if let Ok(Some(status)) = child.try_wait() {
@@ -166,7 +166,7 @@
                 let wrong = format!("{} ended its planned stop with {status}", self.name);
                 return if status.success() { Ok(()) } else { Err(wrong) };
             }
-            if began.elapsed() > STOP_TIMEOUT {
+            if started_at.elapsed() > STOP_TIMEOUT {
                 self.kill();
                 return Err(format!("{} did not stop within {STOP_TIMEOUT:?}", self.name));
             }
--- a/crates/workshold-soak/src/run.rs
+++ b/crates/workshold-soak/src/run.rs
@@ -148,7 +148,7 @@
     }
     let watcher = tokio::spawn(watch_processes(Arc::clone(&harness)));
     tokio::time::sleep(FAULT_FREE_PERIOD).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut ending = JoinSet::new();
     if options.ends_instances {
         load.spawn(Arc::clone(&harness.callers).send_crash_requests(seed));
@@ -161,15 +161,15 @@
     };
     inject_faults(&harness, draw(seed, options.length)).await;
     let last = Instant::now();
-    let is_well = harness.all_serve(options.recovers_within).await;
-    let recovered_after = is_well.then(|| last.elapsed());
+    let has_recovered = harness.all_serve(options.recovers_within).await;
+    let recovered_after = has_recovered.then(|| last.elapsed());
     tokio::time::sleep(SETTLE_TIME).await;
-    let over = Instant::now();
+    let faults_ended_at = Instant::now();
     let (mut planned, mut silences) = (None, None);
-    if is_well {
+    if has_recovered {
         if !options.planned.is_zero() {
             run_planned_work(&harness, plan::draw_planned(seed, options.planned)).await;
-            planned = Some((over, Instant::now()));
+            planned = Some((faults_ended_at, Instant::now()));
         }
         if options.silences > 0 {
             let from = Instant::now();
@@ -191,9 +191,9 @@
     watcher.abort();
     let mut breaches = std::mem::take(&mut *harness.breaches.lock());
     let mut add = |promise, what| breaches.push(Breach { promise, what });
-    if !is_well {
-        let within = options.recovers_within;
-        add(Promise::Recovers, format!("not all is served {within:?} after the last fault"));
+    if !has_recovered {
+        let timeout = options.recovers_within;
+        add(Promise::Recovers, format!("not all is served {timeout:?} after the last fault"));
     }
     if memory_kb > MEMORY_MAX_KB {
         add(Promise::WithinMemory, format!("a node holds {memory_kb} kB"));
@@ -210,7 +210,7 @@
         arrivals: monitor.arrivals(),
         keys: harness.fleet.keys(),
         leaving: harness.fleet.leaving(),
-        faults: Some((began, over)),
+        faults: Some((started_at, faults_ended_at)),
         planned,
         silences,
         visibility_faults: harness.visibility_faults.lock().clone(),
@@ -269,10 +269,10 @@
 
 /// Injects each fault at its time, and waits until the last one is over.
 async fn inject_faults(harness: &Arc<Harness>, faults: Vec<Fault>) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut under_way = JoinSet::new();
     for fault in faults {
-        tokio::time::sleep(fault.at.saturating_sub(began.elapsed())).await;
+        tokio::time::sleep(fault.at.saturating_sub(started_at.elapsed())).await;
         let harness = Arc::clone(harness);
         under_way.spawn(async move {
             let from = Instant::now();
@@ -342,8 +342,8 @@
             harness.breaches.lock().push(Breach { promise: Promise::StopCutsNothing, what });
         }
         harness.start(i, &mut node);
-        let began = Instant::now();
-        while !node.is_ready().await && began.elapsed() < NODE_START_TIMEOUT {
+        let started_at = Instant::now();
+        while !node.is_ready().await && started_at.elapsed() < NODE_START_TIMEOUT {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
@@ -466,8 +466,8 @@
     }
 
     /// Whether every node serves a stream and a run-once request before the timeout.
-    async fn all_serve(&self, within: Duration) -> bool {
-        let began = Instant::now();
+    async fn all_serve(&self, timeout: Duration) -> bool {
+        let started_at = Instant::now();
         loop {
             let mut serving = 0;
             for node in &self.nodes {
@@ -477,7 +477,7 @@
             if serving == self.nodes.len() {
                 return true;
             }
-            if began.elapsed() > within {
+            if started_at.elapsed() > timeout {
                 return false;
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -502,11 +502,11 @@
     }
 
     async fn memory_kb(&self) -> u64 {
-        let mut most = 0;
+        let mut max_kb = 0;
         for node in &self.nodes {
-            most = most.max(node.lock().await.memory_kb().unwrap_or_default());
+            max_kb = max_kb.max(node.lock().await.memory_kb().unwrap_or_default());
         }
-        most
+        max_kb
     }
 }
 
