--- a/crates/workshold-soak/src/judge.rs
+++ b/crates/workshold-soak/src/judge.rs
@@ -1,4 +1,4 @@
-//! Which promises were broken, by what callers and upstreams saw.
+//! Checks the product's promises against what callers and upstreams recorded during a run.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -12,14 +12,14 @@
 use workshold_platform_standin::monitor::Arrival;
 use workshold_platform_standin::monitor::Run;
 
-use crate::callers::Asked;
-use crate::callers::ENDING_IDS;
+use crate::callers::CRASH_ID_PREFIX;
+use crate::callers::CallerResult;
 use crate::callers::Outcome;
-use crate::callers::Seen;
+use crate::callers::RequestKind;
 use crate::fleet::Key;
-use crate::nodes::KEYS_BELIEVED;
+use crate::nodes::KEY_REVOCATION_TIMEOUT;
 
-/// A promise of the product.
+/// A guarantee of the product that the soak checks. The names appear in printed breaches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Promise {
     /// a caller receives the whole answer to its own request
@@ -60,12 +60,12 @@
     LetsRest,
 }
 
-/// A promise that was broken, and how.
+/// A broken promise and the observation that shows it.
 #[derive(Debug, Clone)]
 pub struct Breach {
-    /// Which.
+    /// The broken promise.
     pub promise: Promise,
-    /// What was seen.
+    /// The observation, as printed.
     pub what: String,
 }
 
@@ -75,52 +75,55 @@
     }
 }
 
-/// All that was seen of a seed.
+/// Everything that was recorded while a seed ran.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
-    /// What became of each request.
+    /// The result of each request.
     pub outcomes: Vec<Outcome>,
-    /// What upstreams ran.
+    /// Requests that upstreams ran.
     pub runs: Vec<Run>,
-    /// What came to upstreams, what they refused among it.
+    /// Requests that reached upstreams, including those that they refused.
     pub arrivals: Vec<Arrival>,
-    /// All keys that ever were.
+    /// All API keys that were ever configured, including revoked ones.
     pub keys: Vec<Key>,
-    /// When instances stated that they will end.
+    /// When each draining instance announced that it will end, by its name.
     pub leaving: BTreeMap<String, Instant>,
-    /// When faults began, and the last one was over: outside this, all is calm.
+    /// Start of the first fault and end of the last one; no faults are injected outside this
+    /// period. `None` if there is no such period.
     pub faults: Option<(Instant, Instant)>,
-    /// When planned work began, and the last of it was over.
+    /// Start and end of the planned work; `None` if there was none.
     pub planned: Option<(Instant, Instant)>,
-    /// When silences of the store alone began, and the last configuration after them had had
-    /// its time.
+    /// From the first silence of the store without other faults until the configuration written
+    /// after the last one had time to propagate; `None` if there was none.
     pub silences: Option<(Instant, Instant)>,
-    /// When faults began that may hide a leaving instance from nodes.
-    pub hidden: Vec<(Instant, Instant)>,
+    /// Periods of faults that may keep nodes from learning that an instance is draining.
+    pub visibility_faults: Vec<(Instant, Instant)>,
 }
 
-/// The team that all keys belong to.
+/// The team that owns all keys.
 const TEAM: &str = "night-desk";
-/// Attempts that the configuration allows for a stream, and for what may repeat.
-const ATTEMPTS: usize = 2;
-/// Who is leaving gets nothing new after this: the bound and a second for the way of
-/// a request that was sent just before.
-const LEAVING_GETS_NOTHING_AFTER: Duration = Duration::from_millis(3_000);
-/// A configuration that is written after the store's return is in force everywhere by then.
-pub const IN_FORCE_WITHIN: Duration = Duration::from_millis(3_000);
-/// Instances that end under a request until it is known, how soon all nodes have heard, and
-/// how often it may be sent on all the same.
-const ENDS_UNTIL_KNOWN: usize = 3;
-const KNOWN_WITHIN: Duration = Duration::from_millis(3_000);
-const SENT_ON_AT_MOST: usize = 3;
-/// What is on its way when an instance answers arrives within this, and so many more may come
-/// in a rest.
-const ON_ITS_WAY: Duration = Duration::from_millis(500);
-const MOST_IN_A_REST: usize = 2;
-/// Statuses that say that a request has not run.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Attempts that the configuration allows for a stream and for a repeatable request.
+const ATTEMPTS_MAX: usize = 2;
+/// A draining instance gets no new request after this: the product's bound plus one second for a
+/// request that was sent just before.
+const DRAIN_NOTICE_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// A configuration that is written after the store answers again is in force on every node within
+/// this time.
+pub const CONFIG_PROPAGATION_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Instances that have to crash under a request before nodes recognise it as a crashing request.
+const CRASHES_UNTIL_KNOWN: usize = 3;
+/// Time until all nodes have heard that a request crashes instances.
+const CRASH_GOSSIP_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Times that a crashing request may still be forwarded after [`CRASH_GOSSIP_TIMEOUT`].
+const LATE_CRASHES_MAX: usize = 3;
+/// Requests already in flight when an instance answers arrive within this time.
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Further requests that may arrive during a backoff.
+const REQUESTS_IN_BACKOFF_MAX: usize = 2;
+/// Statuses that promise that the request has not run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Judges a record.
+/// Returns every broken promise that the record shows.
 pub fn judge(record: &Record) -> Vec<Breach> {
     let mut runs: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in &record.runs {
@@ -130,53 +133,55 @@
     for outcome in &record.outcomes {
         let runs = runs.get(outcome.id.as_str()).map_or(&[][..], Vec::as_slice);
         let own = [
-            whole(outcome, runs),
-            times(outcome, runs),
-            not_run(outcome, runs),
-            in_time(outcome, runs, &record.keys),
-            in_force(outcome, record),
-            uncut(outcome, record),
+            check_whole_answer(outcome, runs),
+            check_run_count(outcome, runs),
+            check_not_run(outcome, runs),
+            check_key_revocation(outcome, runs, &record.keys),
+            check_config_in_force(outcome, record),
+            check_uncut(outcome, record),
         ];
         breaches.extend(own.into_iter().flatten());
     }
-    breaches.extend(asked(record));
-    breaches.extend(forward(record));
-    breaches.extend(left_alone(record));
-    breaches.extend(ended(record));
-    breaches.extend(rested(record));
-    breaches.extend(left_by_answers(record));
+    breaches.extend(check_only_requested(record));
+    breaches.extend(check_version_order(record));
+    breaches.extend(check_draining_instances(record));
+    breaches.extend(check_crash_requests(record));
+    breaches.extend(check_retry_after(record));
+    breaches.extend(check_announced_departures(record));
     breaches
 }
 
-/// Once three instances have ended under one request, and all had the time to hear of it,
-/// it is sent on a few times at most.
-fn ended(record: &Record) -> Option<Breach> {
+/// Checks that a crashing request is forwarded only a few more times once three instances have
+/// crashed under it and all nodes had time to hear of that.
+fn check_crash_requests(record: &Record) -> Option<Breach> {
     let mut runs: Vec<&Run> =
-        record.runs.iter().filter(|run| run.request.starts_with(ENDING_IDS)).collect();
+        record.runs.iter().filter(|run| run.request.starts_with(CRASH_ID_PREFIX)).collect();
     runs.sort_by_key(|run| run.at);
-    let third = runs.get(ENDS_UNTIL_KNOWN - 1)?.at;
-    let late = runs.iter().filter(|run| run.at > third + KNOWN_WITHIN).count();
-    let what = || format!("{} ended, {late} of them {KNOWN_WITHIN:?} after the third", runs.len());
-    (late > SENT_ON_AT_MOST).then(|| Breach { promise: Promise::EndsFew, what: what() })
+    let third = runs.get(CRASHES_UNTIL_KNOWN - 1)?.at;
+    let late = runs.iter().filter(|run| run.at > third + CRASH_GOSSIP_TIMEOUT).count();
+    let what =
+        || format!("{} ended, {late} of them {CRASH_GOSSIP_TIMEOUT:?} after the third", runs.len());
+    (late > LATE_CRASHES_MAX).then(|| Breach { promise: Promise::EndsFew, what: what() })
 }
 
-/// Two requests at most come to an instance from a node that it has asked for rest, once what was
-/// under way has arrived and until the rest is over.
-fn rested(record: &Record) -> Vec<Breach> {
-    let nodes = nodes_of(record);
-    let mut came: HashMap<_, Vec<&Arrival>> = HashMap::new();
+/// Checks that an instance gets at most two requests from a node while the Retry-After it sent to
+/// that node lasts, not counting requests already in flight.
+fn check_retry_after(record: &Record) -> Vec<Breach> {
+    let nodes = request_targets(record);
+    let mut arrivals: HashMap<_, Vec<&Arrival>> = HashMap::new();
     for arrival in &record.arrivals {
         if let Some((node, _)) = nodes.get(arrival.request.as_str()) {
-            came.entry((arrival.instance.as_str(), *node)).or_default().push(arrival);
+            arrivals.entry((arrival.instance.as_str(), *node)).or_default().push(arrival);
         }
     }
     let mut breaches = Vec::new();
-    for ((instance, node), came) in came {
-        for (at, rest) in came.iter().filter_map(|arrival| Some((arrival.at, arrival.retry_after?)))
+    for ((instance, node), arrivals) in arrivals {
+        for (at, rest) in
+            arrivals.iter().filter_map(|arrival| Some((arrival.at, arrival.retry_after?)))
         {
-            let in_rest = |a: &&&Arrival| a.at > at + ON_ITS_WAY && a.at < at + rest;
-            let got = came.iter().filter(in_rest).count();
-            if got > MOST_IN_A_REST {
+            let in_backoff = |a: &&&Arrival| a.at > at + IN_FLIGHT_TIMEOUT && a.at < at + rest;
+            let got = arrivals.iter().filter(in_backoff).count();
+            if got > REQUESTS_IN_BACKOFF_MAX {
                 let what = format!("{instance} got {got} from node {node:?} in {rest:?} of rest");
                 breaches.push(Breach { promise: Promise::LetsRest, what });
             }
@@ -185,28 +190,28 @@
     breaches
 }
 
-/// An instance that says in its answers that it leaves gets nothing that was sent later, from any
-/// node.
-fn left_by_answers(record: &Record) -> Vec<Breach> {
-    let nodes = nodes_of(record);
-    let mut said: HashMap<&str, Instant> = HashMap::new();
+/// Checks that an instance which announces its departure in its answers gets no request that any
+/// node received from a caller later than [`DRAIN_NOTICE_TIMEOUT`] after that.
+fn check_announced_departures(record: &Record) -> Vec<Breach> {
+    let nodes = request_targets(record);
+    let mut announced_at: HashMap<&str, Instant> = HashMap::new();
     for arrival in record.arrivals.iter().filter(|arrival| arrival.leaves) {
-        let first = said.entry(arrival.instance.as_str()).or_insert(arrival.at);
+        let first = announced_at.entry(arrival.instance.as_str()).or_insert(arrival.at);
         *first = arrival.at.min(*first);
     }
     let late = record.arrivals.iter().filter_map(|arrival| {
-        let first = *said.get(arrival.instance.as_str())?;
+        let first = *announced_at.get(arrival.instance.as_str())?;
         let (node, sent) = nodes.get(arrival.request.as_str())?;
         let late = sent.saturating_duration_since(first);
-        let tell =
+        let describe =
             || format!("{} at {} from {node:?}, {late:?} on", arrival.request, arrival.instance);
-        (late > LEAVING_GETS_NOTHING_AFTER).then(tell)
+        (late > DRAIN_NOTICE_TIMEOUT).then(describe)
     });
     late.map(|what| Breach { promise: Promise::LeavingGetsNothing, what }).collect()
 }
 
-/// The node that each request went to, and when it was sent.
-fn nodes_of(record: &Record) -> HashMap<&str, ((usize, u32), Instant)> {
+/// Maps each request id to the node (and its incarnation) that it was sent to and the time.
+fn request_targets(record: &Record) -> HashMap<&str, ((usize, u32), Instant)> {
     let of = |outcome: &Outcome| (outcome.node, outcome.sent);
     record.outcomes.iter().map(|outcome| (outcome.id.as_str(), of(outcome))).collect()
 }
@@ -215,9 +220,10 @@
     Some(Breach { promise, what })
 }
 
-/// A success carries the proof of an instance that ran it, and its whole answer.
-fn whole(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
-    let Seen::Answer { status, stamp, text, .. } = &outcome.seen else { return None };
+/// Checks that a success carries the proof (stamp) of an instance that ran the request, and the
+/// complete answer.
+fn check_whole_answer(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
+    let CallerResult::Answer { status, stamp, text, .. } = &outcome.result else { return None };
     let (id, wrong) = (&outcome.id, Promise::OwnWholeAnswer);
     if (200..300).contains(status) && stamp.is_none() {
         return breach(wrong, format!("{id}: a success without proof"));
@@ -227,111 +233,120 @@
         return breach(wrong, format!("{id}: the proof of {stamp}, which did not run it"));
     }
     if *status != 200 {
-        // The instance's own failure is passed on.
+        // Status 500 is the instance's own failure, which a node passes on with its proof.
         return (*status != 500).then(|| Breach {
             promise: wrong,
             what: format!("{id}: proof of {stamp} with status {status}"),
         });
     }
-    let is_whole = match outcome.asked {
-        Asked::Chat => {
+    let is_whole = match outcome.kind {
+        RequestKind::Chat => {
             let ids: Vec<u64> = (1..=STREAM_EVENTS).collect();
             let own = text.matches(&format!("of {id}\n")).count() as u64;
             caller::event_ids(text) == ids && own == STREAM_EVENTS
         }
-        Asked::Print | Asked::Plate => *text == format!("{stamp} {}", outcome.asked.path(id)),
+        RequestKind::Print | RequestKind::Plate => {
+            *text == format!("{stamp} {}", outcome.kind.path(id))
+        }
     };
     let short: String = text.chars().take(80).collect();
     (!is_whole).then(|| Breach { promise: wrong, what: format!("{id}: not its answer: {short}") })
 }
 
-fn times(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
-    let most = if outcome.asked == Asked::Print { 1 } else { ATTEMPTS };
-    if runs.len() <= most {
+/// Checks that a request ran no more often than its kind allows.
+fn check_run_count(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
+    let max_runs = if outcome.kind == RequestKind::Print { 1 } else { ATTEMPTS_MAX };
+    if runs.len() <= max_runs {
         return None;
     }
     let at: Vec<&str> = runs.iter().map(|run| run.instance.as_str()).collect();
     breach(Promise::AtMostOnce, format!("{} ran at {}", outcome.id, at.join(", ")))
 }
 
-fn not_run(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
-    let Seen::Answer { status, .. } = &outcome.seen else { return None };
-    let is_wrong = outcome.asked == Asked::Print && NOT_RUN.contains(status) && !runs.is_empty();
+/// Checks that a run-once request that was answered as not run did not run.
+fn check_not_run(outcome: &Outcome, runs: &[&Run]) -> Option<Breach> {
+    let CallerResult::Answer { status, .. } = &outcome.result else { return None };
+    let is_wrong =
+        outcome.kind == RequestKind::Print && NOT_RUN_STATUSES.contains(status) && !runs.is_empty();
     let what = || format!("{} got {status} but ran at {}", outcome.id, runs[0].instance);
     is_wrong.then(|| Breach { promise: Promise::NotRunMeansNotRun, what: what() })
 }
 
-/// What was sent later than the bound after its key was taken away does not run.
-fn in_time(outcome: &Outcome, runs: &[&Run], keys: &[Key]) -> Option<Breach> {
+/// Checks that a request does not run if it was sent later than [`KEY_REVOCATION_TIMEOUT`] after
+/// its key was revoked.
+fn check_key_revocation(outcome: &Outcome, runs: &[&Run], keys: &[Key]) -> Option<Breach> {
     let key = keys.iter().find(|key| key.text == outcome.key)?;
-    let (_, taken) = key.taken?;
-    let late = outcome.sent.saturating_duration_since(taken);
-    let is_wrong = late > KEYS_BELIEVED && !runs.is_empty();
+    let (_, revoked) = key.revoked?;
+    let late = outcome.sent.saturating_duration_since(revoked);
+    let is_wrong = late > KEY_REVOCATION_TIMEOUT && !runs.is_empty();
     let what = || format!("{} ran, sent {late:?} after {} was taken away", outcome.id, key.text);
     is_wrong.then(|| Breach { promise: Promise::KeysInTime, what: what() })
 }
 
-/// Outside faults no request that was read is cut.
-/// Beside silences of the store alone: a key that is new is known in time.
-fn in_force(outcome: &Outcome, record: &Record) -> Option<Breach> {
+/// Checks that a new key is accepted within [`CONFIG_PROPAGATION_TIMEOUT`] when silences of the
+/// store are the only faults.
+fn check_config_in_force(outcome: &Outcome, record: &Record) -> Option<Breach> {
     let (from, to) = record.silences?;
     let key = record.keys.iter().find(|key| key.text == outcome.key)?;
-    let is_beside = key.since >= from && outcome.sent <= to;
+    let is_in_period = key.since >= from && outcome.sent <= to;
     let since = outcome.sent.saturating_duration_since(key.since);
-    let is_valid = key.taken.is_none_or(|(_, at)| at > outcome.ended);
-    let is_denied = matches!(&outcome.seen, Seen::Answer { status: 401, .. });
-    if !(is_beside && is_valid && is_denied && since > IN_FORCE_WITHIN) {
+    let is_valid = key.revoked.is_none_or(|(_, at)| at > outcome.ended);
+    let is_denied = matches!(&outcome.result, CallerResult::Answer { status: 401, .. });
+    if !(is_in_period && is_valid && is_denied && since > CONFIG_PROPAGATION_TIMEOUT) {
         return None;
     }
     let what = format!("{} with {} at node {:?}, {since:?} on", outcome.id, key.text, outcome.node);
     breach(Promise::InForceInTime, what)
 }
 
-fn uncut(outcome: &Outcome, record: &Record) -> Option<Breach> {
-    let (began, over) = record.faults?;
-    let is_calm = outcome.ended < began || outcome.sent > over;
-    let Seen::Cut(why) = &outcome.seen else { return None };
+/// Checks that no request which a node has read is cut off outside the fault period.
+fn check_uncut(outcome: &Outcome, record: &Record) -> Option<Breach> {
+    let (faults_start, faults_end) = record.faults?;
+    let is_outside_faults = outcome.ended < faults_start || outcome.sent > faults_end;
+    let CallerResult::Cut(why) = &outcome.result else { return None };
     let what = || format!("{} at node {}: {why}", outcome.id, outcome.node.0);
-    let is_beside = |(from, to)| outcome.ended >= from && outcome.sent <= to;
+    let overlaps = |(from, to)| outcome.ended >= from && outcome.sent <= to;
     let promise = match record.planned {
-        Some(planned) if is_beside(planned) => Promise::PlannedCutsNothing,
+        Some(planned) if overlaps(planned) => Promise::PlannedCutsNothing,
         _ => Promise::StopCutsNothing,
     };
-    is_calm.then(|| Breach { promise, what: what() })
+    is_outside_faults.then(|| Breach { promise, what: what() })
 }
 
-fn asked(record: &Record) -> Vec<Breach> {
+/// Checks that every run belongs to a request that a caller sent, and to the right team.
+fn check_only_requested(record: &Record) -> Vec<Breach> {
     let sent: HashMap<&str, ()> = record.outcomes.iter().map(|o| (o.id.as_str(), ())).collect();
     let wrong = record.runs.iter().filter(|run| {
         !sent.contains_key(run.request.as_str()) || run.team.as_deref() != Some(TEAM)
     });
-    let tell = |run: &Run| format!("{} for {:?} at {}", run.request, run.team, run.instance);
-    wrong.map(|run| Breach { promise: Promise::OnlyWhatWasAsked, what: tell(run) }).collect()
+    let describe = |run: &Run| format!("{} for {:?} at {}", run.request, run.team, run.instance);
+    wrong.map(|run| Breach { promise: Promise::OnlyWhatWasAsked, what: describe(run) }).collect()
 }
 
-/// Within a node's life, what was served by a version shows that it is in force there:
-/// nothing sent later is treated as an older one would.
-fn forward(record: &Record) -> Vec<Breach> {
+/// Checks that configuration versions never go back within one incarnation of a node: a request
+/// served with a version's key shows that the version is in force there, so no later request may
+/// be treated as an older version would.
+fn check_version_order(record: &Record) -> Vec<Breach> {
     let key_of = |outcome: &Outcome| record.keys.iter().find(|key| key.text == outcome.key);
     let mut in_force: HashMap<(usize, u32), Vec<(Instant, u64)>> = HashMap::new();
     for outcome in &record.outcomes {
-        let is_served = matches!(&outcome.seen, Seen::Answer { stamp: Some(_), .. });
+        let is_served = matches!(&outcome.result, CallerResult::Answer { stamp: Some(_), .. });
         if let Some(key) = key_of(outcome).filter(|_| is_served) {
-            let seen = in_force.entry(outcome.node).or_default();
-            seen.push((outcome.ended, key.since_version));
+            let versions = in_force.entry(outcome.node).or_default();
+            versions.push((outcome.ended, key.since_version));
         }
     }
     let mut breaches = Vec::new();
     for outcome in &record.outcomes {
-        let Seen::Answer { status, stamp, .. } = &outcome.seen else { continue };
+        let CallerResult::Answer { status, stamp, .. } = &outcome.result else { continue };
         let Some(key) = key_of(outcome) else { continue };
-        let seen = in_force.get(&outcome.node).into_iter().flatten();
-        let before = seen.filter(|(ended, _)| *ended < outcome.sent);
+        let versions = in_force.get(&outcome.node).into_iter().flatten();
+        let before = versions.filter(|(ended, _)| *ended < outcome.sent);
         let version = before.map(|(_, version)| *version).max().unwrap_or_default();
-        let was_taken_by = |v: u64| key.taken.is_some_and(|(taken, _)| taken <= v);
-        let is_valid_at_the_end = key.taken.is_none_or(|(_, at)| at > outcome.ended);
+        let was_revoked_by = |v: u64| key.revoked.is_some_and(|(revoked, _)| revoked <= v);
+        let is_valid_at_the_end = key.revoked.is_none_or(|(_, at)| at > outcome.ended);
         let is_denied = *status == 401 && key.since_version <= version && is_valid_at_the_end;
-        let is_old = stamp.is_some() && was_taken_by(version);
+        let is_old = stamp.is_some() && was_revoked_by(version);
         if is_denied || is_old {
             let (id, node) = (&outcome.id, outcome.node);
             let what = format!(
@@ -344,18 +359,19 @@
     breaches
 }
 
-/// Who is leaving gets no new work, unless faults hid its word from nodes.
-fn left_alone(record: &Record) -> Vec<Breach> {
+/// Checks that draining instances get no new work, unless a fault may have hidden the announcement
+/// from nodes.
+fn check_draining_instances(record: &Record) -> Vec<Breach> {
     let sent: HashMap<&str, Instant> =
         record.outcomes.iter().map(|outcome| (outcome.id.as_str(), outcome.sent)).collect();
     let mut breaches = Vec::new();
     for run in &record.runs {
         let Some(stated) = record.leaving.get(&run.instance) else { continue };
         let Some(sent) = sent.get(run.request.as_str()) else { continue };
-        let is_late = run.at.saturating_duration_since(*stated) > LEAVING_GETS_NOTHING_AFTER
-            && sent.saturating_duration_since(*stated) > LEAVING_GETS_NOTHING_AFTER;
+        let is_late = run.at.saturating_duration_since(*stated) > DRAIN_NOTICE_TIMEOUT
+            && sent.saturating_duration_since(*stated) > DRAIN_NOTICE_TIMEOUT;
         let overlaps = |(from, to): &(Instant, Instant)| *from <= run.at && *to >= *stated;
-        if is_late && !record.hidden.iter().any(overlaps) {
+        if is_late && !record.visibility_faults.iter().any(overlaps) {
             let late = run.at - *stated;
             let what = format!("{} at {}, {late:?} after its word", run.request, run.instance);
             breaches.push(Breach { promise: Promise::LeavingGetsNothing, what });
--- a/crates/workshold-soak/src/run.rs
+++ b/crates/workshold-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seed from its start to its verdict.
+//! Runs one seed: starts the deployment, injects the faults and judges the result.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,75 +20,76 @@
 use workshold_platform_standin::proxy::Proxy;
 use workshold_platform_standin::store::StoreBehaviour;
 
-use crate::callers::Asked;
+use crate::callers::CallerResult;
 use crate::callers::Callers;
-use crate::callers::Door;
-use crate::callers::Seen;
+use crate::callers::NodeEndpoint;
+use crate::callers::RequestKind;
 use crate::fleet::Fleet;
 use crate::fleet::Size;
 use crate::judge;
 use crate::judge::Breach;
-use crate::judge::IN_FORCE_WITHIN;
+use crate::judge::CONFIG_PROPAGATION_TIMEOUT;
 use crate::judge::Promise;
 use crate::judge::Record;
-use crate::nodes::MOST_MEMORY_KB;
+use crate::nodes::MEMORY_MAX_KB;
 use crate::nodes::SoakNode;
 use crate::plan;
 use crate::plan::Fault;
-use crate::plan::Kind;
-use crate::plan::Limiting;
-use crate::plan::Resting;
-use crate::plan::Silence;
+use crate::plan::FaultKind;
+use crate::plan::RateLimitFault;
+use crate::plan::RetryAfterFault;
+use crate::plan::StoreSilence;
 
-/// How a seed is played.
+/// Options of a run; the same for every seed.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The nodes' program.
+    /// Executable of the nodes.
     pub binary: PathBuf,
-    /// Where settings and logs go.
+    /// Directory for settings and logs, with one subdirectory per seed.
     pub folder: PathBuf,
-    /// How large the deployment is.
+    /// Size of the deployment.
     pub size: Size,
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: u64,
-    /// How long faults come.
+    /// Length of the period in which faults start.
     pub length: Duration,
-    /// Whether engines start again under their ids, beside all other faults.
+    /// Whether engines also restart under their ids, in addition to the other faults.
     pub new_lives: bool,
-    /// Whether the store comes back from copies, beside that.
+    /// Whether the store is also restored from backups; this includes `new_lives`.
     pub copies: bool,
-    /// Whether a request that ends whoever begins to run it is asked at all nodes.
+    /// Whether requests that crash any instance which runs them are sent to all nodes.
     pub ends_instances: bool,
-    /// How long planned work comes, once faults are over.
+    /// Length of the period of planned work after the faults.
     pub planned: Duration,
-    /// How many silences of the store come after that, each with a new configuration.
+    /// Number of silences of the store after the planned work, each followed by a new
+    /// configuration.
     pub silences: usize,
-    /// How many limits instances name after that.
+    /// Number of rate limits that instances announce after the silences.
     pub limits: usize,
-    /// How many instances ask for rest or say that they leave, beside those.
+    /// Number of instances that send Retry-After or announce a departure during the rate limits.
     pub rests: usize,
-    /// All has to be served again this long after the last fault.
+    /// Every node has to serve again within this time after the last fault.
     pub recovers_within: Duration,
 }
 
-/// What a seed showed.
+/// Result of a seed.
 #[derive(Debug)]
 pub struct Verdict {
-    /// The seed.
+    /// The seed that was run.
     pub seed: u64,
-    /// Broken promises; none is what is wanted.
+    /// Broken promises; empty if the seed passed.
     pub breaches: Vec<Breach>,
-    /// Requests, and those that were served whole.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Of these, served.
+    /// Number of requests answered with status 200.
     pub served: usize,
-    /// How long after the last fault all was served again.
+    /// Time from the last fault until every node served again; `None` if that took too long.
     pub recovered_after: Option<Duration>,
-    /// The largest node, in kilobytes.
+    /// Resident memory of the largest node, in kilobytes.
     pub memory_kb: u64,
 }
 
-/// Why a seed could not be played.
+/// Why a seed could not be run.
 #[derive(Debug, Display)]
 pub enum SoakError {
     /// a node could not be started or its folder made: {0}
@@ -99,256 +100,264 @@
 
 impl std::error::Error for SoakError {}
 
-/// All that a seed is played with.
-struct Stage {
+/// The deployment that a seed runs against, and what is recorded on the side.
+struct Harness {
     fleet: Arc<Fleet>,
     nodes: Vec<tokio::sync::Mutex<SoakNode>>,
-    ways: Vec<Proxy>,
+    links: Vec<Proxy>,
     callers: Arc<Callers>,
     probes: AtomicU32,
     breaches: Mutex<Vec<Breach>>,
-    hidden: Mutex<Vec<(Instant, Instant)>>,
+    visibility_faults: Mutex<Vec<(Instant, Instant)>>,
 }
 
-/// The oldest copy that the store comes back from, and when others have written again what it
-/// lost: at their next check-in.
-const OLDEST_COPY: Duration = Duration::from_millis(3_000);
-const WRITTEN_AGAIN: Duration = Duration::from_millis(900);
-/// Nodes start within this, before any load.
-const STARTS_WITHIN: Duration = Duration::from_secs(30);
-/// Before and after faults, load runs in calm for this long.
-const CALM: Duration = Duration::from_secs(1);
-/// What a fault leaves behind in lists and leases.
-const AFTERMATH: Duration = Duration::from_secs(4);
-/// Work whose caller is gone has ended after this.
-const ABANDONED_ENDS: Duration = Duration::from_millis(1_500);
-const LATE_ORDERS: Duration = Duration::from_millis(3_000);
-const SLOW_WAY: Duration = Duration::from_millis(300);
-const SLOW_STORE: Duration = Duration::from_millis(240);
-/// How often processes are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Maximum age of the backup that the store is restored from.
+const BACKUP_AGE_MAX: Duration = Duration::from_millis(3_000);
+/// Time until instances write the lost entries again, at their next check-in.
+const REWRITE_DELAY: Duration = Duration::from_millis(900);
+/// Time for nodes to start serving, before any load.
+const NODE_START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Load runs without faults for this long before the first fault and after each configuration.
+const FAULT_FREE_PERIOD: Duration = Duration::from_secs(1);
+/// Time until the effects of a fault on lists and leases are gone.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// Time within which work whose caller has disconnected has to end.
+const ABANDONED_WORK_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How late an engine executes orders under [`FaultKind::DelayOrders`].
+const ORDER_DELAY: Duration = Duration::from_millis(3_000);
+/// Delay of a link under [`FaultKind::SlowNode`].
+const SLOW_LINK_DELAY: Duration = Duration::from_millis(300);
+/// Delay of each answer under [`FaultKind::StoreSlow`].
+const SLOW_STORE_DELAY: Duration = Duration::from_millis(240);
+/// Interval between checks of processes and readiness.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Plays a seed.
+/// Runs a seed and judges it.
 ///
 /// # Errors
 ///
-/// [`SoakError`] if it could not be played at all.
+/// [`SoakError`] if it could not be run at all.
 pub async fn play(options: &Options, seed: u64) -> Result<Verdict, SoakError> {
-    let stage = set_up(options, seed).await?;
-    if !stage.all_serve(STARTS_WITHIN).await {
+    let harness = set_up(options, seed).await?;
+    if !harness.all_serve(NODE_START_TIMEOUT).await {
         return Err(SoakError::NeverServed(options.folder.clone()));
     }
     let mut load = JoinSet::new();
     for number in 0..options.callers {
-        load.spawn(Arc::clone(&stage.callers).call(seed, number));
+        load.spawn(Arc::clone(&harness.callers).call(seed, number));
     }
-    let looking = tokio::spawn(look_after(Arc::clone(&stage)));
-    tokio::time::sleep(CALM).await;
-    let began = Instant::now();
+    let watcher = tokio::spawn(watch_processes(Arc::clone(&harness)));
+    tokio::time::sleep(FAULT_FREE_PERIOD).await;
+    let started_at = Instant::now();
     let mut ending = JoinSet::new();
     if options.ends_instances {
-        load.spawn(Arc::clone(&stage.callers).ask_for_ends(seed));
-        ending.spawn(Arc::clone(&stage.fleet).replace_ended());
+        load.spawn(Arc::clone(&harness.callers).send_crash_requests(seed));
+        ending.spawn(Arc::clone(&harness.fleet).replace_crashed());
     }
     let draw = match options {
-        Options { copies: true, .. } => plan::draw_with_copies,
-        Options { new_lives: true, .. } => plan::draw_with_new_lives,
+        Options { copies: true, .. } => plan::draw_with_restores,
+        Options { new_lives: true, .. } => plan::draw_with_restarts,
         _ => plan::draw,
     };
-    befall(&stage, draw(seed, options.length)).await;
+    inject_faults(&harness, draw(seed, options.length)).await;
     let last = Instant::now();
-    let is_well = stage.all_serve(options.recovers_within).await;
-    let recovered_after = is_well.then(|| last.elapsed());
-    tokio::time::sleep(AFTERMATH).await;
-    let over = Instant::now();
+    let has_recovered = harness.all_serve(options.recovers_within).await;
+    let recovered_after = has_recovered.then(|| last.elapsed());
+    tokio::time::sleep(SETTLE_TIME).await;
+    let faults_ended_at = Instant::now();
     let (mut planned, mut silences) = (None, None);
-    if is_well {
+    if has_recovered {
         if !options.planned.is_zero() {
-            work_as_planned(&stage, plan::draw_planned(seed, options.planned)).await;
-            planned = Some((over, Instant::now()));
+            run_planned_work(&harness, plan::draw_planned(seed, options.planned)).await;
+            planned = Some((faults_ended_at, Instant::now()));
         }
         if options.silences > 0 {
             let from = Instant::now();
-            be_silent(&stage, plan::draw_silences(seed, options.silences)).await;
+            run_store_silences(&harness, plan::draw_silences(seed, options.silences)).await;
             silences = Some((from, Instant::now()));
         }
-        let limits = be_limited(&stage, plan::draw_limits(seed, options.limits));
-        tokio::join!(limits, be_resting(&stage, plan::draw_rests(seed, options.rests)));
-        stop_each(&stage).await;
+        let limits = run_rate_limits(&harness, plan::draw_limits(seed, options.limits));
+        tokio::join!(
+            limits,
+            run_retry_after_faults(&harness, plan::draw_retry_after_faults(seed, options.rests))
+        );
+        restart_each_node(&harness).await;
     }
-    let memory_kb = stage.memory_kb().await;
-    stage.callers.end();
+    let memory_kb = harness.memory_kb().await;
+    harness.callers.stop();
     load.join_all().await;
-    tokio::time::sleep(ABANDONED_ENDS).await;
-    let streams = stage.fleet.streams().await;
-    looking.abort();
-    let mut breaches = std::mem::take(&mut *stage.breaches.lock());
+    tokio::time::sleep(ABANDONED_WORK_TIMEOUT).await;
+    let streams = harness.fleet.streams().await;
+    watcher.abort();
+    let mut breaches = std::mem::take(&mut *harness.breaches.lock());
     let mut add = |promise, what| breaches.push(Breach { promise, what });
-    if !is_well {
-        let within = options.recovers_within;
-        add(Promise::Recovers, format!("not all is served {within:?} after the last fault"));
+    if !has_recovered {
+        let timeout = options.recovers_within;
+        add(Promise::Recovers, format!("not all is served {timeout:?} after the last fault"));
     }
-    if memory_kb > MOST_MEMORY_KB {
+    if memory_kb > MEMORY_MAX_KB {
         add(Promise::WithinMemory, format!("a node holds {memory_kb} kB"));
     }
     if streams > 0 {
         add(Promise::EndsAbandoned, format!("{streams} streams go on without a caller"));
     }
-    let monitor = &stage.fleet.store.monitor;
+    let monitor = &harness.fleet.store.monitor;
     monitor.breaches().into_iter().for_each(|what| add(Promise::WholeGroups, what));
     monitor.overloads().into_iter().for_each(|what| add(Promise::KeepsToLimits, what));
     let record = Record {
-        outcomes: stage.callers.outcomes(),
+        outcomes: harness.callers.outcomes(),
         runs: monitor.runs(),
         arrivals: monitor.arrivals(),
-        keys: stage.fleet.keys(),
-        leaving: stage.fleet.leaving(),
-        faults: Some((began, over)),
+        keys: harness.fleet.keys(),
+        leaving: harness.fleet.leaving(),
+        faults: Some((started_at, faults_ended_at)),
         planned,
         silences,
-        hidden: stage.hidden.lock().clone(),
+        visibility_faults: harness.visibility_faults.lock().clone(),
     };
     breaches.extend(judge::judge(&record));
-    let is_served = |seen: &Seen| matches!(seen, Seen::Answer { status: 200, .. });
-    let served = record.outcomes.iter().filter(|outcome| is_served(&outcome.seen)).count();
+    let is_served =
+        |result: &CallerResult| matches!(result, CallerResult::Answer { status: 200, .. });
+    let served = record.outcomes.iter().filter(|outcome| is_served(&outcome.result)).count();
     let requests = record.outcomes.len();
     Ok(Verdict { seed, breaches, requests, served, recovered_after, memory_kb })
 }
 
-async fn set_up(options: &Options, seed: u64) -> Result<Arc<Stage>, SoakError> {
+async fn set_up(options: &Options, seed: u64) -> Result<Arc<Harness>, SoakError> {
     let folder = options.folder.join(format!("seed-{seed}"));
     std::fs::create_dir_all(&folder).map_err(SoakError::Machine)?;
     let fleet = Fleet::start(options.size).await;
-    let (mut nodes, mut ways) = (Vec::new(), Vec::new());
+    let (mut nodes, mut links) = (Vec::new(), Vec::new());
     for i in 0..options.size.nodes {
-        let way = Proxy::start();
-        way.set_target(Some(fleet.store.address));
-        let mut node = make_node(&options.binary, &folder, i, &way);
+        let link = Proxy::start();
+        link.set_target(Some(fleet.store.address));
+        let mut node = make_node(&options.binary, &folder, i, &link);
         node.start().map_err(SoakError::Machine)?;
         nodes.push(node);
-        ways.push(way);
+        links.push(link);
     }
-    let door = |node: &SoakNode| Door {
+    let endpoint = |node: &SoakNode| NodeEndpoint {
         callers: node.callers,
         directory: node.directory,
-        life: node.lives,
+        incarnation: node.incarnations,
     };
-    let callers = Callers::new(Arc::clone(&fleet), nodes.iter().map(door).collect());
+    let callers = Callers::new(Arc::clone(&fleet), nodes.iter().map(endpoint).collect());
     let nodes = nodes.into_iter().map(tokio::sync::Mutex::new).collect();
-    let (breaches, hidden) = (Mutex::default(), Mutex::default());
+    let (breaches, visibility_faults) = (Mutex::default(), Mutex::default());
     let probes = AtomicU32::new(0);
-    Ok(Arc::new(Stage { fleet, nodes, ways, callers, probes, breaches, hidden }))
+    Ok(Arc::new(Harness { fleet, nodes, links, callers, probes, breaches, visibility_faults }))
 }
 
-fn make_node(binary: &Path, folder: &Path, i: usize, way: &Proxy) -> SoakNode {
-    SoakNode::new(&format!("node-{i}"), binary, folder, way.address)
+fn make_node(binary: &Path, folder: &Path, i: usize, link: &Proxy) -> SoakNode {
+    SoakNode::new(&format!("node-{i}"), binary, folder, link.address)
 }
 
-/// Looks whether processes end that nobody told to.
-async fn look_after(stage: Arc<Stage>) {
+/// Reports processes that exit unexpectedly, and restarts them.
+async fn watch_processes(harness: Arc<Harness>) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
-        for (i, node) in stage.nodes.iter().enumerate() {
-            // Whoever holds it is about to end or start it.
+        tokio::time::sleep(POLL_INTERVAL).await;
+        for (i, node) in harness.nodes.iter().enumerate() {
+            // The holder of the lock is about to stop or start the process.
             let Ok(mut node) = node.try_lock() else { continue };
-            if let Some(what) = node.look() {
-                stage.breaches.lock().push(Breach { promise: Promise::KeepsRunning, what });
-                stage.start(i, &mut node);
+            if let Some(what) = node.check_exited() {
+                harness.breaches.lock().push(Breach { promise: Promise::KeepsRunning, what });
+                harness.start(i, &mut node);
             }
         }
     }
 }
 
-/// Lets all faults come at their times, and waits until the last one is over.
-async fn befall(stage: &Arc<Stage>, faults: Vec<Fault>) {
-    let began = Instant::now();
+/// Injects each fault at its time, and waits until the last one is over.
+async fn inject_faults(harness: &Arc<Harness>, faults: Vec<Fault>) {
+    let started_at = Instant::now();
     let mut under_way = JoinSet::new();
     for fault in faults {
-        tokio::time::sleep(fault.at.saturating_sub(began.elapsed())).await;
-        let stage = Arc::clone(stage);
+        tokio::time::sleep(fault.at.saturating_sub(started_at.elapsed())).await;
+        let harness = Arc::clone(harness);
         under_way.spawn(async move {
             let from = Instant::now();
-            stage.carry_out(fault).await;
-            // A leaving instance's word comes through the store, to nodes that run.
-            let to = Instant::now() + AFTERMATH;
+            harness.inject(fault).await;
+            // Nodes learn of draining instances through the store and only while they run.
+            let to = Instant::now() + SETTLE_TIME;
             if !fault.kind.is_planned() {
-                stage.hidden.lock().push((from, to));
+                harness.visibility_faults.lock().push((from, to));
             }
         });
     }
     under_way.join_all().await;
 }
 
-/// Carries planned work out while engines are full, and waits until the last is over.
-async fn work_as_planned(stage: &Arc<Stage>, work: Vec<Fault>) {
-    stage.fleet.all_behave(InstanceBehaviour::Overloaded).await;
-    befall(stage, work).await;
-    stage.fleet.all_behave(InstanceBehaviour::Normal).await;
-    tokio::time::sleep(AFTERMATH).await;
+/// Carries out planned work while engines answer as overloaded, and waits until it is over.
+async fn run_planned_work(harness: &Arc<Harness>, work: Vec<Fault>) {
+    harness.fleet.set_engines_behaviour(InstanceBehaviour::Overloaded).await;
+    inject_faults(harness, work).await;
+    harness.fleet.set_engines_behaviour(InstanceBehaviour::Normal).await;
+    tokio::time::sleep(SETTLE_TIME).await;
 }
 
-/// Lets the store be silent again and again, and writes a configuration after each return.
-async fn be_silent(stage: &Arc<Stage>, silences: Vec<Silence>) {
-    for Silence { lasts, then } in silences {
-        stage.store(StoreBehaviour::Silent, lasts).await;
-        tokio::time::sleep(then).await;
-        stage.fleet.new_config();
-        tokio::time::sleep(IN_FORCE_WITHIN + CALM).await;
+/// Silences the store repeatedly, and writes a configuration after each silence.
+async fn run_store_silences(harness: &Arc<Harness>, silences: Vec<StoreSilence>) {
+    for StoreSilence { duration, config_delay } in silences {
+        harness.store(StoreBehaviour::Silent, duration).await;
+        tokio::time::sleep(config_delay).await;
+        harness.fleet.new_config();
+        tokio::time::sleep(CONFIG_PROPAGATION_TIMEOUT + FAULT_FREE_PERIOD).await;
     }
 }
 
-/// Lets instances name limits, several at once, and waits until all are lifted.
-async fn be_limited(stage: &Arc<Stage>, limits: Vec<Limiting>) {
+/// Makes instances announce rate limits, several at once, and waits until all are lifted.
+async fn run_rate_limits(harness: &Arc<Harness>, limits: Vec<RateLimitFault>) {
     let mut under_way = JoinSet::new();
-    for Limiting { after, lasts, tenths, whom } in limits {
-        tokio::time::sleep(after).await;
-        let fleet = Arc::clone(&stage.fleet);
-        under_way.spawn(async move { fleet.limit(whom, tenths, lasts).await });
+    for RateLimitFault { delay, duration, tenths, target } in limits {
+        tokio::time::sleep(delay).await;
+        let fleet = Arc::clone(&harness.fleet);
+        under_way
+            .spawn(async move { fleet.announce_rate_limit_for(target, tenths, duration).await });
     }
     under_way.join_all().await;
 }
 
-/// Lets instances refuse and ask for rest, or say that they leave.
-async fn be_resting(stage: &Arc<Stage>, rests: Vec<Resting>) {
+/// Makes instances refuse with Retry-After, or announce their departure.
+async fn run_retry_after_faults(harness: &Arc<Harness>, rests: Vec<RetryAfterFault>) {
     let mut under_way = JoinSet::new();
-    for Resting { after, lasts, tenths, whom } in rests {
-        tokio::time::sleep(after).await;
-        let fleet = Arc::clone(&stage.fleet);
+    for RetryAfterFault { delay, duration, tenths, target } in rests {
+        tokio::time::sleep(delay).await;
+        let fleet = Arc::clone(&harness.fleet);
         under_way.spawn(async move {
             match tenths {
-                Some(tenths) => fleet.rest(whom, tenths, lasts).await,
-                None => fleet.leave(whom, lasts).await,
+                Some(tenths) => fleet.announce_retry_after_for(target, tenths, duration).await,
+                None => fleet.announce_departure(target, duration).await,
             }
         });
     }
     under_way.join_all().await;
 }
 
-/// Stops one node after the other with a plan, and starts it again.
-async fn stop_each(stage: &Arc<Stage>) {
-    for (i, node) in stage.nodes.iter().enumerate() {
+/// Shuts each node down gracefully in turn, and starts it again.
+async fn restart_each_node(harness: &Arc<Harness>) {
+    for (i, node) in harness.nodes.iter().enumerate() {
         let mut node = node.lock().await;
         node.signal(Signal::SIGTERM);
         if let Err(what) = node.wait_for_stop().await {
-            stage.breaches.lock().push(Breach { promise: Promise::StopCutsNothing, what });
+            harness.breaches.lock().push(Breach { promise: Promise::StopCutsNothing, what });
         }
-        stage.start(i, &mut node);
-        let began = Instant::now();
-        while !node.is_ready().await && began.elapsed() < STARTS_WITHIN {
-            tokio::time::sleep(LOOK_EVERY).await;
+        harness.start(i, &mut node);
+        let started_at = Instant::now();
+        while !node.is_ready().await && started_at.elapsed() < NODE_START_TIMEOUT {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-impl Stage {
-    fn node(&self, whom: usize) -> (usize, &tokio::sync::Mutex<SoakNode>) {
-        let i = whom % self.nodes.len();
+impl Harness {
+    fn node(&self, target: usize) -> (usize, &tokio::sync::Mutex<SoakNode>) {
+        let i = target % self.nodes.len();
         (i, &self.nodes[i])
     }
 
     fn start(&self, i: usize, node: &mut SoakNode) {
         match node.start() {
-            Ok(()) => self.callers.set_life(i, node.lives),
+            Ok(()) => self.callers.set_incarnation(i, node.incarnations),
             Err(err) => {
                 let what = format!("{} cannot be started: {err}", node.name);
                 self.breaches.lock().push(Breach { promise: Promise::KeepsRunning, what });
@@ -356,76 +365,86 @@
         }
     }
 
-    async fn carry_out(self: &Arc<Self>, fault: Fault) {
-        let Fault { lasts, whom, .. } = fault;
+    async fn inject(self: &Arc<Self>, fault: Fault) {
+        let Fault { duration, target, .. } = fault;
         match fault.kind {
-            Kind::KillNode => self.kill(whom, lasts).await,
-            Kind::KillAllNodes => {
+            FaultKind::KillNode => self.kill(target, duration).await,
+            FaultKind::KillAllNodes => {
                 let mut kills = JoinSet::new();
                 for i in 0..self.nodes.len() {
-                    let stage = Arc::clone(self);
-                    kills.spawn(async move { stage.kill(i, lasts).await });
+                    let harness = Arc::clone(self);
+                    kills.spawn(async move { harness.kill(i, duration).await });
                 }
                 kills.join_all().await;
             }
-            Kind::FreezeNode => {
-                let node = self.node(whom).1.lock().await;
-                node.wait_for_begin().await;
+            FaultKind::FreezeNode => {
+                let node = self.node(target).1.lock().await;
+                node.wait_for_first_log_line().await;
                 node.signal(Signal::SIGSTOP);
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 node.signal(Signal::SIGCONT);
             }
-            Kind::StopNode => self.stop(whom).await,
-            Kind::HangUpNode => {
-                let node = self.node(whom).1.lock().await;
-                node.wait_for_begin().await;
+            FaultKind::StopNode => self.stop(target).await,
+            FaultKind::ReloadNode => {
+                let node = self.node(target).1.lock().await;
+                node.wait_for_first_log_line().await;
                 node.signal(Signal::SIGHUP);
             }
-            Kind::CutNode => self.cut(whom, LinkState::Silent, lasts).await,
-            Kind::CutNodeOneWay => self.cut(whom, LinkState::OneWay, lasts).await,
-            Kind::SlowNode => self.cut(whom, LinkState::Slow(SLOW_WAY), lasts).await,
-            Kind::ResetNode => self.ways[whom % self.ways.len()].reset(),
-            Kind::StoreDown => self.store(StoreBehaviour::Down, lasts).await,
-            Kind::StoreSilent => self.store(StoreBehaviour::Silent, lasts).await,
-            Kind::StoreLosesAnswers => self.store(StoreBehaviour::LosesAnswers, lasts).await,
-            Kind::StoreSlow => self.store(StoreBehaviour::Slow(SLOW_STORE), lasts).await,
-            Kind::StoreForgets => self.fleet.store.compact(),
-            Kind::DealAnew => self.fleet.store.reassign_partitions(),
-            Kind::StoreReturns => {
-                let age = lasts.min(OLDEST_COPY);
-                self.fleet.store.restore_backup(age, WRITTEN_AGAIN);
+            FaultKind::CutNode => self.cut(target, LinkState::Silent, duration).await,
+            FaultKind::CutNodeOneWay => self.cut(target, LinkState::OneWay, duration).await,
+            FaultKind::SlowNode => {
+                self.cut(target, LinkState::Slow(SLOW_LINK_DELAY), duration).await
             }
-            Kind::CrashEngine => self.fleet.crash_engine(whom, lasts).await,
-            Kind::BeginAnew => self.fleet.begin_anew(whom, lasts).await,
-            Kind::CrashDomain => self.fleet.crash_domain(whom, lasts).await,
-            Kind::DarkEngine => self.fleet.darken(whom, lasts).await,
-            Kind::LateOrders => {
+            FaultKind::ResetNode => self.links[target % self.links.len()].reset(),
+            FaultKind::StoreDown => self.store(StoreBehaviour::Down, duration).await,
+            FaultKind::StoreSilent => self.store(StoreBehaviour::Silent, duration).await,
+            FaultKind::StoreLosesAnswers => {
+                self.store(StoreBehaviour::LosesAnswers, duration).await
+            }
+            FaultKind::StoreSlow => {
+                self.store(StoreBehaviour::Slow(SLOW_STORE_DELAY), duration).await
+            }
+            FaultKind::CompactStore => self.fleet.store.compact(),
+            FaultKind::ReassignPartitions => self.fleet.store.reassign_partitions(),
+            FaultKind::RestoreStore => {
+                let age = duration.min(BACKUP_AGE_MAX);
+                self.fleet.store.restore_backup(age, REWRITE_DELAY);
+            }
+            FaultKind::CrashEngine => self.fleet.crash_engine(target, duration).await,
+            FaultKind::RestartEngine => self.fleet.restart_engine(target, duration).await,
+            FaultKind::CrashDomain => self.fleet.crash_domain(target, duration).await,
+            FaultKind::IsolateEngine => self.fleet.isolate_engine(target, duration).await,
+            FaultKind::DelayOrders => {
                 self.fleet
-                    .set_behaviour(whom, InstanceBehaviour::DelaysOrders(LATE_ORDERS), lasts)
+                    .set_behaviour(target, InstanceBehaviour::DelaysOrders(ORDER_DELAY), duration)
                     .await
             }
-            Kind::DrainInstance => self.fleet.drain(whom, lasts).await,
-            Kind::CrashGate => self.fleet.crash_gate(whom, lasts).await,
-            Kind::ResetInstance => self.fleet.reset(whom).await,
-            Kind::BadAnswers => self.fleet.set_behaviour(whom, bad_manner(whom), lasts).await,
-            Kind::NewConfig => self.fleet.new_config(),
-            Kind::RetireEngine => self.fleet.retire(whom, true).await,
-            Kind::RetireUnsaid => self.fleet.retire(whom, false).await,
+            FaultKind::DrainInstance => self.fleet.drain(target, duration).await,
+            FaultKind::CrashPlainInstance => {
+                self.fleet.crash_plain_instance(target, duration).await
+            }
+            FaultKind::ResetInstance => self.fleet.reset(target).await,
+            FaultKind::BadAnswers => {
+                self.fleet.set_behaviour(target, bad_answer_behaviour(target), duration).await
+            }
+            FaultKind::NewConfig => self.fleet.new_config(),
+            FaultKind::RetireEngine => self.fleet.retire(target, true).await,
+            FaultKind::RetireUnannounced => self.fleet.retire(target, false).await,
         }
     }
 
-    async fn kill(&self, whom: usize, lasts: Duration) {
-        let (i, node) = self.node(whom);
+    async fn kill(&self, target: usize, duration: Duration) {
+        let (i, node) = self.node(target);
         let mut node = node.lock().await;
         node.kill();
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         self.start(i, &mut node);
     }
 
-    async fn stop(&self, whom: usize) {
-        let (i, node) = self.node(whom);
+    async fn stop(&self, target: usize) {
+        let (i, node) = self.node(target);
         let mut node = node.lock().await;
-        node.wait_for_begin().await;
+        node.wait_for_first_log_line().await;
         node.signal(Signal::SIGTERM);
         if let Err(what) = node.wait_for_stop().await {
             self.breaches.lock().push(Breach { promise: Promise::StopCutsNothing, what });
@@ -433,22 +452,22 @@
         self.start(i, &mut node);
     }
 
-    async fn cut(&self, whom: usize, how: LinkState, lasts: Duration) {
-        let way = &self.ways[whom % self.ways.len()];
-        way.set_state(how).await;
-        tokio::time::sleep(lasts).await;
-        way.set_state(LinkState::Open).await;
+    async fn cut(&self, target: usize, how: LinkState, duration: Duration) {
+        let link = &self.links[target % self.links.len()];
+        link.set_state(how).await;
+        tokio::time::sleep(duration).await;
+        link.set_state(LinkState::Open).await;
     }
 
-    async fn store(&self, behaviour: StoreBehaviour, lasts: Duration) {
+    async fn store(&self, behaviour: StoreBehaviour, duration: Duration) {
         self.fleet.store.set_behaviour(behaviour);
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         self.fleet.store.set_behaviour(StoreBehaviour::Normal);
     }
 
-    /// Whether each node serves a stream and a print, soon enough.
-    async fn all_serve(&self, within: Duration) -> bool {
-        let began = Instant::now();
+    /// Whether every node serves a stream and a run-once request before the timeout.
+    async fn all_serve(&self, timeout: Duration) -> bool {
+        let started_at = Instant::now();
         loop {
             let mut serving = 0;
             for node in &self.nodes {
@@ -458,23 +477,23 @@
             if serving == self.nodes.len() {
                 return true;
             }
-            if began.elapsed() > within {
+            if started_at.elapsed() > timeout {
                 return false;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn serves(&self, address: SocketAddr) -> bool {
         let Some(key) = self.fleet.keys().pop() else { return false };
-        for asked in [Asked::Chat, Asked::Print] {
+        for kind in [RequestKind::Chat, RequestKind::Print] {
             let count = self.probes.fetch_add(1, Ordering::Relaxed);
             let id = format!("probe-{count}");
             let sent = Instant::now();
-            let req = caller::request(&id, &asked.path(&id), &key.text);
+            let req = caller::request(&id, &kind.path(&id), &key.text);
             let got = caller::send(address, req).await;
             let is_served = got.as_ref().is_ok_and(|(res, _)| res.status() == 200);
-            self.callers.note_probe(id, asked, &key.text, sent);
+            self.callers.note_probe(id, kind, &key.text, sent);
             if !is_served {
                 return false;
             }
@@ -483,17 +502,17 @@
     }
 
     async fn memory_kb(&self) -> u64 {
-        let mut most = 0;
+        let mut max_kb = 0;
         for node in &self.nodes {
-            most = most.max(node.lock().await.memory_kb().unwrap_or_default());
+            max_kb = max_kb.max(node.lock().await.memory_kb().unwrap_or_default());
         }
-        most
+        max_kb
     }
 }
 
-/// One of the ways in which answers go wrong.
-fn bad_manner(whom: usize) -> InstanceBehaviour {
-    const MANNERS: [InstanceBehaviour; 7] = [
+/// Picks one of the ways in which an instance answers wrongly.
+fn bad_answer_behaviour(target: usize) -> InstanceBehaviour {
+    const BEHAVIOURS: [InstanceBehaviour; 7] = [
         InstanceBehaviour::Refuses,
         InstanceBehaviour::Breaks,
         InstanceBehaviour::Fails,
@@ -502,5 +521,5 @@
         InstanceBehaviour::TruncatesEvent,
         InstanceBehaviour::Slow,
     ];
-    MANNERS[whom / 7 % MANNERS.len()]
+    BEHAVIOURS[target / 7 % BEHAVIOURS.len()]
 }
--- a/crates/workshold-soak/tests/judge.rs
+++ b/crates/workshold-soak/tests/judge.rs
@@ -1,4 +1,4 @@
-//! Each promise that is broken is seen, and what is as it should be is not.
+//! Tests that the judge reports each broken promise, and nothing for a correct record.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,15 +7,15 @@
 use workshold_platform_standin::instance::STREAM_EVENTS;
 use workshold_platform_standin::monitor::Arrival;
 use workshold_platform_standin::monitor::Run;
-use workshold_soak::callers::Asked;
+use workshold_soak::callers::CallerResult;
 use workshold_soak::callers::Outcome;
-use workshold_soak::callers::Seen;
+use workshold_soak::callers::RequestKind;
 use workshold_soak::fleet::Key;
 use workshold_soak::judge::Promise;
 use workshold_soak::judge::Record;
 use workshold_soak::judge::judge;
 
-/// A record of one request, sent two seconds after the start.
+/// A record of one request that is sent two seconds after the start.
 struct Case {
     start: Instant,
     record: Record,
@@ -25,26 +25,26 @@
     numbers.map(|n| format!("id: {n}\ndata: token {n} of {id}\n\n")).collect()
 }
 
-fn answer(status: u16, stamp: Option<&str>, text: String) -> Seen {
-    Seen::Answer { status, stamp: stamp.map(str::to_owned), text }
+fn answer(status: u16, stamp: Option<&str>, text: String) -> CallerResult {
+    CallerResult::Answer { status, stamp: stamp.map(str::to_owned), text }
 }
 
 impl Case {
-    fn new(asked: Asked) -> Self {
+    fn new(kind: RequestKind) -> Self {
         let start = Instant::now();
         let at = |secs: u64| start + Duration::from_secs(secs);
-        let text = match asked {
-            Asked::Chat => events("r-1", 1..=STREAM_EVENTS),
-            Asked::Print | Asked::Plate => format!("i-1 {}", asked.path("r-1")),
+        let text = match kind {
+            RequestKind::Chat => events("r-1", 1..=STREAM_EVENTS),
+            RequestKind::Print | RequestKind::Plate => format!("i-1 {}", kind.path("r-1")),
         };
         let outcome = Outcome {
             id: "r-1".to_owned(),
-            asked,
+            kind,
             key: "key-1".to_owned(),
             node: (0, 1),
             sent: at(2),
             ended: at(3),
-            seen: answer(200, Some("i-1"), text),
+            result: answer(200, Some("i-1"), text),
         };
         let run = Run {
             request: "r-1".to_owned(),
@@ -52,7 +52,7 @@
             team: Some("night-desk".to_owned()),
             at: at(2),
         };
-        let key = Key { text: "key-1".to_owned(), since_version: 1, since: start, taken: None };
+        let key = Key { text: "key-1".to_owned(), since_version: 1, since: start, revoked: None };
         let record = Record {
             outcomes: vec![outcome],
             runs: vec![run],
@@ -67,8 +67,8 @@
         self.start + Duration::from_secs(secs)
     }
 
-    fn seen(mut self, seen: Seen) -> Self {
-        self.record.outcomes[0].seen = seen;
+    fn with_result(mut self, result: CallerResult) -> Self {
+        self.record.outcomes[0].result = result;
         self
     }
 
@@ -78,136 +78,146 @@
         self
     }
 
-    fn broken(&self) -> Vec<Promise> {
+    fn broken_promises(&self) -> Vec<Promise> {
         judge(&self.record).into_iter().map(|breach| breach.promise).collect()
     }
 }
 
 #[rstest]
-#[case::stream(Asked::Chat)]
-#[case::once(Asked::Print)]
-#[case::again(Asked::Plate)]
-fn what_is_as_it_should_be_breaks_nothing(#[case] asked: Asked) {
-    assert_eq!(Case::new(asked).broken(), []);
+#[case::stream(RequestKind::Chat)]
+#[case::run_once(RequestKind::Print)]
+#[case::repeatable(RequestKind::Plate)]
+fn correct_record_breaks_nothing(#[case] kind: RequestKind) {
+    assert_eq!(Case::new(kind).broken_promises(), []);
 }
 
 #[rstest]
 #[case::missing(events("r-1", 1..STREAM_EVENTS))]
 #[case::twice(events("r-1", (1..=5).chain(5..=STREAM_EVENTS)))]
-#[case::anothers(events("r-2", 1..=STREAM_EVENTS))]
-fn a_stream_that_is_not_its_whole_own_answer_is_seen(#[case] text: String) {
-    let case = Case::new(Asked::Chat).seen(answer(200, Some("i-1"), text));
-    assert_eq!(case.broken(), [Promise::OwnWholeAnswer]);
+#[case::foreign(events("r-2", 1..=STREAM_EVENTS))]
+fn incomplete_or_foreign_stream_is_reported(#[case] text: String) {
+    let case = Case::new(RequestKind::Chat).with_result(answer(200, Some("i-1"), text));
+    assert_eq!(case.broken_promises(), [Promise::OwnWholeAnswer]);
 }
 
 #[rstest]
 #[case::without_proof(answer(200, None, String::new()))]
 #[case::of_one_that_did_not_run_it(answer(200, Some("i-9"), "i-9 /print/r-1".to_owned()))]
 #[case::proof_of_another_status(answer(404, Some("i-1"), String::new()))]
-fn a_proof_that_does_not_fit_is_seen(#[case] seen: Seen) {
-    assert_eq!(Case::new(Asked::Print).seen(seen).broken(), [Promise::OwnWholeAnswer]);
+fn wrong_proof_is_reported(#[case] result: CallerResult) {
+    assert_eq!(
+        Case::new(RequestKind::Print).with_result(result).broken_promises(),
+        [Promise::OwnWholeAnswer]
+    );
 }
 
 #[test]
-fn what_may_run_once_and_ran_twice_is_seen() {
-    assert_eq!(Case::new(Asked::Print).run_again("i-2").broken(), [Promise::AtMostOnce]);
-    assert_eq!(Case::new(Asked::Chat).run_again("i-2").broken(), [], "a stream may go on");
+fn second_run_of_a_run_once_request_is_reported() {
+    assert_eq!(
+        Case::new(RequestKind::Print).run_again("i-2").broken_promises(),
+        [Promise::AtMostOnce]
+    );
+    assert_eq!(
+        Case::new(RequestKind::Chat).run_again("i-2").broken_promises(),
+        [],
+        "a stream may fail over"
+    );
 }
 
 #[rstest]
 #[case(429)]
 #[case(503)]
-fn a_refusal_of_what_has_run_is_seen(#[case] status: u16) {
-    let case = Case::new(Asked::Print).seen(answer(status, None, String::new()));
-    assert_eq!(case.broken(), [Promise::NotRunMeansNotRun]);
-    let unknown = Case::new(Asked::Print).seen(answer(502, None, String::new()));
-    assert_eq!(unknown.broken(), []);
+fn refusal_of_a_request_that_ran_is_reported(#[case] status: u16) {
+    let case = Case::new(RequestKind::Print).with_result(answer(status, None, String::new()));
+    assert_eq!(case.broken_promises(), [Promise::NotRunMeansNotRun]);
+    let unknown = Case::new(RequestKind::Print).with_result(answer(502, None, String::new()));
+    assert_eq!(unknown.broken_promises(), []);
 }
 
 #[test]
-fn a_run_that_nobody_asked_for_is_seen() {
-    let mut case = Case::new(Asked::Print);
+fn run_without_a_request_is_reported() {
+    let mut case = Case::new(RequestKind::Print);
     case.record.runs[0].team = Some("another".to_owned());
-    assert_eq!(case.broken(), [Promise::OnlyWhatWasAsked]);
-    let mut case = Case::new(Asked::Print).run_again("i-1");
+    assert_eq!(case.broken_promises(), [Promise::OnlyWhatWasAsked]);
+    let mut case = Case::new(RequestKind::Print).run_again("i-1");
     case.record.runs[1].request = "r-9".to_owned();
-    assert_eq!(case.broken(), [Promise::OnlyWhatWasAsked]);
+    assert_eq!(case.broken_promises(), [Promise::OnlyWhatWasAsked]);
 }
 
 #[test]
-fn a_key_that_is_believed_for_too_long_is_seen() {
-    let mut case = Case::new(Asked::Print);
-    case.record.keys[0].taken = Some((4, case.at(0)));
-    assert_eq!(case.broken(), [], "two seconds after it was taken away");
+fn key_accepted_too_long_after_revocation_is_reported() {
+    let mut case = Case::new(RequestKind::Print);
+    case.record.keys[0].revoked = Some((4, case.at(0)));
+    assert_eq!(case.broken_promises(), [], "two seconds after its revocation");
     case.record.outcomes[0].sent = case.at(6);
     case.record.outcomes[0].ended = case.at(7);
-    assert_eq!(case.broken(), [Promise::KeysInTime]);
+    assert_eq!(case.broken_promises(), [Promise::KeysInTime]);
 }
 
 #[test]
-fn a_configuration_that_goes_back_is_seen() {
-    let mut case = Case::new(Asked::Print);
+fn configuration_that_goes_back_is_reported() {
+    let mut case = Case::new(RequestKind::Print);
     let since = case.at(1);
-    let newer = Key { text: "key-4".to_owned(), since_version: 4, since, taken: None };
+    let newer = Key { text: "key-4".to_owned(), since_version: 4, since, revoked: None };
     case.record.keys.push(newer);
     let mut denied = case.record.outcomes[0].clone();
     denied.id = "r-2".to_owned();
     denied.key = "key-4".to_owned();
     denied.sent = case.at(5);
     denied.ended = case.at(6);
-    denied.seen = answer(401, None, String::new());
+    denied.result = answer(401, None, String::new());
     case.record.outcomes.push(denied);
-    assert_eq!(case.broken(), [], "it may not have come yet");
+    assert_eq!(case.broken_promises(), [], "it may not have propagated yet");
     case.record.outcomes[0].key = "key-4".to_owned();
-    assert_eq!(case.broken(), [Promise::OnlyForward]);
+    assert_eq!(case.broken_promises(), [Promise::OnlyForward]);
     case.record.outcomes[1].node = (0, 2);
-    assert_eq!(case.broken(), [], "another life of the node begins anew");
+    assert_eq!(case.broken_promises(), [], "another incarnation may start with an older version");
 }
 
 #[test]
-fn a_new_key_that_is_denied_for_too_long_after_a_silence_is_seen() {
-    let mut case = Case::new(Asked::Print).seen(answer(401, None, String::new()));
+fn new_key_denied_too_long_after_a_silence_is_reported() {
+    let mut case = Case::new(RequestKind::Print).with_result(answer(401, None, String::new()));
     case.record.runs.clear();
     case.record.silences = Some((case.at(0), case.at(8)));
     case.record.outcomes[0].sent = case.at(3);
-    assert_eq!(case.broken(), [], "it may not have come yet");
+    assert_eq!(case.broken_promises(), [], "it may not have propagated yet");
     case.record.outcomes[0].sent = case.at(4);
-    assert_eq!(case.broken(), [Promise::InForceInTime]);
+    assert_eq!(case.broken_promises(), [Promise::InForceInTime]);
     case.record.silences = Some((case.at(1), case.at(8)));
-    assert_eq!(case.broken(), [], "it was written among other faults");
+    assert_eq!(case.broken_promises(), [], "it was written during other faults");
     case.record.silences = None;
-    assert_eq!(case.broken(), [], "faults may have hidden it");
+    assert_eq!(case.broken_promises(), [], "faults may have hidden it");
 }
 
 #[test]
-fn new_work_for_who_is_leaving_is_seen() {
-    let mut case = Case::new(Asked::Print);
+fn new_work_for_a_draining_instance_is_reported() {
+    let mut case = Case::new(RequestKind::Print);
     case.record.outcomes[0].sent = case.at(6);
     case.record.runs[0].at = case.at(6);
     case.record.leaving.insert("i-1".to_owned(), case.at(2));
-    assert_eq!(case.broken(), [Promise::LeavingGetsNothing]);
-    case.record.hidden.push((case.at(1), case.at(7)));
-    assert_eq!(case.broken(), [], "a fault may have hidden its word");
+    assert_eq!(case.broken_promises(), [Promise::LeavingGetsNothing]);
+    case.record.visibility_faults.push((case.at(1), case.at(7)));
+    assert_eq!(case.broken_promises(), [], "a fault may have hidden the announcement");
 }
 
 #[test]
-fn a_cut_in_calm_is_seen_and_one_under_faults_is_not() {
-    let mut case = Case::new(Asked::Chat).seen(Seen::Cut("reset".to_owned()));
-    assert_eq!(case.broken(), [Promise::StopCutsNothing]);
+fn cut_is_reported_only_outside_faults() {
+    let mut case = Case::new(RequestKind::Chat).with_result(CallerResult::Cut("reset".to_owned()));
+    assert_eq!(case.broken_promises(), [Promise::StopCutsNothing]);
     case.record.planned = Some((case.at(3), case.at(4)));
-    assert_eq!(case.broken(), [Promise::PlannedCutsNothing]);
+    assert_eq!(case.broken_promises(), [Promise::PlannedCutsNothing]);
     case.record.planned = Some((case.at(4), case.at(5)));
-    assert_eq!(case.broken(), [Promise::StopCutsNothing], "planned work came later");
+    assert_eq!(case.broken_promises(), [Promise::StopCutsNothing], "planned work came later");
     case.record.outcomes[0].ended = case.at(12);
-    assert_eq!(case.broken(), []);
+    assert_eq!(case.broken_promises(), []);
 }
 
-/// Once three have ended, and all had the time to hear, three more are too many by one.
+/// Three more runs are allowed once three instances have crashed and all nodes had time to hear.
 #[rstest]
-#[case::nobody_sends_it_on(0, 0)]
-#[case::whoever_had_not_heard(9, 1)]
+#[case::not_forwarded(0, 0)]
+#[case::by_nodes_that_had_not_heard(9, 1)]
 #[case::a_few_later(3, 20)]
-fn what_ends_its_instance_may_be_sent_on_for_a_moment_and_a_few_times(
+fn crashing_request_may_be_forwarded_briefly_and_a_few_times(
     #[case] more: u64,
     #[case] after_secs: u64,
 ) {
@@ -215,11 +225,11 @@
 }
 
 #[test]
-fn what_ends_its_instance_and_is_sent_on_is_seen() {
+fn crashing_request_forwarded_too_often_is_reported() {
     assert_eq!(ends_few(4, 20), [Promise::EndsFew]);
 }
 
-/// Three have ended, and so many more later; what is broken of this promise.
+/// Breaches of [`Promise::EndsFew`] if three instances crash and `more` crash `after_secs` later.
 fn ends_few(more: u64, after_secs: u64) -> Vec<Promise> {
     let start = Instant::now();
     let run = |n: u64, secs: u64| Run {
@@ -235,10 +245,11 @@
     broken.filter(|promise| *promise == Promise::EndsFew).collect()
 }
 
-/// Requests of two nodes at one instance that asks node 0 for three seconds of rest at second two:
-/// those of node 0 come at these times, in tenths of a second.
-fn resting(of_node_0: &[u64], of_node_1: &[u64], leaves: bool) -> Vec<Promise> {
-    let mut case = Case::new(Asked::Chat);
+/// Breaches if requests of two nodes arrive, at these times in tenths of a second, at an instance
+/// that at second two sends node 0 a Retry-After of three seconds or, if `leaves`, announces its
+/// departure.
+fn breaches_after_notice(of_node_0: &[u64], of_node_1: &[u64], leaves: bool) -> Vec<Promise> {
+    let mut case = Case::new(RequestKind::Chat);
     let at = |tenths: u64| case.start + Duration::from_millis(tenths * 100);
     let first = (0, 20);
     let others = of_node_0.iter().map(|at| (0, *at)).chain(of_node_1.iter().map(|at| (1, *at)));
@@ -251,7 +262,7 @@
             node: (node, 1),
             sent: at(tenths),
             ended: at(tenths),
-            seen: answer(503, None, String::new()),
+            result: answer(503, None, String::new()),
             ..case.record.outcomes[0].clone()
         });
         arrivals.push(Arrival {
@@ -270,27 +281,27 @@
 #[rstest]
 #[case::two(&[26, 48], &[], false)]
 #[case::three(&[26, 30, 48], &[], true)]
-#[case::what_was_on_its_way(&[21, 22, 23, 24, 48], &[], false)]
-#[case::after_it(&[51, 52, 53, 54], &[], false)]
+#[case::in_flight(&[21, 22, 23, 24, 48], &[], false)]
+#[case::after_the_backoff(&[51, 52, 53, 54], &[], false)]
 #[case::from_another_node(&[], &[26, 30, 40, 48], false)]
-fn who_has_asked_for_rest_gets_two_at_most(
+fn instance_gets_two_requests_at_most_during_retry_after(
     #[case] of_node_0: &[u64],
     #[case] of_node_1: &[u64],
     #[case] is_broken: bool,
 ) {
     let expected = if is_broken { vec![Promise::LetsRest] } else { Vec::new() };
-    assert_eq!(resting(of_node_0, of_node_1, false), expected);
+    assert_eq!(breaches_after_notice(of_node_0, of_node_1, false), expected);
 }
 
 #[rstest]
 #[case::in_time(&[49], &[49], 0)]
 #[case::too_late(&[51], &[], 1)]
 #[case::from_another_node(&[], &[51, 60], 2)]
-fn who_says_that_it_leaves_gets_nothing_later(
+fn instance_that_announces_departure_gets_nothing_later(
     #[case] of_node_0: &[u64],
     #[case] of_node_1: &[u64],
     #[case] breaches: usize,
 ) {
-    let seen = resting(of_node_0, of_node_1, true);
+    let seen = breaches_after_notice(of_node_0, of_node_1, true);
     assert_eq!(seen, vec![Promise::LeavingGetsNothing; breaches]);
 }
--- a/crates/workshold-standins/src/list.rs
+++ b/crates/workshold-standins/src/list.rs
@@ -1,4 +1,4 @@
-//! The instance list: live and leaving instances, with a lag.
+//! A stand-in for the instance list: live and leaving instances, shown with a lag.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use workshold_protocol::ids::InstanceId;
 use workshold_protocol::report::ListedInstance;
 
-/// The list and what it was before.
+/// The instance list and its past versions, from which the lagging view is read.
 #[derive(Debug)]
 pub struct InstanceList {
     inner: Mutex<Inner>,
@@ -17,55 +17,55 @@
 
 #[derive(Debug)]
 struct Inner {
-    editions: VecDeque<(Instant, Vec<ListedInstance>)>,
+    versions: VecDeque<(Instant, Vec<ListedInstance>)>,
     lag: Millis,
 }
 
-/// Past editions that are kept.
-const MAX_EDITIONS: usize = 256;
+/// Number of past versions that are kept.
+const VERSIONS_MAX: usize = 256;
 
 impl InstanceList {
-    /// A list of `instances` that lags by `lag`.
+    /// Creates a list of `instances` that readers see with a delay of `lag`.
     pub fn new(instances: Vec<ListedInstance>, lag: Millis) -> Arc<Self> {
-        let editions = VecDeque::from([(Instant::now(), instances)]);
-        Arc::new(Self { inner: Mutex::new(Inner { editions, lag }) })
+        let versions = VecDeque::from([(Instant::now(), instances)]);
+        Arc::new(Self { inner: Mutex::new(Inner { versions, lag }) })
     }
 
-    /// Changes the lag.
+    /// Changes the delay with which readers see updates.
     pub fn set_lag(&self, lag: Millis) {
         self.inner.lock().lag = lag;
     }
 
-    /// Marks an instance as leaving, or as staying.
+    /// Marks an instance as leaving, or clears the mark.
     pub fn set_leaving(&self, instance: &InstanceId, leaving: bool) {
-        self.edit(|list| {
+        self.update(|list| {
             list.iter_mut()
                 .filter(|listed| &listed.instance == instance)
                 .for_each(|listed| listed.leaving = leaving);
         });
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list.
     pub fn remove(&self, instance: &InstanceId) {
-        self.edit(|list| list.retain(|listed| &listed.instance != instance));
+        self.update(|list| list.retain(|listed| &listed.instance != instance));
     }
 
-    /// What the list shows now, which is what was so a lag ago.
-    pub fn shown(&self) -> Vec<ListedInstance> {
+    /// Returns what readers see now: the list as it was one lag ago.
+    pub fn visible(&self) -> Vec<ListedInstance> {
         let inner = self.inner.lock();
         let lag = inner.lag.to_duration();
-        let old_enough = inner.editions.iter().rev().find(|(since, _)| since.elapsed() >= lag);
-        let edition = old_enough.or_else(|| inner.editions.front());
-        edition.map(|(_, list)| list.clone()).unwrap_or_default()
+        let old_enough = inner.versions.iter().rev().find(|(since, _)| since.elapsed() >= lag);
+        let version = old_enough.or_else(|| inner.versions.front());
+        version.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    fn edit(&self, change: impl FnOnce(&mut Vec<ListedInstance>)) {
+    fn update(&self, change: impl FnOnce(&mut Vec<ListedInstance>)) {
         let mut inner = self.inner.lock();
-        let mut list = inner.editions.back().map(|(_, list)| list.clone()).unwrap_or_default();
+        let mut list = inner.versions.back().map(|(_, list)| list.clone()).unwrap_or_default();
         change(&mut list);
-        if inner.editions.len() == MAX_EDITIONS {
-            inner.editions.pop_front();
+        if inner.versions.len() == VERSIONS_MAX {
+            inner.versions.pop_front();
         }
-        inner.editions.push_back((Instant::now(), list));
+        inner.versions.push_back((Instant::now(), list));
     }
 }
--- a/crates/workshold-standins/src/service.rs
+++ b/crates/workshold-standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each body was run.
+//! A plain service that counts how often it ran each request body.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,32 +12,32 @@
 use workshold_http::Body;
 use workshold_http::body;
 
-/// All instances of the service share what they ran, as a database would.
+/// The service; its instances share these counters, as they would share a database.
 #[derive(Debug, Default)]
-pub struct GateService {
+pub struct CountingService {
     runs: Mutex<BTreeMap<String, u32>>,
 }
 
-const MAX_BODY_LEN: usize = 1024 * 1024;
-const MAX_BODY_TIME: Duration = Duration::from_secs(10);
-/// How long a run takes.
-const RUN_TIME: Duration = Duration::from_millis(10);
+const BODY_LEN_MAX: usize = 1024 * 1024;
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Duration of one run.
+const RUN_DURATION: Duration = Duration::from_millis(10);
 
-impl GateService {
-    /// A service that ran nothing yet.
+impl CountingService {
+    /// Creates a service without any runs.
     pub fn new() -> Arc<Self> {
         Arc::default()
     }
 
-    /// Runs of each body.
+    /// Number of runs of each request body.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.runs.lock().clone()
     }
 
-    /// Runs a request; the answer says which run of this body it was.
+    /// Runs a request; the answer contains the number of runs of this body so far.
     pub async fn handle(&self, req: Request<Incoming>) -> Option<Response<Body>> {
         let path = req.uri().path().to_owned();
-        let bytes = body::read(req.into_body(), MAX_BODY_LEN, MAX_BODY_TIME).await.ok()?;
+        let bytes = body::read(req.into_body(), BODY_LEN_MAX, BODY_READ_TIMEOUT).await.ok()?;
         let text = String::from_utf8_lossy(&bytes).into_owned();
         let run = {
             let mut runs = self.runs.lock();
@@ -45,7 +45,7 @@
             *count += 1;
             *count
         };
-        tokio::time::sleep(RUN_TIME).await;
+        tokio::time::sleep(RUN_DURATION).await;
         let answer = serde_json::json!({ "path": path, "echo": text, "run": run });
         Some(body::json(StatusCode::OK, &answer))
     }
