--- a/crates/workshold-cli/src/commands.rs
+++ b/crates/workshold-cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! All commands, one a file, each with its description and examples.
+//! The subcommands of `workshold`, one module each, with their arguments and help texts.
 
 pub mod bundle;
 pub mod check_config;
@@ -17,43 +17,43 @@
 use crate::error::CliError;
 use crate::output::Output;
 
-/// A command with its arguments.
+/// A subcommand with its parsed arguments.
 #[derive(Debug, Clone)]
 pub enum Command {
-    /// See [`keygen`].
+    /// Creates a key; see [`keygen`].
     Keygen(keygen::Args),
-    /// See [`bundle`].
+    /// Checks, signs, publishes or signs off a bundle; see [`bundle`].
     Bundle(bundle::Args),
-    /// See [`rollout`].
+    /// Shows how far the bundle in force is rolled out; see [`rollout`].
     Rollout(rollout::Args),
-    /// See [`stop`].
+    /// Takes an instance out of service; see [`stop`].
     Stop(stop::Args),
-    /// See [`status`].
+    /// Shows nodes, groups and instances; see [`status`].
     Status(status::Args),
-    /// See [`explain`].
+    /// Shows the steward's decisions about a group; see [`explain`].
     Explain(explain::Args),
-    /// See [`held`].
+    /// Lists or releases quarantined requests; see [`held`].
     Held(held::Args),
-    /// See [`dump`].
+    /// Prints a node's state; see [`dump`].
     Dump(dump::Args),
-    /// See [`check_config`].
+    /// Validates a node's settings; see [`check_config`].
     CheckConfig(check_config::Args),
-    /// See [`events`].
+    /// Prints the catalogues of events and metrics; see [`events`].
     Events(events::Args),
-    /// See [`trace`].
+    /// Collects the log lines about one request; see [`trace`].
     Trace(trace::Args),
 }
 
-/// What the command line said.
+/// The parsed command line.
 #[derive(Debug, Clone)]
 pub struct CommandLine {
-    /// Whether to print JSON.
+    /// Whether to print one JSON value instead of lines of text.
     pub json: bool,
-    /// The command.
+    /// The subcommand to run.
     pub command: Command,
 }
 
-/// The parser of the whole command line.
+/// Builds the parser for the whole command line, including `--help` and `--version`.
 pub fn command_line() -> bpaf::OptionParser<CommandLine> {
     let json = bpaf::long("json").help("Print one JSON value instead of lines").switch();
     let keygen = keygen::parser();
@@ -87,11 +87,11 @@
         .version(env!("CARGO_PKG_VERSION"))
 }
 
-/// Runs a command.
+/// Runs a subcommand and prints its result to `out`.
 ///
 /// # Errors
 ///
-/// Whatever kept it from doing what it was asked.
+/// The subcommand's [`CliError`], which also determines the exit code.
 pub async fn run(command: Command, out: Output) -> Result<(), CliError> {
     match command {
         Command::Keygen(args) => keygen::run(&args, out),
@@ -111,29 +111,29 @@
     }
 }
 
-/// What every command needs that appends a record and waits for its effect.
+/// Arguments of the commands that append a record to the log and wait until a node has applied it.
 #[derive(Debug, Clone)]
-pub struct Writing {
-    /// The operator's key file.
+pub struct LogWriteArgs {
+    /// File with the operator's signing key.
     pub key: std::path::PathBuf,
-    /// The log service's address.
+    /// Address of the log service, `ip:port`.
     pub log: String,
-    /// A node's address for operators.
+    /// A node's operator address, `ip:port`.
     pub node: String,
-    /// Seconds to wait.
+    /// Seconds to wait for the record's effect.
     pub wait: u64,
 }
 
-/// The parser of [`Writing`].
-fn writing_args() -> impl Parser<Writing> {
+/// Builds the parser for [`LogWriteArgs`].
+fn log_write_args() -> impl Parser<LogWriteArgs> {
     let key = key_arg();
     let log = log_arg();
     let node = node_arg();
     let wait = wait_arg();
-    bpaf::construct!(Writing { key, log, node, wait })
+    bpaf::construct!(LogWriteArgs { key, log, node, wait })
 }
 
-/// `--node`, or the variable `WORKSHOLD_NODE`.
+/// `--node`, or the environment variable `WORKSHOLD_NODE`.
 fn node_arg() -> impl Parser<String> {
     bpaf::long("node")
         .env("WORKSHOLD_NODE")
@@ -141,7 +141,7 @@
         .argument::<String>("ADDRESS")
 }
 
-/// `--log`, or the variable `WORKSHOLD_LOG`.
+/// `--log`, or the environment variable `WORKSHOLD_LOG`.
 fn log_arg() -> impl Parser<String> {
     bpaf::long("log")
         .env("WORKSHOLD_LOG")
@@ -149,7 +149,7 @@
         .argument::<String>("ADDRESS")
 }
 
-/// `--key`, or the variable `WORKSHOLD_KEY`.
+/// `--key`, or the environment variable `WORKSHOLD_KEY`.
 fn key_arg() -> impl Parser<std::path::PathBuf> {
     bpaf::long("key")
         .env("WORKSHOLD_KEY")
--- a/crates/workshold-cli/src/commands/bundle.rs
+++ b/crates/workshold-cli/src/commands/bundle.rs
@@ -15,20 +15,20 @@
 use crate::error::CliError;
 use crate::output::Output;
 
-/// Arguments of `bundle`.
+/// The subcommands of `bundle`, with their arguments.
 #[derive(Debug, Clone)]
 pub enum Args {
-    /// See [`check`].
+    /// Validates a bundle; see [`check`].
     Check(check::Args),
-    /// See [`sign`].
+    /// Signs a bundle; see [`sign`].
     Sign(sign::Args),
-    /// See [`publish`].
+    /// Publishes a signed bundle; see [`publish`].
     Publish(publish::Args),
-    /// See [`sign_off`].
+    /// Puts a published bundle in force; see [`sign_off`].
     SignOff(sign_off::Args),
 }
 
-/// The parser of `bundle`.
+/// Builds the parser for `bundle` and its subcommands.
 pub fn parser() -> impl Parser<Command> {
     let check = check::parser();
     let sign = sign::parser();
@@ -42,11 +42,11 @@
         .help("Check, sign, publish and sign off a bundle")
 }
 
-/// Runs one of them.
+/// Runs a subcommand of `bundle`.
 ///
 /// # Errors
 ///
-/// Whatever kept it from doing what it was asked.
+/// The subcommand's [`CliError`].
 pub async fn run(args: Args, out: Output) -> Result<(), CliError> {
     match args {
         Args::Check(args) => check::run(&args, out),
--- a/crates/workshold-cli/src/commands/bundle/check.rs
+++ b/crates/workshold-cli/src/commands/bundle/check.rs
@@ -1,4 +1,4 @@
-//! `workshold bundle check`: finds every fault of a bundle.
+//! `workshold bundle check`: validates a bundle and lists every fault.
 
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
     file: PathBuf,
 }
 
-/// The parser of `bundle check`.
+/// Builds the parser for `bundle check`.
 pub fn parser() -> impl Parser<bundle::Args> {
     let file = bpaf::positional::<PathBuf>("FILE").help("The bundle, in TOML");
     bpaf::construct!(Args { file })
@@ -29,28 +29,28 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Checked {
+struct CheckResult {
     hash: String,
     faults: Vec<Fault>,
 }
 
-/// Checks the bundle.
+/// Validates the bundle and prints its hash and faults.
 ///
 /// # Errors
 ///
-/// [`CliError::Faults`] if it has any.
+/// [`CliError::Faults`] if the bundle has any; [`CliError::File`] if it cannot be read or parsed.
 pub fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let bundle = bundle::read_bundle(&args.file)?;
-    let checked = Checked { hash: bundle.hash().to_string(), faults: bundle.faults() };
-    out.result(&checked, |checked| {
-        let faults = checked.faults.iter().map(ToString::to_string);
-        let end = match checked.faults.len() {
-            0 => format!("no faults; hash {}", checked.hash),
+    let result = CheckResult { hash: bundle.hash().to_string(), faults: bundle.faults() };
+    out.print_result(&result, |result| {
+        let faults = result.faults.iter().map(ToString::to_string);
+        let summary = match result.faults.len() {
+            0 => format!("no faults; hash {}", result.hash),
             n => format!("{n} fault(s)"),
         };
-        faults.chain([end]).collect()
+        faults.chain([summary]).collect()
     });
-    match checked.faults.len() {
+    match result.faults.len() {
         0 => Ok(()),
         n => Err(CliError::Faults(n)),
     }
--- a/crates/workshold-cli/src/commands/bundle/publish.rs
+++ b/crates/workshold-cli/src/commands/bundle/publish.rs
@@ -1,4 +1,4 @@
-//! `workshold bundle publish`: puts a signed bundle where it can be signed off.
+//! `workshold bundle publish`: appends a signed bundle to the log, so that it can be signed off.
 
 use std::path::PathBuf;
 
@@ -6,9 +6,9 @@
 use serde::Serialize;
 use workshold_protocol::record::Fact;
 
-use crate::commands::Writing;
+use crate::commands::LogWriteArgs;
 use crate::commands::bundle;
-use crate::commands::writing_args;
+use crate::commands::log_write_args;
 use crate::error::CliError;
 use crate::operator_key;
 use crate::output::Output;
@@ -17,15 +17,15 @@
 /// Arguments of `bundle publish`.
 #[derive(Debug, Clone)]
 pub struct Args {
-    writing: Writing,
+    log_write: LogWriteArgs,
     file: PathBuf,
 }
 
-/// The parser of `bundle publish`.
+/// Builds the parser for `bundle publish`.
 pub fn parser() -> impl Parser<bundle::Args> {
-    let writing = writing_args();
+    let log_write = log_write_args();
     let file = bpaf::positional::<PathBuf>("FILE").help("The signed bundle");
-    bpaf::construct!(Args { writing, file })
+    bpaf::construct!(Args { log_write, file })
         .map(bundle::Args::Publish)
         .to_options()
         .descr("Publishes a signed bundle. Nothing changes until it is signed off.")
@@ -40,24 +40,24 @@
     offset: u64,
 }
 
-/// Publishes the bundle and waits until the node knows it.
+/// Publishes the bundle and waits until the node lists it as published.
 ///
 /// # Errors
 ///
-/// [`CliError::Input`] for a bundle with faults; [`CliError::NotYet`] if the node
-/// does not take it, as it does not for a key that it does not trust.
+/// [`CliError::Input`] for a bundle with faults; [`CliError::WaitTimeout`] if the node does not list the
+/// bundle in time, which is also the case if it does not trust the operator's key.
 pub async fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let signed = bundle::read_signed(&args.file)?;
     signed.bundle.clone().into_validated().map_err(CliError::Input)?;
-    let key = operator_key::read(&args.writing.key)?;
+    let key = operator_key::read(&args.log_write.key)?;
     let hash = signed.bundle.hash().to_string();
     let fact = Fact::BundlePublished(Box::new(signed));
-    let offset = remote::append(&args.writing.log, &key, fact).await?;
-    out.progress(&format!("appended at {offset}; waiting for {}", args.writing.node));
-    let knows =
+    let offset = remote::append(&args.log_write.log, &key, fact).await?;
+    out.print_progress(&format!("appended at {offset}; waiting for {}", args.log_write.node));
+    let is_published =
         |status: &workshold_node::dump::Status| status.published.contains_key(&hash).then_some(());
-    remote::wait_for(&args.writing.node, args.writing.wait, knows).await?;
+    remote::wait_for(&args.log_write.node, args.log_write.wait, is_published).await?;
     let result = Published { hash: hash.clone(), offset: offset.0 };
-    out.result(&result, |done| vec![format!("published {}", done.hash)]);
+    out.print_result(&result, |done| vec![format!("published {}", done.hash)]);
     Ok(())
 }
--- a/crates/workshold-cli/src/commands/bundle/sign.rs
+++ b/crates/workshold-cli/src/commands/bundle/sign.rs
@@ -1,4 +1,4 @@
-//! `workshold bundle sign`: signs a bundle's content.
+//! `workshold bundle sign`: validates and signs a bundle, and writes it to a file.
 
 use std::path::PathBuf;
 
@@ -20,7 +20,7 @@
     file: PathBuf,
 }
 
-/// The parser of `bundle sign`.
+/// Builds the parser for `bundle sign`.
 pub fn parser() -> impl Parser<bundle::Args> {
     let key = key_arg();
     let out = bpaf::long("out").help("Where the signed bundle goes").argument::<PathBuf>("FILE");
@@ -40,11 +40,11 @@
     hash: String,
 }
 
-/// Signs the bundle.
+/// Signs the bundle with the operator's key.
 ///
 /// # Errors
 ///
-/// [`CliError::Input`] for a bundle with faults, [`CliError::File`] for files.
+/// [`CliError::Input`] for a bundle with faults, [`CliError::File`] if a file cannot be read or written.
 pub fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let bundle = bundle::read_bundle(&args.file)?.into_validated().map_err(CliError::Input)?;
     let key = operator_key::read(&args.key)?;
@@ -53,6 +53,6 @@
     let text = serde_json::to_string_pretty(&signed).expect("a bundle has only text keys");
     std::fs::write(&args.out, text).map_err(|err| CliError::file(&args.out, err))?;
     let result = Signed { file: args.out.display().to_string(), hash };
-    out.result(&result, |signed| vec![format!("{}: signed {}", signed.file, signed.hash)]);
+    out.print_result(&result, |signed| vec![format!("{}: signed {}", signed.file, signed.hash)]);
     Ok(())
 }
--- a/crates/workshold-cli/src/commands/bundle/sign_off.rs
+++ b/crates/workshold-cli/src/commands/bundle/sign_off.rs
@@ -7,9 +7,9 @@
 use workshold_protocol::record::Fact;
 use workshold_protocol::record::SignOff;
 
-use crate::commands::Writing;
+use crate::commands::LogWriteArgs;
 use crate::commands::bundle;
-use crate::commands::writing_args;
+use crate::commands::log_write_args;
 use crate::error::CliError;
 use crate::operator_key;
 use crate::output::Output;
@@ -18,20 +18,20 @@
 /// Arguments of `bundle sign-off`.
 #[derive(Debug, Clone)]
 pub struct Args {
-    writing: Writing,
+    log_write: LogWriteArgs,
     parent: Option<String>,
     hash: String,
 }
 
-/// The parser of `bundle sign-off`.
+/// Builds the parser for `bundle sign-off`.
 pub fn parser() -> impl Parser<bundle::Args> {
-    let writing = writing_args();
+    let log_write = log_write_args();
     let parent = bpaf::long("parent")
         .help("The bundle it replaces (default: the one in force at the node)")
         .argument::<String>("HASH")
         .optional();
     let hash = bpaf::positional::<String>("HASH").help("The published bundle");
-    bpaf::construct!(Args { writing, parent, hash })
+    bpaf::construct!(Args { log_write, parent, hash })
         .map(bundle::Args::SignOff)
         .to_options()
         .descr("Puts a published bundle in force everywhere. If another operator was faster, says so and changes nothing.")
@@ -47,41 +47,43 @@
     generation: u64,
 }
 
-/// Signs the bundle off and waits until the node runs it.
+/// Signs the bundle off and waits until the node has read the record of it.
 ///
 /// # Errors
 ///
-/// [`CliError::LostRace`] if another one came first.
+/// [`CliError::LostRace`] if another sign-off came first and another bundle is in force.
 pub async fn run(args: &Args, out: Output) -> Result<(), CliError> {
-    let key = operator_key::read(&args.writing.key)?;
+    let key = operator_key::read(&args.log_write.key)?;
     let bundle = parse_hash(&args.hash)?;
-    let before = remote::status(&args.writing.node).await?;
-    if !before.published.contains_key(&args.hash) {
+    let status_before = remote::status(&args.log_write.node).await?;
+    if !status_before.published.contains_key(&args.hash) {
         return Err(CliError::Unknown { kind: "published bundle", name: args.hash.clone() });
     }
-    let in_force = before.bundle.map(|bundle| bundle.hash);
+    let in_force = status_before.bundle.map(|bundle| bundle.hash);
     let parent = match args.parent.as_ref().or(in_force.as_ref()) {
         Some(text) => Some(parse_hash(text)?),
         None => None,
     };
     let fact = Fact::BundleSignedOff(SignOff { bundle, parent });
-    let offset = remote::append(&args.writing.log, &key, fact).await?;
-    out.progress(&format!("appended at {offset}; waiting for {}", args.writing.node));
-    let (winner, generation) = remote::wait_for(&args.writing.node, args.writing.wait, |status| {
-        in_force_after(status, offset.0)
-    })
-    .await?;
+    let offset = remote::append(&args.log_write.log, &key, fact).await?;
+    out.print_progress(&format!("appended at {offset}; waiting for {}", args.log_write.node));
+    let (winner, generation) =
+        remote::wait_for(&args.log_write.node, args.log_write.wait, |status| {
+            in_force_after(status, offset.0)
+        })
+        .await?;
     if winner != args.hash {
         return Err(CliError::LostRace { in_force: winner });
     }
     let result = SignedOff { hash: winner, offset: offset.0, generation };
-    out.result(&result, |done| {
+    out.print_result(&result, |done| {
         vec![format!("{} is in force, as generation {}", done.hash, done.generation)]
     });
     Ok(())
 }
 
-/// What is in force once the node has read past `offset`.
+/// Hash and generation of the bundle in force, once the node has read past `offset`; `None` status_before.
+/// Without a bundle in force, the hash is empty.
 fn in_force_after(status: &Status, offset: u64) -> Option<(String, u64)> {
     if status.next <= offset {
         return None;
--- a/crates/workshold-cli/src/commands/check_config.rs
+++ b/crates/workshold-cli/src/commands/check_config.rs
@@ -1,4 +1,4 @@
-//! `workshold check-config`: finds every fault of a node's settings.
+//! `workshold check-config`: validates a node's settings and lists every fault.
 
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
     file: PathBuf,
 }
 
-/// The parser of `check-config`.
+/// Builds the parser for `check-config`.
 pub fn parser() -> impl Parser<Command> {
     let file = bpaf::positional::<PathBuf>("FILE").help("A node's settings, in TOML");
     bpaf::construct!(Args { file })
@@ -29,26 +29,26 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Checked {
+struct CheckResult {
     faults: Vec<String>,
 }
 
-/// Checks the settings.
+/// Loads the settings as a node does at start, and prints the faults.
 ///
 /// # Errors
 ///
-/// [`CliError::Faults`] if there are any.
+/// [`CliError::Faults`] if there are any faults.
 pub fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let faults = match settings::load(&args.file) {
         Ok(_) => Vec::new(),
         Err(faults) => faults.iter().map(ToString::to_string).collect(),
     };
-    let checked = Checked { faults };
-    out.result(&checked, |checked| match checked.faults.as_slice() {
+    let result = CheckResult { faults };
+    out.print_result(&result, |result| match result.faults.as_slice() {
         [] => vec!["no faults".to_owned()],
         faults => faults.to_vec(),
     });
-    match checked.faults.len() {
+    match result.faults.len() {
         0 => Ok(()),
         n => Err(CliError::Faults(n)),
     }
--- a/crates/workshold-cli/src/commands/dump.rs
+++ b/crates/workshold-cli/src/commands/dump.rs
@@ -14,7 +14,7 @@
     node: String,
 }
 
-/// The parser of `dump`.
+/// Builds the parser for `dump`.
 pub fn parser() -> impl Parser<Command> {
     let node = node_arg();
     bpaf::construct!(Args { node })
@@ -26,13 +26,13 @@
         .help("Print a node's state")
 }
 
-/// Prints the state.
+/// Prints the state; always as JSON.
 ///
 /// # Errors
 ///
 /// [`CliError::Node`] if the node does not answer.
 pub async fn run(args: &Args) -> Result<(), CliError> {
-    let state = remote::ask(&args.node, "/debug/state").await?;
-    Output { json: true }.result(&state, |_| Vec::new());
+    let state = remote::get_json(&args.node, "/debug/state").await?;
+    Output { json: true }.print_result(&state, |_| Vec::new());
     Ok(())
 }
--- a/crates/workshold-cli/src/commands/events.rs
+++ b/crates/workshold-cli/src/commands/events.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone)]
 pub struct Args {}
 
-/// The parser of `events`.
+/// Builds the parser for `events`.
 pub fn parser() -> impl Parser<Command> {
     bpaf::construct!(Args {})
         .map(Command::Events)
@@ -29,9 +29,9 @@
     metrics: String,
 }
 
-/// Prints the catalogues.
+/// Prints both catalogues as reference pages.
 pub fn run(out: Output) {
     let reference_page =
         Catalogue { events: events::reference_page(), metrics: metrics::reference_page() };
-    out.result(&reference_page, |c| vec![c.events.clone(), c.metrics.clone()]);
+    out.print_result(&reference_page, |c| vec![c.events.clone(), c.metrics.clone()]);
 }
--- a/crates/workshold-cli/src/commands/explain.rs
+++ b/crates/workshold-cli/src/commands/explain.rs
@@ -1,4 +1,6 @@
-//! `workshold explain`: why the steward did what it did with a group.
+//! `workshold explain`: shows the steward's decisions about a group.
+//!
+//! The steward is the node that plans for a fabric domain and sends orders to its instances.
 
 use bpaf::Parser;
 use serde_json::Value;
@@ -16,7 +18,7 @@
     group: String,
 }
 
-/// The parser of `explain`.
+/// Builds the parser for `explain`.
 pub fn parser() -> impl Parser<Command> {
     let node = node_arg();
     let group = bpaf::positional::<String>("GROUP").help("The group");
@@ -29,14 +31,14 @@
         .help("Show why a group was treated as it was")
 }
 
-/// Shows the decisions.
+/// Shows the decisions that the node made about the group.
 ///
 /// # Errors
 ///
-/// [`CliError::Node`] if the node does not answer, or decided nothing about it.
+/// [`CliError::Node`] if the node does not answer, or has no decision about the group.
 pub async fn run(args: &Args, out: Output) -> Result<(), CliError> {
-    let decisions = remote::ask(&args.node, &format!("/explain/{}", args.group)).await?;
-    out.result(&decisions, lines);
+    let decisions = remote::get_json(&args.node, &format!("/explain/{}", args.group)).await?;
+    out.print_result(&decisions, lines);
     Ok(())
 }
 
--- a/crates/workshold-cli/src/commands/held.rs
+++ b/crates/workshold-cli/src/commands/held.rs
@@ -1,4 +1,6 @@
-//! `workshold held`: requests that are kept from all instances, and letting one go.
+//! `workshold held`: lists and releases quarantined requests.
+//!
+//! A request is quarantined (held) when instances that began to run it have ended.
 
 use bpaf::Parser;
 use serde_json::Value;
@@ -17,7 +19,7 @@
     release: Option<String>,
 }
 
-/// The parser of `held`.
+/// Builds the parser for `held`.
 pub fn parser() -> impl Parser<Command> {
     let node = node_arg();
     let release = bpaf::long("release")
@@ -33,23 +35,23 @@
         .help("Show or release requests that are kept from instances")
 }
 
-/// Shows what is held, or lets one go.
+/// Lists the quarantined requests, or releases those with one fingerprint.
 ///
 /// # Errors
 ///
-/// [`CliError::Node`] if the node does not answer, or knows nothing of the fingerprint.
+/// [`CliError::Node`] if the node does not answer, or does not know the fingerprint.
 pub async fn run(args: &Args, out: Output) -> Result<(), CliError> {
     if let Some(fingerprint) = &args.release {
         remote::delete(&args.node, &format!("/quarantine/{fingerprint}")).await?;
-        out.progress(&format!("{fingerprint} is let go"));
+        out.print_progress(&format!("{fingerprint} is let go"));
         return Ok(());
     }
-    let state = remote::ask(&args.node, "/state").await?;
-    out.result(&state["held"], lines);
+    let state = remote::get_json(&args.node, "/state").await?;
+    out.print_result(&state["held"], lines);
     Ok(())
 }
 
-/// What is held, as lines.
+/// Renders the quarantined requests as a table.
 pub fn lines(held: &Value) -> Vec<String> {
     let rows = held.as_array().map(Vec::as_slice).unwrap_or_default();
     if rows.is_empty() {
--- a/crates/workshold-cli/src/commands/keygen.rs
+++ b/crates/workshold-cli/src/commands/keygen.rs
@@ -1,4 +1,4 @@
-//! `workshold keygen`: makes an operator's key, or the nodes' shared one.
+//! `workshold keygen`: creates an operator's key, or the key that all nodes share.
 
 use std::io::Write as _;
 use std::os::unix::fs::OpenOptionsExt as _;
@@ -20,7 +20,7 @@
     file: PathBuf,
 }
 
-/// The parser of `keygen`.
+/// Builds the parser for `keygen`.
 pub fn parser() -> impl Parser<Command> {
     let cluster = bpaf::long("cluster").help("Make the key that all nodes share instead").switch();
     let file = bpaf::positional::<PathBuf>("FILE").help("Where the secret goes; must not exist");
@@ -34,12 +34,12 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Made {
+struct CreatedKey {
     file: String,
     public: Option<String>,
 }
 
-/// Makes the key.
+/// Generates the key and writes its secret to the file.
 ///
 /// # Errors
 ///
@@ -52,14 +52,17 @@
         (key.to_text(), Some(key.public().0))
     };
     write_secret(&args.file, &secret)?;
-    let made = Made { file: args.file.display().to_string(), public };
-    out.result(&made, |made| match &made.public {
-        Some(public) => vec![format!("{}: secret; for the nodes' settings: {public}", made.file)],
-        None => vec![format!("{}: secret; every node's settings name it", made.file)],
+    let created = CreatedKey { file: args.file.display().to_string(), public };
+    out.print_result(&created, |created| match &created.public {
+        Some(public) => {
+            vec![format!("{}: secret; for the nodes' settings: {public}", created.file)]
+        }
+        None => vec![format!("{}: secret; every node's settings name it", created.file)],
     });
     Ok(())
 }
 
+/// Writes `secret` to a new file that only its owner can access.
 fn write_secret(path: &PathBuf, secret: &str) -> Result<(), CliError> {
     let open = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(path);
     let mut file = open.map_err(|err| CliError::file(path, err))?;
--- a/crates/workshold-cli/src/commands/rollout.rs
+++ b/crates/workshold-cli/src/commands/rollout.rs
@@ -1,4 +1,4 @@
-//! `workshold rollout status`: who runs what, and who lags.
+//! `workshold rollout status`: which nodes run the bundle in force and which groups serve.
 
 use bpaf::Parser;
 use serde::Serialize;
@@ -17,7 +17,7 @@
     wait: Option<u64>,
 }
 
-/// The parser of `rollout`.
+/// Builds the parser for `rollout`.
 pub fn parser() -> impl Parser<Command> {
     let node = node_arg();
     let wait = bpaf::long("wait")
@@ -39,37 +39,37 @@
         .help("Follow a bundle that was signed off")
 }
 
-/// How far a bundle has come.
+/// Progress of the bundle in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Progress {
-    /// The bundle in force.
+    /// Hash of the bundle in force, if there is one.
     pub bundle: Option<String>,
-    /// Nodes that run another one.
+    /// Nodes that run another bundle or none; leaving nodes are not counted.
     pub lagging_nodes: Vec<String>,
-    /// Each model's groups.
+    /// Progress of each model in the bundle.
     pub models: Vec<ModelProgress>,
-    /// Whether nothing is left to do.
+    /// Whether all nodes run the bundle and all wanted groups serve.
     pub done: bool,
 }
 
-/// How far one model has come.
+/// Progress of one model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ModelProgress {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Groups that are wanted.
+    /// Number of groups that the bundle asks for.
     pub wanted: usize,
-    /// Groups that serve, whatever their version.
+    /// Number of groups that serve, whatever their version.
     pub serving: usize,
-    /// Groups on their way in or out, each with why it does not serve.
+    /// Groups that are starting or being dissolved, each with the reason why it does not serve.
     pub others: Vec<String>,
 }
 
-/// Shows the progress.
+/// Shows the progress, with `--wait` once the rollout is done.
 ///
 /// # Errors
 ///
-/// [`CliError::NotYet`] if it was to be waited for and is not done.
+/// [`CliError::WaitTimeout`] if the rollout is not done within `--wait` seconds.
 pub async fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let progress = match args.wait {
         None => progress(&remote::status(&args.node).await?),
@@ -78,11 +78,11 @@
             remote::wait_for(&args.node, secs, is_done).await?
         }
     };
-    out.result(&progress, lines);
+    out.print_result(&progress, lines);
     Ok(())
 }
 
-/// Works out how far the bundle in force has come.
+/// Computes the progress of the bundle in force from a node's status.
 pub fn progress(status: &Status) -> Progress {
     let hash = status.bundle.as_ref().map(|bundle| bundle.hash.clone());
     let lagging = status.nodes.iter().filter(|node| node.bundle != hash && !node.leaving);
@@ -103,8 +103,9 @@
             }
         })
         .collect();
-    let is_there = |model: &ModelProgress| model.serving >= model.wanted && model.others.is_empty();
-    let done = hash.is_some() && lagging_nodes.is_empty() && models.iter().all(is_there);
+    let is_complete =
+        |model: &ModelProgress| model.serving >= model.wanted && model.others.is_empty();
+    let done = hash.is_some() && lagging_nodes.is_empty() && models.iter().all(is_complete);
     Progress { bundle: hash, lagging_nodes, models, done }
 }
 
--- a/crates/workshold-cli/src/commands/status.rs
+++ b/crates/workshold-cli/src/commands/status.rs
@@ -16,7 +16,7 @@
     node: String,
 }
 
-/// The parser of `status`.
+/// Builds the parser for `status`.
 pub fn parser() -> impl Parser<Command> {
     let node = node_arg();
     bpaf::construct!(Args { node })
@@ -28,20 +28,20 @@
         .help("Show nodes, groups and instances")
 }
 
-/// Shows the status.
+/// Fetches and prints the status.
 ///
 /// # Errors
 ///
 /// [`CliError::Node`] if the node does not answer.
 pub async fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let status = remote::status(&args.node).await?;
-    out.result(&status, lines);
+    out.print_result(&status, lines);
     Ok(())
 }
 
-/// The status as lines.
+/// Renders the status: a summary line and tables of nodes, groups and instances.
 pub fn lines(status: &Status) -> Vec<String> {
-    let mut lines = vec![head(status)];
+    let mut lines = vec![summary_line(status)];
     lines.extend(node_lines(status));
     lines.push(String::new());
     lines.extend(group_lines(status));
@@ -50,7 +50,7 @@
     lines
 }
 
-fn head(status: &Status) -> String {
+fn summary_line(status: &Status) -> String {
     let bundle = match &status.bundle {
         Some(bundle) => {
             format!("bundle {} (generation {}, {})", bundle.name, bundle.generation, bundle.hash)
--- a/crates/workshold-cli/src/commands/stop.rs
+++ b/crates/workshold-cli/src/commands/stop.rs
@@ -1,4 +1,4 @@
-//! `workshold stop`: takes an instance out of service with a plan.
+//! `workshold stop`: takes an instance out of service, after printing the steps.
 
 use bpaf::Parser;
 use serde::Serialize;
@@ -9,8 +9,8 @@
 use workshold_protocol::record::StopRequest;
 
 use crate::commands::Command;
-use crate::commands::Writing;
-use crate::commands::writing_args;
+use crate::commands::LogWriteArgs;
+use crate::commands::log_write_args;
 use crate::error::CliError;
 use crate::operator_key;
 use crate::output::Output;
@@ -19,19 +19,19 @@
 /// Arguments of `stop`.
 #[derive(Debug, Clone)]
 pub struct Args {
-    writing: Writing,
+    log_write: LogWriteArgs,
     plan: bool,
     undo: bool,
     instance: String,
 }
 
-/// The parser of `stop`.
+/// Builds the parser for `stop`.
 pub fn parser() -> impl Parser<Command> {
-    let writing = writing_args();
+    let log_write = log_write_args();
     let plan = bpaf::long("plan").help("Print the plan and change nothing").switch();
     let undo = bpaf::long("undo").help("Let the instance serve again").switch();
     let instance = bpaf::positional::<String>("INSTANCE").help("The instance");
-    bpaf::construct!(Args { writing, plan, undo, instance })
+    bpaf::construct!(Args { log_write, plan, undo, instance })
         .map(Command::Stop)
         .to_options()
         .descr("Prints the plan for taking an instance out of service, and carries it out. No request in flight is cut off.")
@@ -40,14 +40,14 @@
         .help("Take an instance out of service with a plan")
 }
 
-/// What a planned stop will do.
+/// The steps and effect of stopping an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct StopPlan {
-    /// The instance.
+    /// The instance to stop.
     pub instance: String,
-    /// The steps in their order.
+    /// The steps in order, as sentences for the operator.
     pub steps: Vec<String>,
-    /// Whether the group is down for a while.
+    /// Whether the instance's group is down until other instances are free.
     pub downtime: bool,
 }
 
@@ -57,33 +57,33 @@
     stopped: bool,
 }
 
-/// Prints the plan, and carries it out unless only the plan was asked for.
+/// Prints the plan; without `--plan`, also requests the stop and waits until the instance is free.
 ///
 /// # Errors
 ///
-/// [`CliError::NotYet`] if the instance is not free in time; the stop goes on.
+/// [`CliError::WaitTimeout`] if the instance is not free in time; the stop continues regardless.
 pub async fn run(args: &Args, out: Output) -> Result<(), CliError> {
-    let status = remote::status(&args.writing.node).await?;
+    let status = remote::status(&args.log_write.node).await?;
     let plan = plan(&status, &args.instance)?;
     if args.plan {
-        out.result(&plan, |plan| plan.steps.clone());
+        out.print_result(&plan, |plan| plan.steps.clone());
         return Ok(());
     }
-    let key = operator_key::read(&args.writing.key)?;
+    let key = operator_key::read(&args.log_write.key)?;
     let instance = InstanceId::new(&args.instance).map_err(CliError::Input)?;
     let request = StopRequest { instance, stop: !args.undo };
     if !args.undo {
-        plan.steps.iter().for_each(|step| out.progress(step));
+        plan.steps.iter().for_each(|step| out.print_progress(step));
     }
-    let offset = remote::append(&args.writing.log, &key, Fact::StopRequested(request)).await?;
+    let offset = remote::append(&args.log_write.log, &key, Fact::StopRequested(request)).await?;
     let is_done = |status: &Status| {
-        let row = find(status, &args.instance).ok()?;
+        let row = find_instance(status, &args.instance).ok()?;
         let is_free = row.claimed_by.is_none() && row.says.is_none();
         (status.next > offset.0 && (args.undo || is_free)).then_some(())
     };
-    remote::wait_for(&args.writing.node, args.writing.wait, is_done).await?;
+    remote::wait_for(&args.log_write.node, args.log_write.wait, is_done).await?;
     let stopped = Stopped { instance: args.instance.clone(), stopped: !args.undo };
-    out.result(&stopped, |done| {
+    out.print_result(&stopped, |done| {
         vec![if done.stopped {
             format!("{} is in no group and can be switched off", done.instance)
         } else {
@@ -93,18 +93,19 @@
     Ok(())
 }
 
-fn find<'a>(status: &'a Status, instance: &str) -> Result<&'a InstanceRow, CliError> {
+fn find_instance<'a>(status: &'a Status, instance: &str) -> Result<&'a InstanceRow, CliError> {
     let row = status.instances.iter().find(|row| row.instance.as_str() == instance);
     row.ok_or_else(|| CliError::Unknown { kind: "instance", name: instance.to_owned() })
 }
 
-/// Works out what stopping an instance will do.
+/// Computes the steps of stopping an instance from a node's status. There is no downtime if the
+/// domain has enough free instances for a replacement group.
 ///
 /// # Errors
 ///
-/// [`CliError::Unknown`] if no such instance is listed.
+/// [`CliError::Unknown`] if the status lists no such instance.
 pub fn plan(status: &Status, instance: &str) -> Result<StopPlan, CliError> {
-    let row = find(status, instance)?;
+    let row = find_instance(status, instance)?;
     let Some(claim) = &row.claimed_by else {
         let steps = vec![format!("{instance} is in no group: it will not be taken for one")];
         return Ok(StopPlan { instance: instance.to_owned(), steps, downtime: false });
@@ -120,8 +121,8 @@
             idle && !other.leaving && !other.stopping && other.domain == domain
         })
         .count();
-    let has_stand_in = free >= size;
-    let first = if has_stand_in {
+    let has_replacement = free >= size;
+    let first_step = if has_replacement {
         format!(
             "form a group of {size} of the {free} free instances of {domain}, and wait until it serves"
         )
@@ -131,10 +132,10 @@
         )
     };
     let steps = vec![
-        first,
+        first_step,
         format!("send {claim} no new work, and let it finish what it has"),
         format!("end {claim}, and free its {size} instances"),
         format!("{instance} can then be switched off; the others can be used again"),
     ];
-    Ok(StopPlan { instance: instance.to_owned(), steps, downtime: !has_stand_in })
+    Ok(StopPlan { instance: instance.to_owned(), steps, downtime: !has_replacement })
 }
--- a/crates/workshold-cli/src/commands/trace.rs
+++ b/crates/workshold-cli/src/commands/trace.rs
@@ -1,4 +1,4 @@
-//! `workshold trace`: what the nodes' lines say of one request, and of what it met.
+//! `workshold trace`: collects the nodes' log lines about one request and its instances.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -19,20 +19,20 @@
 /// Arguments of `trace`.
 #[derive(Debug, Clone)]
 pub struct Args {
-    within: u64,
+    window_ms: u64,
     request: String,
     files: Vec<PathBuf>,
 }
 
-/// The parser of `trace`.
+/// Builds the parser for `trace`.
 pub fn parser() -> impl Parser<Command> {
-    let within = bpaf::long("within")
+    let window_ms = bpaf::long("within")
         .help("How long before and after the request what befell its instances is shown, in ms")
         .argument::<u64>("MS")
         .fallback(3_000);
     let request = bpaf::positional::<String>("REQUEST").help("The request's id");
     let files = bpaf::positional::<PathBuf>("FILE").help("Lines that nodes logged").some("no FILE");
-    bpaf::construct!(Args { within, request, files })
+    bpaf::construct!(Args { window_ms, request, files })
         .map(Command::Trace)
         .to_options()
         .descr("Puts the lines of all nodes about one request in order, with those about the instances that it was sent to.")
@@ -43,28 +43,30 @@
 
 /// One line of a node's log.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Line {
-    /// When it was written, in ms since the Unix epoch.
+pub struct LogLine {
+    /// Time of writing, in ms since the Unix epoch.
     pub at_ms: u64,
-    /// All that it says.
+    /// All fields of the line, including `at_ms`.
     pub fields: Map<String, Value>,
 }
 
-impl Line {
-    /// Reads a line; `None` if it is none of a node's.
+impl LogLine {
+    /// Parses a line; `None` if it is not a node's log line.
     pub fn parse(text: &str) -> Option<Self> {
-        // What collects logs may have put something before the line.
+        // Log collectors may prepend text, such as a timestamp or a host name.
         let json = &text[text.find('{')?..];
         let fields: Map<String, Value> = serde_json::from_str(json).ok()?;
         let at_ms = fields.get("at_ms")?.as_u64()?;
         Some(Self { at_ms, fields })
     }
 
-    fn is(&self, field: &str, value: &str) -> bool {
+    /// Whether a text field has this value.
+    fn field_is(&self, field: &str, value: &str) -> bool {
         self.fields.get(field).and_then(Value::as_str) == Some(value)
     }
 
-    fn tell(&self, from: u64) -> String {
+    /// Renders the line, with its time relative to `from` (ms since the Unix epoch).
+    fn render(&self, from: u64) -> String {
         let text = |name: &str| self.fields.get(name).and_then(Value::as_str).unwrap_or_default();
         let shown = ["at_ms", "event", "level", "node", "text", "request"];
         let rest = self.fields.iter().filter(|(name, _)| !shown.contains(&name.as_str()));
@@ -79,56 +81,60 @@
     }
 }
 
-/// The lines about a request, and those about its instances around that time.
-pub fn lines_about(all: &[Line], request: &str, within: u64) -> Vec<Line> {
-    let own: Vec<&Line> = all.iter().filter(|line| line.is("request", request)).collect();
+/// The lines about a request, and those about the instances that it was sent to from `window_ms`
+/// before its first line to `window_ms` after its last. Sorted by time.
+pub fn lines_about(all: &[LogLine], request: &str, window_ms: u64) -> Vec<LogLine> {
+    let request_lines: Vec<&LogLine> =
+        all.iter().filter(|line| line.field_is("request", request)).collect();
     let (Some(first), Some(last)) =
-        (own.iter().map(|l| l.at_ms).min(), own.iter().map(|l| l.at_ms).max())
+        (request_lines.iter().map(|l| l.at_ms).min(), request_lines.iter().map(|l| l.at_ms).max())
     else {
         return Vec::new();
     };
-    let instances: BTreeSet<&str> =
-        own.iter().filter_map(|line| line.fields.get("instance").and_then(Value::as_str)).collect();
-    let is_near = |line: &&Line| {
-        line.at_ms + within >= first
-            && line.at_ms <= last + within
+    let instances: BTreeSet<&str> = request_lines
+        .iter()
+        .filter_map(|line| line.fields.get("instance").and_then(Value::as_str))
+        .collect();
+    let is_related = |line: &&LogLine| {
+        line.at_ms + window_ms >= first
+            && line.at_ms <= last + window_ms
             && !line.fields.contains_key("request")
             && instances.iter().any(|instance| {
-                line.is("instance", instance)
+                line.field_is("instance", instance)
                     || line.fields.get("order").is_some_and(|o| o.to_string().contains(instance))
             })
     };
-    let mut lines: Vec<Line> = own.iter().map(|line| (*line).clone()).collect();
-    lines.extend(all.iter().filter(is_near).cloned());
+    let mut lines: Vec<LogLine> = request_lines.iter().map(|line| (*line).clone()).collect();
+    lines.extend(all.iter().filter(is_related).cloned());
     lines.sort_by_key(|line| line.at_ms);
     lines
 }
 
-fn read(path: &Path) -> Result<Vec<Line>, CliError> {
+fn read(path: &Path) -> Result<Vec<LogLine>, CliError> {
     let file = File::open(path).map_err(|err| CliError::file(path, err))?;
     let mut lines = Vec::new();
     for line in BufReader::new(file).lines() {
         let line = line.map_err(|err| CliError::file(path, err))?;
-        lines.extend(Line::parse(&line));
+        lines.extend(LogLine::parse(&line));
     }
     Ok(lines)
 }
 
-/// Prints what befell a request.
+/// Prints the lines about a request, with times relative to its first line.
 ///
 /// # Errors
 ///
-/// [`CliError::File`] if a file cannot be read, [`CliError::Unknown`] if no line speaks
-/// of the request.
+/// [`CliError::File`] if a file cannot be read, [`CliError::Unknown`] if no line names the request.
 pub fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let mut all = Vec::new();
     for file in &args.files {
         all.extend(read(file)?);
     }
-    let lines = lines_about(&all, &args.request, args.within);
-    let Some(from) = lines.iter().find(|l| l.is("request", &args.request)).map(|l| l.at_ms) else {
+    let lines = lines_about(&all, &args.request, args.window_ms);
+    let Some(from) = lines.iter().find(|l| l.field_is("request", &args.request)).map(|l| l.at_ms)
+    else {
         return Err(CliError::Unknown { kind: "request", name: args.request.clone() });
     };
-    out.result(&lines, |lines| lines.iter().map(|line| line.tell(from)).collect());
+    out.print_result(&lines, |lines| lines.iter().map(|line| line.render(from)).collect());
     Ok(())
 }
--- a/crates/workshold-cli/src/error.rs
+++ b/crates/workshold-cli/src/error.rs
@@ -1,18 +1,18 @@
-//! What can go wrong for an operator, with an exit code and a line of help each.
+//! Errors of the commands, each with an exit code and a line of advice.
 
 use std::path::Path;
 
 use displaydoc::Display;
 use workshold_http::client::CallError;
 
-/// Why a command did not do what it was asked.
+/// Why a command failed. The doc comments of the variants are the error messages.
 #[derive(Debug, Display)]
 pub enum CliError {
     /// {path}: {why}
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The I/O or parse error.
         why: String,
     },
     /// {0}
@@ -25,24 +25,24 @@
     Log(CallError),
     /// another bundle was faster: {in_force} is in force
     LostRace {
-        /// The bundle that won.
+        /// Hash of the bundle that is in force instead.
         in_force: String,
     },
     /// there is no {kind} "{name}"
     Unknown {
-        /// The kind of thing.
+        /// What was looked up, such as "instance".
         kind: &'static str,
         /// The name that was given.
         name: String,
     },
     /// not done within {0} s; it goes on without this command
-    NotYet(u64),
+    WaitTimeout(u64),
 }
 
 impl std::error::Error for CliError {}
 
 impl CliError {
-    /// A problem with a file.
+    /// A [`CliError::File`] for `path`, with the error's text as the reason.
     pub fn file(path: &Path, why: impl ToString) -> Self {
         Self::File { path: path.display().to_string(), why: why.to_string() }
     }
@@ -53,11 +53,11 @@
             Self::File { .. } | Self::Input(_) | Self::Faults(_) | Self::Unknown { .. } => 2,
             Self::LostRace { .. } => 3,
             Self::Node(_) | Self::Log(_) => 4,
-            Self::NotYet(_) => 5,
+            Self::WaitTimeout(_) => 5,
         }
     }
 
-    /// What to do about it.
+    /// Advice to the operator, printed below the message.
     pub fn help(&self) -> &'static str {
         match self {
             Self::File { .. } => "check the path, and that you may read and write there",
@@ -69,7 +69,7 @@
             }
             Self::LostRace { .. } => "look at what is in force, then sign off again on top of it",
             Self::Unknown { .. } => "`workshold status` shows all names",
-            Self::NotYet(_) => "`workshold status` shows how far it has come",
+            Self::WaitTimeout(_) => "`workshold status` shows how far it has come",
         }
     }
 }
--- a/crates/workshold-cli/src/lib.rs
+++ b/crates/workshold-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command, as a library for its tests.
+//! The operators' command line; a library so that the integration tests can call it.
 
 pub mod commands;
 pub mod error;
--- a/crates/workshold-cli/src/main.rs
+++ b/crates/workshold-cli/src/main.rs
@@ -1,11 +1,11 @@
-//! `workshold`: the operators' command.
+//! `workshold`: the operators' command line.
 
 use std::process::ExitCode;
 
 use workshold_cli::commands;
 use workshold_cli::output::Output;
 
-#[expect(clippy::print_stderr, reason = "this is where a command says what went wrong")]
+#[expect(clippy::print_stderr, reason = "errors of commands go to standard error")]
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let line = commands::command_line().run();
--- a/crates/workshold-cli/src/output.rs
+++ b/crates/workshold-cli/src/output.rs
@@ -1,17 +1,17 @@
-//! What a command prints: lines for people, or one JSON value for programs.
+//! Output of the commands: lines of text for people, or one JSON value for programs.
 
 use serde::Serialize;
 
-/// Where results go.
+/// Prints results in the format that the command line selects.
 #[derive(Debug, Clone, Copy)]
 pub struct Output {
-    /// Whether to print JSON.
+    /// Whether to print one JSON value instead of lines of text.
     pub json: bool,
 }
 
 impl Output {
-    /// Prints a result in the form that was asked for.
-    pub fn result<T: Serialize>(self, value: &T, lines: impl FnOnce(&T) -> Vec<String>) {
+    /// Prints `value` as JSON, or as the lines that `lines` makes of it.
+    pub fn print_result<T: Serialize>(self, value: &T, lines: impl FnOnce(&T) -> Vec<String>) {
         if self.json {
             print_line(&serde_json::to_string(value).expect("results have only text keys"));
         } else {
@@ -19,20 +19,20 @@
         }
     }
 
-    /// Says how far a command has come; programs are not told.
-    pub fn progress(self, line: &str) {
+    /// Prints a progress line. Nothing is printed in JSON mode, whose output is a single value.
+    pub fn print_progress(self, line: &str) {
         if !self.json {
             print_line(line);
         }
     }
 }
 
-#[expect(clippy::print_stdout, reason = "this is where a command prints")]
+#[expect(clippy::print_stdout, reason = "results of commands go to standard output")]
 fn print_line(line: &str) {
     println!("{line}");
 }
 
-/// Rows in columns as wide as their widest cell.
+/// Lays out a header and rows as lines, each column as wide as its widest cell.
 pub fn table(header: &[&str], rows: &[Vec<String>]) -> Vec<String> {
     let width = |i: usize| {
         let cells = rows.iter().filter_map(|row| row.get(i)).map(String::len);
--- a/crates/workshold-cli/src/remote.rs
+++ b/crates/workshold-cli/src/remote.rs
@@ -1,4 +1,4 @@
-//! Asking a node, and appending to the log.
+//! Requests to a node's operator address, and appends to the log.
 
 use std::time::Duration;
 
@@ -19,92 +19,93 @@
 
 use crate::error::CliError;
 
-const WITHIN: Duration = Duration::from_secs(3);
-const APPEND_TRIES: u32 = 5;
-const PAUSE: Duration = Duration::from_millis(200);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_APPEND_ATTEMPTS: u32 = 5;
+/// Pause between attempts to append and between polls of the status.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Where a command's questions and records go.
+/// The addresses that a command talks to.
 #[derive(Debug, Clone)]
 pub struct Remote {
-    /// A node's address for operators.
+    /// A node's operator address, `ip:port`.
     pub node: String,
-    /// The log service's address.
+    /// Address of the log service, `ip:port`.
     pub log: String,
 }
 
-/// What the node says of the whole system.
+/// Fetches the status of the whole deployment as the node at `node` sees it.
 ///
 /// # Errors
 ///
-/// [`CliError::Node`] if it does not answer.
+/// [`CliError::Node`] if the node does not answer.
 pub async fn status(node: &str) -> Result<Status, CliError> {
-    client::get(node, "/status", WITHIN).await.map_err(CliError::Node)
+    client::get(node, "/status", REQUEST_TIMEOUT).await.map_err(CliError::Node)
 }
 
-/// Asks a node for a JSON value.
+/// Fetches the JSON value at `path` from a node.
 ///
 /// # Errors
 ///
-/// [`CliError::Node`] if it does not answer.
-pub async fn ask(node: &str, path: &str) -> Result<serde_json::Value, CliError> {
-    client::get(node, path, WITHIN).await.map_err(CliError::Node)
+/// [`CliError::Node`] if the node does not answer.
+pub async fn get_json(node: &str, path: &str) -> Result<serde_json::Value, CliError> {
+    client::get(node, path, REQUEST_TIMEOUT).await.map_err(CliError::Node)
 }
 
-/// Tells a node to drop what stands at `path`.
+/// Sends a DELETE request for `path` to a node.
 ///
 /// # Errors
 ///
-/// [`CliError::Node`] if it does not answer, or refuses.
+/// [`CliError::Node`] if the node does not answer, or rejects the request.
 pub async fn delete(node: &str, path: &str) -> Result<(), CliError> {
-    client::call_raw(node, Method::DELETE, path, WITHIN).await.map_err(CliError::Node)?;
+    client::call_raw(node, Method::DELETE, path, REQUEST_TIMEOUT).await.map_err(CliError::Node)?;
     Ok(())
 }
 
-/// Appends `fact`, sealed with the operator's key. If the reply is lost, the same
-/// record is appended again; it counts once.
+/// Appends `fact` to the log, signed with the operator's key. Retries with the same record if the
+/// reply is lost; a record that is appended twice counts once.
 ///
 /// # Errors
 ///
-/// [`CliError::Log`] if the log does not answer.
+/// [`CliError::Log`] if no attempt gets an answer from the log service.
 pub async fn append(log: &str, key: &OperatorKey, fact: Fact) -> Result<Offset, CliError> {
     let envelope = Envelope::new(SystemClock::default().wall(), vec![fact]);
     let append = AppendRequest { data: seal_as_operator(&envelope, key) };
     let path = format!("/streams/{STREAM}/records");
-    let mut tries = 1;
+    let mut attempts = 1;
     loop {
-        let sent: Result<AppendReply, CallError> =
-            client::call(log, Method::POST, &path, Some(&append), WITHIN).await;
-        match sent {
-            Ok(reply) => return Ok(reply.offset),
-            Err(err) if tries == APPEND_TRIES => return Err(CliError::Log(err)),
+        let reply: Result<AppendReply, CallError> =
+            client::call(log, Method::POST, &path, Some(&append), REQUEST_TIMEOUT).await;
+        match reply {
+            Ok(appended) => return Ok(appended.offset),
+            Err(err) if attempts == MAX_APPEND_ATTEMPTS => return Err(CliError::Log(err)),
             Err(_) => {
-                tries += 1;
-                tokio::time::sleep(PAUSE).await;
+                attempts += 1;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Asks the node again and again until `is_done` says so.
+/// Polls the node's status until `check` returns a result. Failed requests are retried.
 ///
 /// # Errors
 ///
-/// [`CliError::NotYet`] if it takes longer than `secs`.
+/// [`CliError::WaitTimeout`] if `check` returns none within `secs` seconds.
 pub async fn wait_for<R>(
     node: &str,
     secs: u64,
-    mut is_done: impl FnMut(&Status) -> Option<R>,
+    mut check: impl FnMut(&Status) -> Option<R>,
 ) -> Result<R, CliError> {
     let deadline = tokio::time::Instant::now() + Duration::from_secs(secs);
     loop {
         if let Ok(status) = status(node).await
-            && let Some(result) = is_done(&status)
+            && let Some(result) = check(&status)
         {
             return Ok(result);
         }
         if tokio::time::Instant::now() >= deadline {
-            return Err(CliError::NotYet(secs));
+            return Err(CliError::WaitTimeout(secs));
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/crates/workshold-cli/tests/help.rs
+++ b/crates/workshold-cli/tests/help.rs
@@ -1,4 +1,4 @@
-//! What the command says of itself.
+//! Help texts and the suggestion for a misspelt command.
 
 use workshold_cli::commands::command_line;
 
--- a/crates/workshold-cli/tests/plans.rs
+++ b/crates/workshold-cli/tests/plans.rs
@@ -1,4 +1,4 @@
-//! What `stop` and `rollout` make of a status.
+//! The plan of `stop` and the progress of `rollout`, computed from a node's status.
 
 use rstest::rstest;
 use workshold_cli::commands::rollout;
@@ -6,7 +6,7 @@
 use workshold_cli::error::CliError;
 use workshold_node::dump::Status;
 
-/// One group of two in a domain, with `free` further instances.
+/// A status with one group of two instances in a domain, and `free` further instances.
 fn status(free: usize, serving: bool) -> Status {
     let group = serde_json::json!({
         "group": "g1", "model": "m", "version": "v1", "role": "full", "domain": "fabric",
@@ -40,22 +40,22 @@
 }
 
 #[rstest]
-#[case::a_stand_in_is_there(2, false)]
-#[case::no_stand_in(1, true)]
-fn a_stop_says_whether_the_group_is_down_meanwhile(#[case] free: usize, #[case] down: bool) {
+#[case::enough_free_instances(2, false)]
+#[case::too_few_free_instances(1, true)]
+fn a_stop_plan_predicts_downtime(#[case] free: usize, #[case] expected_downtime: bool) {
     let plan = stop::plan(&status(free, true), "a").unwrap();
-    assert_eq!(plan.downtime, down);
+    assert_eq!(plan.downtime, expected_downtime);
     insta::assert_snapshot!(format!("stop_with_{free}_free"), plan.steps.join("\n"));
 }
 
 #[test]
-fn a_free_instance_needs_no_steps() {
+fn stopping_a_free_instance_has_no_downtime() {
     let plan = stop::plan(&status(1, true), "free-0").unwrap();
     assert!(!plan.downtime);
 }
 
 #[test]
-fn an_instance_that_is_not_listed_is_named() {
+fn an_unlisted_instance_is_an_error() {
     let err = stop::plan(&status(1, true), "c").unwrap_err();
     assert!(matches!(err, CliError::Unknown { .. }));
     assert_eq!(err.exit_code(), 2);
--- a/crates/workshold-cli/tests/trace.rs
+++ b/crates/workshold-cli/tests/trace.rs
@@ -1,6 +1,6 @@
-//! From a request's id to what befell it.
+//! Selection of the log lines that concern one request.
 
-use workshold_cli::commands::trace::Line;
+use workshold_cli::commands::trace::LogLine;
 use workshold_cli::commands::trace::lines_about;
 
 const LINES: &str = r#"
@@ -14,8 +14,8 @@
 "#;
 
 #[test]
-fn a_request_is_told_with_what_befell_its_instances() {
-    let all: Vec<Line> = LINES.lines().filter_map(Line::parse).collect();
+fn lines_of_a_request_include_events_of_its_instances() {
+    let all: Vec<LogLine> = LINES.lines().filter_map(LogLine::parse).collect();
     assert_eq!(all.len(), 6);
     let found = lines_about(&all, "r-1", 1_000);
     let events: Vec<(u64, &str)> =
