--- a/crates/workshold-bench/benches/hot_paths.rs
+++ b/crates/workshold-bench/benches/hot_paths.rs
@@ -1,6 +1,7 @@
-//! The decisions that are made most often, at several sizes: slopes, not points.
+//! Micro-benchmarks of the most frequent decisions, each at several sizes, to show how their cost
+//! grows.
 
-#![allow(missing_docs, reason = "criterion makes an item without one")]
+#![allow(missing_docs, reason = "`criterion_group!` generates an undocumented function")]
 
 use std::collections::BTreeSet;
 use std::hint::black_box;
@@ -91,11 +92,11 @@
     }
 }
 
-fn fold(c: &mut Criterion) {
-    let fixture = fixtures::domain(77, 4, 16);
+fn replay(c: &mut Criterion) {
+    let fixture = fixtures::serving_domain(77, 4, 16);
     let mut bench = c.benchmark_group("fold of a record with intents");
     for intents in [1, 16, 256] {
-        let envelopes = fixtures::intents(intents, 64);
+        let envelopes = fixtures::intent_records(intents, 64);
         bench.bench_function(BenchmarkId::from_parameter(intents), |b| {
             b.iter_batched(
                 || fixture.state.clone(),
@@ -111,7 +112,7 @@
     }
     drop(bench);
     let key = ClusterKey::from_text(&ClusterKey::generate_text()).unwrap();
-    let text = record::seal_as_node(&fixtures::intents(16, 1)[0], &key);
+    let text = record::seal_as_node(&fixtures::intent_records(16, 1)[0], &key);
     let operators = TrustedOperators::default();
     c.bench_function("open a record with 16 intents", |b| {
         b.iter(|| black_box(record::open(&text, &key, &operators)));
@@ -124,25 +125,25 @@
     });
 }
 
-fn groups(c: &mut Criterion) {
+fn group_planning(c: &mut Criterion) {
     let mut bench = c.benchmark_group("judge all groups");
     for groups in [4, 16, 57] {
-        let fixture = fixtures::domain(groups * 16 + 5, groups, 16);
+        let fixture = fixtures::serving_domain(groups * 16 + 5, groups, 16);
         let rules = GroupReadinessRules { report_ttl: Millis(2_500) };
         let leaving = BTreeSet::new();
         bench.bench_function(BenchmarkId::from_parameter(groups), |b| {
             b.iter(|| {
-                let judged = fixture.state.fleet.groups().filter(|group| {
+                let ready = fixture.state.fleet.groups().filter(|group| {
                     check_group(group, &fixture.observations, &leaving, fixture.now, rules).is_ok()
                 });
-                black_box(judged.count())
+                black_box(ready.count())
             });
         });
     }
     drop(bench);
     let mut bench = c.benchmark_group("plan a domain");
     for groups in [1, 4, 16] {
-        let fixture = fixtures::domain(groups * 16 + 5, groups, 16);
+        let fixture = fixtures::serving_domain(groups * 16 + 5, groups, 16);
         let mut timers = StewardTimers::default();
         bench.bench_function(BenchmarkId::from_parameter(groups * 16 + 5), |b| {
             b.iter(|| black_box(steward::plan(&fixture.view(), &mut timers, &fixture.rules)));
@@ -163,5 +164,5 @@
     }
 }
 
-criterion_group!(hot_paths, route, prefix, queue, fold, groups, rank);
+criterion_group!(hot_paths, route, prefix, queue, replay, group_planning, rank);
 criterion_main!(hot_paths);
--- a/crates/workshold-bench/src/admission.rs
+++ b/crates/workshold-bench/src/admission.rs
@@ -1,4 +1,4 @@
-//! Who waits and who is refused: the shipped queue against a plain one.
+//! Queueing and rejection under overload: the shipped fair queue against an unbounded FIFO queue.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -15,61 +15,73 @@
 use workshold_protocol::Millis;
 use workshold_protocol::ids::TeamName;
 
-use crate::Length;
+use crate::RunLength;
 use crate::table::Table;
 
 const SERVERS: u32 = 20;
 const SERVICE_MS: u64 = 200;
 const DEADLINE_MS: u64 = 2_000;
 const TEAMS: usize = 10;
-/// Teams that ask for more than their share.
-const LARGE: usize = 2;
-/// How often a refused caller comes back, if it was told when.
-const RETURNS: u32 = 2;
+/// The first teams are large: in the fairness bench they ask for more than their share.
+const LARGE_TEAMS: usize = 2;
+/// How often a rejected caller sends its request again, each time after the delay it was told.
+const MAX_RETRIES: u32 = 2;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
+    /// The fair queue of `workshold-core` with its default rules.
     Shipped,
+    /// First come, first served, without a bound or rejection.
     Fifo,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Call {
+struct Request {
     team: usize,
-    arrived: u64,
-    first_asked: u64,
-    returns: u32,
+    arrived_at: u64,
+    /// When the caller first sent the request.
+    first_sent_at: u64,
+    /// How often the caller has sent it again.
+    retries: u32,
 }
 
 enum Queue {
-    Fair(FairQueue<Call>),
-    Fifo(VecDeque<Call>),
+    Fair(FairQueue<Request>),
+    Fifo(VecDeque<Request>),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum Event {
     Arrive,
-    Return { team: usize, first_asked: u64, returns: u32 },
+    Retry { team: usize, first_sent_at: u64, retries: u32 },
     End,
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    good: Vec<(u64, usize, u64)>,
-    refused: u64,
-    late: u64,
-    last_late: u64,
+    /// Answers within the deadline: end (ms), team, time spent in the queue (ms).
+    in_time: Vec<(u64, usize, u64)>,
+    /// Requests that the queue rejected, and that expired in it.
+    rejected: u64,
+    /// Answers after the deadline.
+    late_count: u64,
+    /// End of the last late answer, in ms.
+    last_late_end: u64,
 }
 
-struct Sim {
+struct Simulation {
     rng: ChaCha8Rng,
     queue: Queue,
     teams: Vec<TeamName>,
+    /// Rate of new requests at a time (ms), as a multiple of the capacity.
     load: Box<dyn Fn(u64) -> f64>,
-    large_part: f64,
+    /// Fraction of the requests that come from large teams.
+    large_fraction: f64,
+    /// Number of servers in use.
     busy: u32,
-    events: BinaryHeap<Reverse<(u64, u64, Happening)>>,
-    next: u64,
+    /// Time (ms), sequence number as a tie-breaker, and event.
+    events: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    next_event: u64,
     outcome: Outcome,
 }
 
@@ -77,9 +89,9 @@
     f64::from(SERVERS) * 1000.0 / SERVICE_MS as f64
 }
 
-impl Sim {
-    fn new(policy: Policy, seed: u64, large_part: f64, load: Box<dyn Fn(u64) -> f64>) -> Self {
-        let name = |i| TeamName::new(&format!("team-{i}")).expect("it is a name");
+impl Simulation {
+    fn new(policy: Policy, seed: u64, large_fraction: f64, load: Box<dyn Fn(u64) -> f64>) -> Self {
+        let name = |i| TeamName::new(&format!("team-{i}")).expect("the name is valid");
         let queue = match policy {
             Policy::Shipped => Queue::Fair(FairQueue::new(QueueRules::default())),
             Policy::Fifo => Queue::Fifo(VecDeque::new()),
@@ -89,81 +101,86 @@
             queue,
             teams: (0..TEAMS).map(name).collect(),
             load,
-            large_part,
+            large_fraction,
             busy: 0,
             events: BinaryHeap::new(),
-            next: 0,
+            next_event: 0,
             outcome: Outcome::default(),
         }
     }
 
-    fn at(&mut self, ms: u64, happening: Happening) {
-        self.next += 1;
-        self.events.push(Reverse((ms, self.next, happening)));
+    /// Schedules an event at a time in ms.
+    fn schedule(&mut self, ms: u64, event: Event) {
+        self.next_event += 1;
+        self.events.push(Reverse((ms, self.next_event, event)));
     }
 
+    /// Simulates `ms` milliseconds.
     fn run(mut self, ms: u64) -> Outcome {
-        self.at(0, Happening::Arrive);
-        while let Some(Reverse((now, _, happening))) = self.events.pop() {
+        self.schedule(0, Event::Arrive);
+        while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now > ms {
                 break;
             }
-            match happening {
-                Happening::Arrive => self.arrive(now),
-                Happening::Return { team, first_asked, returns } => {
-                    self.ask(Call { team, arrived: now, first_asked, returns }, now);
+            match event {
+                Event::Arrive => self.arrive(now),
+                Event::Retry { team, first_sent_at, retries } => {
+                    self.submit(Request { team, arrived_at: now, first_sent_at, retries }, now);
                 }
-                Happening::End => {
+                Event::End => {
                     self.busy -= 1;
-                    self.start_waiting(now);
+                    self.start_queued(now);
                 }
             }
         }
         self.outcome
     }
 
+    /// Schedules the next arrival and sends a new request of a random team.
     fn arrive(&mut self, now: u64) {
         let rate = (self.load)(now) * capacity_per_s();
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate * 1000.0;
-        // Several may come within one millisecond.
+        // Rounds randomly to whole milliseconds, so that several may arrive within one.
         let next = now + (gap + self.rng.random::<f64>()) as u64;
-        self.at(next, Happening::Arrive);
-        let is_large = self.rng.random::<f64>() < self.large_part;
+        self.schedule(next, Event::Arrive);
+        let is_large = self.rng.random::<f64>() < self.large_fraction;
         let team = if is_large {
-            self.rng.random_range(0..LARGE)
+            self.rng.random_range(0..LARGE_TEAMS)
         } else {
-            self.rng.random_range(LARGE..TEAMS)
+            self.rng.random_range(LARGE_TEAMS..TEAMS)
         };
-        self.ask(Call { team, arrived: now, first_asked: now, returns: 0 }, now);
+        self.submit(Request { team, arrived_at: now, first_sent_at: now, retries: 0 }, now);
     }
 
-    fn ask(&mut self, call: Call, now: u64) {
+    /// Starts a request if a server is free and nothing waits, otherwise queues it. If the queue
+    /// rejects it, schedules the caller's retry.
+    fn submit(&mut self, request: Request, now: u64) {
         let draw = self.rng.random::<f64>();
         if self.busy < SERVERS && self.is_empty() {
-            self.start(call, now);
+            self.start(request, now);
             return;
         }
         let arrival = Arrival {
-            team: &self.teams[call.team],
+            team: &self.teams[request.team],
             share: 1.0,
             priority: Priority::Normal,
             start_by: Millis(now + DEADLINE_MS - SERVICE_MS),
             draw,
         };
-        let refused = match &mut self.queue {
+        let rejected = match &mut self.queue {
             Queue::Fifo(queue) => {
-                queue.push_back(call);
+                queue.push_back(request);
                 None
             }
-            Queue::Fair(queue) => queue.push(&arrival, call, Millis(now)).err(),
+            Queue::Fair(queue) => queue.push(&arrival, request, Millis(now)).err(),
         };
-        let Some(refused) = refused else { return };
-        self.outcome.refused += 1;
-        if call.returns < RETURNS {
-            let (team, first_asked) = (call.team, call.first_asked);
-            let returns = call.returns + 1;
-            let back = Happening::Return { team, first_asked, returns };
-            self.at(now + refused.retry_after.0, back);
+        let Some(rejected) = rejected else { return };
+        self.outcome.rejected += 1;
+        if request.retries < MAX_RETRIES {
+            let (team, first_sent_at) = (request.team, request.first_sent_at);
+            let retries = request.retries + 1;
+            let retry = Event::Retry { team, first_sent_at, retries };
+            self.schedule(now + rejected.retry_after.0, retry);
         }
     }
 
@@ -174,74 +191,81 @@
         }
     }
 
-    fn start(&mut self, call: Call, now: u64) {
+    /// Runs a request on a free server.
+    fn start(&mut self, request: Request, now: u64) {
         self.busy += 1;
-        self.at(now + SERVICE_MS, Happening::End);
+        self.schedule(now + SERVICE_MS, Event::End);
         let end = now + SERVICE_MS;
-        if end <= call.arrived + DEADLINE_MS {
-            self.outcome.good.push((end, call.team, now - call.arrived));
+        if end <= request.arrived_at + DEADLINE_MS {
+            self.outcome.in_time.push((end, request.team, now - request.arrived_at));
         } else {
-            self.outcome.late += 1;
-            self.outcome.last_late = end;
+            self.outcome.late_count += 1;
+            self.outcome.last_late_end = end;
         }
     }
 
-    fn start_waiting(&mut self, now: u64) {
+    /// Starts queued requests while servers are free.
+    fn start_queued(&mut self, now: u64) {
         while self.busy < SERVERS {
             let next = match &mut self.queue {
                 Queue::Fifo(queue) => queue.pop_front(),
                 Queue::Fair(queue) => match queue.pop(Millis(now)) {
-                    Some(Dequeued::Start(call)) => Some(call),
+                    Some(Dequeued::Start(request)) => Some(request),
                     Some(Dequeued::Expired(_)) => {
-                        self.outcome.refused += 1;
+                        self.outcome.rejected += 1;
                         continue;
                     }
                     None => None,
                 },
             };
-            let Some(call) = next else { return };
-            self.start(call, now);
+            let Some(request) = next else { return };
+            self.start(request, now);
         }
     }
 }
 
 const POLICIES: [(&str, Policy); 2] = [("shipped", Policy::Shipped), ("first come", Policy::Fifo)];
 
-/// What is answered in time at several multiples of the capacity.
-pub fn run(length: Length, seed: u64) -> Table {
-    let secs = if length == Length::Long { 120 } else { 30 };
+/// Goodput (answers within the deadline, as a fraction of the capacity) and time to recover, at several
+/// multiples of the capacity.
+pub fn run(length: RunLength, seed: u64) -> Table {
+    let secs = if length == RunLength::Long { 120 } else { 30 };
     let columns = ["goodput", "recovery s"];
     let mut table = Table::new("goodput under overload", &columns);
     for load in [1.0, 1.5, 3.0, 10.0] {
         for (name, policy) in POLICIES {
-            let sim = Sim::new(policy, seed, 0.2, Box::new(move |_| load));
-            let goodput = goodput(&sim.run(secs * 1000), secs);
-            table.row(format!("{load} times, {name}"), vec![goodput, recovery(policy, load, seed)]);
+            let simulation = Simulation::new(policy, seed, 0.2, Box::new(move |_| load));
+            let goodput = goodput(&simulation.run(secs * 1000), secs);
+            table.push_row(
+                format!("{load} times, {name}"),
+                vec![goodput, recovery(policy, load, seed)],
+            );
         }
     }
     table
 }
 
+/// Goodput as a fraction of the capacity; the first quarter of the run is left out.
 fn goodput(outcome: &Outcome, secs: u64) -> f64 {
     let from = secs * 1000 / 4;
-    let good = outcome.good.iter().filter(|(end, _, _)| *end > from).count();
-    good as f64 / ((secs * 1000 - from) as f64 / 1000.0) / capacity_per_s()
+    let in_time = outcome.in_time.iter().filter(|(end, _, _)| *end > from).count();
+    in_time as f64 / ((secs * 1000 - from) as f64 / 1000.0) / capacity_per_s()
 }
 
 const BURST_END_MS: u64 = 20_000;
 
-/// How long after a burst of 10 s the last late answer comes, at half load.
+/// Seconds from the end of a burst of 10 s to the last late answer, at half load apart from the burst.
 fn recovery(policy: Policy, burst: f64, seed: u64) -> f64 {
     let load = move |now: u64| {
         if (10_000..BURST_END_MS).contains(&now) { burst } else { 0.5 }
     };
-    let outcome = Sim::new(policy, seed, 0.2, Box::new(load)).run(300_000);
-    outcome.last_late.saturating_sub(BURST_END_MS) as f64 / 1000.0
+    let outcome = Simulation::new(policy, seed, 0.2, Box::new(load)).run(300_000);
+    outcome.last_late_end.saturating_sub(BURST_END_MS) as f64 / 1000.0
 }
 
-/// What small teams see while two large ones ask for five times their share.
-pub fn fairness(length: Length, seed: u64) -> Table {
-    let secs = if length == Length::Long { 120 } else { 30 };
+/// Waiting times and answers of small teams while two large ones ask for five times their share.
+pub fn fairness(length: RunLength, seed: u64) -> Table {
+    let secs = if length == RunLength::Long { 120 } else { 30 };
     let columns = ["small teams: wait p50 ms", "wait p95 ms", "answered of asked"];
     let mut table = Table::new("two large teams at five times their share", &columns);
     // Eight small teams at half of their share, two large ones at five times it.
@@ -250,11 +274,12 @@
         [("empty system", small, 0.0), ("overloaded", small + large, large / (small + large))];
     for (case, load, part) in cases {
         for (name, policy) in POLICIES {
-            let outcome = Sim::new(policy, seed, part, Box::new(move |_| load)).run(secs * 1000);
+            let outcome =
+                Simulation::new(policy, seed, part, Box::new(move |_| load)).run(secs * 1000);
             let mut waits: Vec<_> = outcome
-                .good
+                .in_time
                 .iter()
-                .filter(|(_, team, _)| *team >= LARGE)
+                .filter(|(_, team, _)| *team >= LARGE_TEAMS)
                 .map(|(_, _, wait)| *wait as f64)
                 .collect();
             waits.sort_by(f64::total_cmp);
@@ -263,7 +288,8 @@
             };
             let asked = small * capacity_per_s() * secs as f64;
             let answered = waits.len() as f64 / asked;
-            table.row(format!("{case}, {name}"), vec![quantile(0.5), quantile(0.95), answered]);
+            table
+                .push_row(format!("{case}, {name}"), vec![quantile(0.5), quantile(0.95), answered]);
         }
     }
     table
--- a/crates/workshold-bench/src/bounds.rs
+++ b/crates/workshold-bench/src/bounds.rs
@@ -1,26 +1,27 @@
-//! Regression bounds: one committed file, strict because the figures are exact.
+//! Regression bounds for the figures of the benches, read from `bounds.toml`. They can be tight,
+//! because the figures are reproducible exactly.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
-use crate::Length;
+use crate::RunLength;
 use crate::table::Table;
 
-/// The least and the most that a figure may be.
+/// The range that a figure must stay in.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// The least.
+    /// Smallest allowed value; `None` if there is no lower bound.
     pub min: Option<f64>,
-    /// The most.
+    /// Largest allowed value; `None` if there is no upper bound.
     pub max: Option<f64>,
 }
 
-/// Bounds by `table/row/column`.
+/// Bounds by the figure's key, `table/row/column`.
 pub type Bounds = BTreeMap<String, Bound>;
 
-/// The file of bounds: one part for each length, as the figures differ.
+/// The file of bounds, with one section per run length, because the figures differ.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BoundsFile {
@@ -29,22 +30,22 @@
 }
 
 impl BoundsFile {
-    /// The bounds of a length.
-    pub fn of(&self, length: Length) -> &Bounds {
+    /// The bounds for runs of this length.
+    pub fn for_length(&self, length: RunLength) -> &Bounds {
         match length {
-            Length::Short => &self.short,
-            Length::Long => &self.long,
+            RunLength::Short => &self.short,
+            RunLength::Long => &self.long,
         }
     }
 }
 
-/// What is wrong with the figures: one line each.
-pub fn broken(tables: &[Table], bounds: &Bounds) -> Vec<String> {
+/// Describes each violated bound in one line, including bounds whose figure is missing.
+pub fn violations(tables: &[Table], bounds: &Bounds) -> Vec<String> {
     let figures: BTreeMap<_, _> = tables.iter().flat_map(Table::figures).collect();
-    bounds.iter().filter_map(|(name, bound)| check(name, bound, figures.get(name))).collect()
+    bounds.iter().filter_map(|(name, bound)| check_bound(name, bound, figures.get(name))).collect()
 }
 
-fn check(name: &str, bound: &Bound, figure: Option<&f64>) -> Option<String> {
+fn check_bound(name: &str, bound: &Bound, figure: Option<&f64>) -> Option<String> {
     let Some(figure) = figure else { return Some(format!("{name}: there is no such figure")) };
     if let Some(min) = bound.min.filter(|min| figure < min) {
         return Some(format!("{name}: {figure} is below {min}"));
--- a/crates/workshold-bench/src/fixtures.rs
+++ b/crates/workshold-bench/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! Domains and records of a given size, for the benches of hot paths.
+//! Fabric domains and log records of a given size, for the micro-benchmarks of hot paths.
 
 use workshold_core::group_readiness::GroupReadinessRules;
 use workshold_core::instance_list::InstanceList;
@@ -34,24 +34,25 @@
 use workshold_protocol::report::Report;
 use workshold_protocol::signing::OperatorKey;
 
-/// A domain whose groups all serve.
+/// A fabric domain whose groups all serve, with everything that a steward plans from. The steward is
+/// the node that plans for a domain and sends orders to its instances.
 #[derive(Debug)]
-pub struct Fixture {
-    /// What lasts.
+pub struct DomainFixture {
+    /// State that was replayed from the log.
     pub state: State,
-    /// What instances said.
+    /// The latest report of each instance.
     pub observations: Observations,
-    /// What is listed.
+    /// The instances that are listed for the domain.
     pub list: InstanceList,
-    /// The time.
+    /// Time of the reports and of planning.
     pub now: Millis,
-    /// What a steward keeps to.
+    /// The steward's timeouts and costs.
     pub rules: StewardRules,
     domain: FabricDomain,
 }
 
-impl Fixture {
-    /// What a steward looks at.
+impl DomainFixture {
+    /// The input of the steward's planner.
     pub fn view(&self) -> View<'_> {
         View {
             domain: &self.domain,
@@ -63,12 +64,12 @@
     }
 }
 
-fn name<T>(made: workshold_protocol::Result<T>) -> T {
-    made.expect("it is a name")
+fn valid<T>(result: workshold_protocol::Result<T>) -> T {
+    result.expect("the name is valid")
 }
 
 fn instance(i: usize) -> InstanceId {
-    name(InstanceId::new(&format!("instance-{i:04}")))
+    valid(InstanceId::new(&format!("instance-{i:04}")))
 }
 
 fn bundle(groups: usize, size: usize) -> Bundle {
@@ -76,19 +77,22 @@
         "name = \"bench\"\n[models.m]\nversion = \"v1\"\nreplicas = {groups}\n\
          [[models.m.roles]]\nname = \"full\"\ninstances = {size}\n"
     );
-    Bundle::from_toml(&text).expect("it is a bundle")
+    Bundle::from_toml(&text).expect("the bundle is valid")
 }
 
-/// A domain of so many instances, with groups of `size` that all serve.
-pub fn domain(instances: usize, groups: usize, size: usize) -> Fixture {
-    let domain = name(FabricDomain::new("fabric"));
+/// Builds a domain of `instances` instances in which `groups` groups of `size` instances serve; the
+/// other instances are free.
+pub fn serving_domain(instances: usize, groups: usize, size: usize) -> DomainFixture {
+    let domain = valid(FabricDomain::new("fabric"));
     let bundle = bundle(groups, size);
     let hash = bundle.hash();
     let signed = SignedBundle::sign(bundle, &OperatorKey::generate());
     let mut state = State::default();
     let mut append = |fact| {
         let next = state.next();
-        state.apply(next, &Envelope::new(Millis::ZERO, vec![fact])).expect("offsets follow");
+        state
+            .apply(next, &Envelope::new(Millis::ZERO, vec![fact]))
+            .expect("offsets are consecutive");
         next
     };
     append(Fact::BundlePublished(Box::new(signed)));
@@ -98,13 +102,13 @@
     for g in 0..groups {
         let members = (g * size..(g + 1) * size)
             .map(|i| Member { instance: instance(i), incarnation: Incarnation(1) });
-        let group = name(GroupId::new(&format!("g{g}")));
+        let group = valid(GroupId::new(&format!("g{g}")));
         let fence = append(Fact::GroupFormed(GroupFormation {
             group: group.clone(),
             bundle: hash,
-            model: name(ModelName::new("m")),
-            version: name(Version::new("v1")),
-            role: name(RoleName::new("full")),
+            model: valid(ModelName::new("m")),
+            version: valid(Version::new("v1")),
+            role: valid(RoleName::new("full")),
             domain: domain.clone(),
             members: members.collect(),
             relied_on: workshold_protocol::ids::Offset(2 + g as u64),
@@ -112,8 +116,9 @@
         }));
         for i in g * size..(g + 1) * size {
             let readiness = Readiness::Ready;
-            let seat = GroupMembership { group: group.clone(), fence: fence.into(), readiness };
-            observations.take(&instance(i), now, now, report(Some(seat)));
+            let membership =
+                GroupMembership { group: group.clone(), fence: fence.into(), readiness };
+            observations.take(&instance(i), now, now, report(Some(membership)));
         }
     }
     for i in groups * size..instances {
@@ -122,12 +127,12 @@
     let listed = |i| ListedInstance {
         instance: instance(i),
         address: "127.0.0.1:1".to_owned(),
-        data_centre: name(DataCentre::new("dc")),
+        data_centre: valid(DataCentre::new("dc")),
         kind: InstanceKind::Engine { domain: domain.clone(), accelerators: 8, fenced: true },
         leaving: false,
     };
     let list = InstanceList::new((0..instances).map(listed).collect());
-    Fixture { state, observations, list, now, rules: rules(), domain }
+    DomainFixture { state, observations, list, now, rules: rules(), domain }
 }
 
 fn report(membership: Option<GroupMembership>) -> Report {
@@ -155,17 +160,18 @@
     }
 }
 
-/// So many records, each with so many intents.
-pub fn intents(in_each: usize, records: usize) -> Vec<Envelope> {
+/// Builds `records` records with `intents_per_record` intents each.
+pub fn intent_records(intents_per_record: usize, records: usize) -> Vec<Envelope> {
     let intent = |n: usize| {
         Fact::Intent(Intent {
             key: KeyDigest::of(&n.to_le_bytes()),
             key_time: Millis(1_000),
             request: RequestDigest::of(&n.to_le_bytes()),
-            node: name(NodeId::new("node-1")),
+            node: valid(NodeId::new("node-1")),
             incarnation: Incarnation(1),
         })
     };
-    let facts = |r: usize| (0..in_each).map(|i| intent(r * in_each + i)).collect();
+    let facts =
+        |r: usize| (0..intents_per_record).map(|i| intent(r * intents_per_record + i)).collect();
     (0..records).map(|r| Envelope::new(Millis::ZERO, facts(r))).collect()
 }
--- a/crates/workshold-bench/src/lib.rs
+++ b/crates/workshold-bench/src/lib.rs
@@ -1,7 +1,7 @@
-//! Development only: policy benches in virtual time, with regression bounds.
+//! Policy benches in virtual time, with regression bounds; for development only.
 //!
-//! Each bench runs the shipped decisions of `workshold-core` against baselines in
-//! one run, with a seed, so that its figures are exact and can be bounded.
+//! Each bench simulates the policies of `workshold-core` ("shipped") and simple baselines with the
+//! same seed, so that its figures are reproducible exactly and can be held to tight bounds.
 
 pub mod admission;
 pub mod bounds;
@@ -12,19 +12,19 @@
 pub mod routing;
 pub mod table;
 
-/// How long the benches run.
+/// How much virtual time the benches simulate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Length {
-    /// Seconds; runs in the tests.
+pub enum RunLength {
+    /// Takes seconds of real time; run by the tests.
     Short,
-    /// A few minutes; `scripts/bench`.
+    /// Takes a few minutes of real time; run by `scripts/bench`.
     Long,
 }
 
-/// One bench: its name on the command line, and how to run it.
-type Bench = (&'static str, fn(Length, u64) -> Vec<table::Table>);
+/// A bench's name on the command line, and the function that runs it with a seed.
+type Bench = (&'static str, fn(RunLength, u64) -> Vec<table::Table>);
 
-/// All benches.
+/// All benches, in the order in which they run.
 const BENCHES: [Bench; 5] = [
     ("routing", routing::run),
     ("limits", |_, seed| vec![limits::run(seed)]),
@@ -35,18 +35,19 @@
     ("repair", repair::run),
 ];
 
-/// Runs the benches whose name begins with `only`; each is told as it ends.
+/// Runs the benches whose name begins with `only`, all if it is empty. Calls `on_done` with the name
+/// and tables of each bench when it ends.
 pub fn run_all(
-    length: Length,
+    length: RunLength,
     seed: u64,
     only: &str,
-    mut done: impl FnMut(&str, &[table::Table]),
+    mut on_done: impl FnMut(&str, &[table::Table]),
 ) -> Vec<table::Table> {
     let mut tables = Vec::new();
     for (name, run) in BENCHES.iter().filter(|(name, _)| name.starts_with(only)) {
-        let made = run(length, seed);
-        done(name, &made);
-        tables.extend(made);
+        let bench_tables = run(length, seed);
+        on_done(name, &bench_tables);
+        tables.extend(bench_tables);
     }
     tables
 }
--- a/crates/workshold-bench/src/repair.rs
+++ b/crates/workshold-bench/src/repair.rs
@@ -1,4 +1,6 @@
-//! A month of failures: the shipped steward against waiting and rebuilding at once.
+//! Days of instance failures: the shipped steward against always waiting and always rebuilding.
+//!
+//! The steward is the node that plans for a fabric domain and sends orders to its instances.
 
 mod fleet;
 
@@ -6,8 +8,8 @@
 use workshold_protocol::Millis;
 use workshold_protocol::bundle::CostWeights;
 
-use crate::Length;
-use crate::repair::fleet::Month;
+use crate::RunLength;
+use crate::repair::fleet::FailureSimulation;
 use crate::repair::fleet::Policy;
 use crate::table::Table;
 
@@ -19,9 +21,9 @@
     "groups ended",
 ];
 
-/// Both deployments' weights, with and without spares, each with all policies.
-pub fn run(length: Length, seed: u64) -> Vec<Table> {
-    let days = if length == Length::Long { 10 } else { 1 };
+/// Simulates two deployments' cost weights, with and without spare instances, each with all policies.
+pub fn run(length: RunLength, seed: u64) -> Vec<Table> {
+    let days = if length == RunLength::Long { 10 } else { 1 };
     let parkowisko = CostWeights { group_downtime: 1.0, stranded_accelerator: 0.002 };
     let sifr = CostWeights { group_downtime: 0.2, stranded_accelerator: 0.02 };
     let mut tables = Vec::new();
@@ -30,8 +32,8 @@
             let mut table = Table::new(format!("repairs, {name}, {fleet}"), &COLUMNS);
             for (policy_name, expect) in policies() {
                 let policy = Policy { expect, spares };
-                let month = Month::new(days, weights, policy, seed);
-                table.row(policy_name, month.run().to_vec());
+                let simulation = FailureSimulation::new(days, weights, policy, seed);
+                table.push_row(policy_name, simulation.run().to_vec());
             }
             tables.push(table);
         }
@@ -39,14 +41,15 @@
     tables
 }
 
-/// The shipped expectations, and two that make the steward a plain baseline.
+/// The shipped expectations of repair times, and two sets that turn the steward into a baseline.
 fn policies() -> [(&'static str, Expectations); 3] {
-    let at_once = Expectations {
+    // Expects that no missing instance comes back, so that rebuilding always looks cheaper.
+    let rebuild_at_once = Expectations {
         restart_share: 0.0,
         restart_time: Millis(1),
         replacement_time: Millis(u64::MAX / 4),
     };
-    // Whoever is missing is always expected back at once, also when spares are there.
+    // Expects every missing instance back within a second, even if there are spares.
     let wait = Expectations {
         restart_share: 1.0,
         restart_time: Millis(1_000),
@@ -54,7 +57,7 @@
     };
     [
         ("shipped", Expectations::default()),
-        ("rebuild at once", at_once),
+        ("rebuild at once", rebuild_at_once),
         ("wait unless a spare is there", wait),
     ]
 }
--- a/crates/workshold-bench/src/repair/fleet.rs
+++ b/crates/workshold-bench/src/repair/fleet.rs
@@ -1,5 +1,6 @@
-//! Fabric domains in virtual time: instances that fail as the letter's rates say,
-//! obey orders, and load from a rate-limited store; the shipped steward and fold.
+//! Simulation of fabric domains in virtual time. Instances fail at the rates that the requirements
+//! state, execute orders, and load weights from a rate-limited store. Planning, state and group
+//! readiness are those of `workshold-core`.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -45,48 +46,55 @@
 use workshold_protocol::signing::PublicKey;
 
 const DOMAINS: usize = 12;
-/// 920 instances over 12 domains.
-const PER_DOMAIN: usize = 77;
-const ACCELERATORS: u16 = 8;
-const FULL: u16 = 16;
-const HALF: u16 = 8;
-/// Four full groups and a half one fit each domain, and five instances are spare.
+/// Instances per domain: 920 instances over 12 domains.
+const INSTANCES_PER_DOMAIN: usize = 77;
+const ACCELERATORS_PER_INSTANCE: u16 = 8;
+const FULL_GROUP_SIZE: u16 = 16;
+const HALF_GROUP_SIZE: u16 = 8;
+/// Over all domains. Each domain has room for four full groups and one half group, and five spare
+/// instances.
 const REPLICAS: u16 = 60;
+/// Capacity of a half group relative to a full one.
 const HALF_WORTH: f64 = 0.45;
-/// On an ordinary day, over all instances.
-const FAILURES_A_DAY: f64 = 15.0;
-const RESTARTS_A_DAY: f64 = 76.0;
-/// A rack of so many instances goes every 45 days, a data centre every 120.
-const RACK: usize = 16;
-const RACKS_A_DAY: f64 = 1.0 / 45.0;
-const DARK_A_DAY: f64 = 1.0 / 120.0;
-const RESTART_SECS: f64 = 120.0;
-const REPLACEMENT_SECS: f64 = 4.0 * 3600.0;
-const DARK_SECS: f64 = 2.0 * 3600.0;
+/// Failures that need a replacement on an ordinary day, over all instances.
+const FAILURES_PER_DAY: f64 = 15.0;
+/// Restarts on an ordinary day, over all instances.
+const RESTARTS_PER_DAY: f64 = 76.0;
+/// Instances per rack.
+const RACK_SIZE: usize = 16;
+/// A rack fails every 45 days.
+const RACK_FAILURES_PER_DAY: f64 = 1.0 / 45.0;
+/// A data centre goes down every 120 days, and with it all instances of a domain.
+const OUTAGES_PER_DAY: f64 = 1.0 / 120.0;
+const MEAN_RESTART_SECS: f64 = 120.0;
+const MEAN_REPLACEMENT_SECS: f64 = 4.0 * 3600.0;
+const MEAN_OUTAGE_SECS: f64 = 2.0 * 3600.0;
 const WEIGHTS_MIB: u32 = 160 * 1024;
+/// Rate at which one instance loads weights.
 const LOAD_MIB_PER_S: u32 = 1_024;
-/// What the store gives to one domain in a second.
+/// Rate at which the store serves one domain, over all its instances.
 const STORE_MIB_PER_S: u64 = 8_192;
 const DAY_SECS: f64 = 86_400.0;
-/// Between two looks while something is under way.
-const STEP: Millis = Millis(2_000);
-/// Between two looks before the month begins.
-const SETTLE_STEP: Millis = Millis(10_000);
-/// Between two looks while instances are gone and nothing else happens.
-const LOOK_AGAIN: Millis = Millis(60_000);
-/// A loss is dealt with, or waited out, after this.
-const FRESH_LOSS: Millis = Millis(14_000);
+/// Planning interval while orders or loads are in progress.
+const BUSY_INTERVAL: Millis = Millis(2_000);
+/// Planning interval before the counted time begins.
+const SETTLE_INTERVAL: Millis = Millis(10_000);
+/// Planning interval while instances are down and nothing else is in progress.
+const DEGRADED_INTERVAL: Millis = Millis(60_000);
+/// Time after a failure in which the steward may still react to it; planning isn't skipped meanwhile.
+const RECENT_FAILURE: Millis = Millis(14_000);
 
-/// How broken groups are treated.
+/// The steward's settings in one run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Policy {
+    /// Repair times that the steward expects.
     pub(super) expect: Expectations,
-    /// Whether instances are there beyond what the groups take.
+    /// Whether domains have more instances than the groups need.
     pub(super) spares: bool,
 }
 
 #[derive(Debug, Clone)]
-struct Seat {
+struct Assignment {
     group: GroupId,
     fence: FencingToken,
     ready_at: Millis,
@@ -96,13 +104,14 @@
 #[derive(Debug, Clone)]
 struct Instance {
     incarnation: u64,
+    /// When the instance is up again; `None` while it is up.
     back_at: Option<Millis>,
-    seat: Option<Seat>,
-    /// Since when it has the weights; later than now while it loads.
+    assignment: Option<Assignment>,
+    /// When the weights are or will be loaded; in the future while the instance loads them.
     loaded_at: Option<Millis>,
 }
 
-impl Seat {
+impl Assignment {
     fn readiness(&self, now: Millis) -> Readiness {
         if self.is_draining {
             Readiness::Draining
@@ -114,81 +123,87 @@
     }
 }
 
-/// A month in one domain after the other; they do not touch each other.
-pub(super) struct Month {
+/// Simulates the domains one after the other; they don't affect each other.
+pub(super) struct FailureSimulation {
     days: u64,
     weights: CostWeights,
     policy: Policy,
     rng: ChaCha8Rng,
 }
 
-/// What a month came to.
+/// Totals over all domains.
 #[derive(Debug, Default)]
-pub(super) struct Sums {
+pub(super) struct Totals {
+    /// Group-hours down, weighted by the groups' worth.
     down_hours: f64,
+    /// Accelerator-hours of instances that are up but in no serving group.
     stranded_hours: f64,
+    /// Lower bound of the hours down if no spare has the weights loaded.
     floor_hours: f64,
-    ended: f64,
+    /// Number of groups that were dissolved.
+    dissolved: f64,
     cost: f64,
 }
 
-impl Sums {
+impl Totals {
+    /// The figures in the order of the table's columns.
     pub(super) fn to_vec(&self) -> Vec<f64> {
-        vec![self.down_hours, self.stranded_hours, self.cost, self.floor_hours, self.ended]
+        vec![self.down_hours, self.stranded_hours, self.cost, self.floor_hours, self.dissolved]
     }
 }
 
-struct Domain<'a> {
-    month: &'a Month,
+struct DomainSimulation<'a> {
+    month: &'a FailureSimulation,
     name: FabricDomain,
     state: State,
     observations: Observations,
     timers: StewardTimers,
     instances: Vec<Instance>,
     list: InstanceList,
-    store_free: Millis,
+    /// When the store has served all loads so far.
+    store_free_at: Millis,
     now: Millis,
     records: u64,
 }
 
-impl Month {
+impl FailureSimulation {
     pub(super) fn new(days: u64, weights: CostWeights, policy: Policy, seed: u64) -> Self {
         Self { days, weights, policy, rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    pub(super) fn run(mut self) -> Sums {
-        let mut sums = Sums::default();
+    pub(super) fn run(mut self) -> Totals {
+        let mut totals = Totals::default();
         for d in 0..DOMAINS {
-            let losses = self.losses();
-            Domain::new(&self, d).run(&losses, &mut sums);
+            let failures = self.failures();
+            DomainSimulation::new(&self, d).run(&failures, &mut totals);
         }
-        sums.cost = self.weights.group_downtime * sums.down_hours
-            + self.weights.stranded_accelerator * sums.stranded_hours;
-        sums
+        totals.cost = self.weights.group_downtime * totals.down_hours
+            + self.weights.stranded_accelerator * totals.stranded_hours;
+        totals
     }
 
-    /// Instances that are lost: when, which, and for how long; in order of time.
-    fn losses(&mut self) -> Vec<(Millis, usize, Millis)> {
-        let mut losses = Vec::new();
+    /// Draws the failures of one domain: time, instance and duration, sorted by time.
+    fn failures(&mut self) -> Vec<(Millis, usize, Millis)> {
+        let mut failures = Vec::new();
         let secs = |secs: f64| Millis((secs * 1000.0) as u64);
         let draw = |rng: &mut ChaCha8Rng, mean: f64| -(1.0 - rng.random::<f64>()).ln() * mean;
         let kinds = [
-            (FAILURES_A_DAY / DOMAINS as f64, REPLACEMENT_SECS, 1),
-            (RESTARTS_A_DAY / DOMAINS as f64, RESTART_SECS, 1),
-            (RACKS_A_DAY, REPLACEMENT_SECS, RACK),
-            (DARK_A_DAY, DARK_SECS, PER_DOMAIN),
+            (FAILURES_PER_DAY / DOMAINS as f64, MEAN_REPLACEMENT_SECS, 1),
+            (RESTARTS_PER_DAY / DOMAINS as f64, MEAN_RESTART_SECS, 1),
+            (RACK_FAILURES_PER_DAY, MEAN_REPLACEMENT_SECS, RACK_SIZE),
+            (OUTAGES_PER_DAY, MEAN_OUTAGE_SECS, INSTANCES_PER_DOMAIN),
         ];
-        for (a_day, mean_secs, count) in kinds {
-            let mut at = draw(&mut self.rng, DAY_SECS / a_day);
+        for (per_day, mean_secs, count) in kinds {
+            let mut at = draw(&mut self.rng, DAY_SECS / per_day);
             while at < self.days as f64 * DAY_SECS {
-                let first = self.rng.random_range(0..=PER_DOMAIN - count);
-                let gone = draw(&mut self.rng, mean_secs).max(5.0);
-                losses.extend((first..first + count).map(|i| (secs(at), i, secs(gone))));
-                at += draw(&mut self.rng, DAY_SECS / a_day);
+                let first = self.rng.random_range(0..=INSTANCES_PER_DOMAIN - count);
+                let downtime = draw(&mut self.rng, mean_secs).max(5.0);
+                failures.extend((first..first + count).map(|i| (secs(at), i, secs(downtime))));
+                at += draw(&mut self.rng, DAY_SECS / per_day);
             }
         }
-        losses.sort();
-        losses
+        failures.sort();
+        failures
     }
 
     fn rules(&self) -> StewardRules {
@@ -206,54 +221,58 @@
     fn bundle(&self) -> Bundle {
         let text = format!(
             "name = \"month\"\n[models.big]\nversion = \"v1\"\nreplicas = {}\nweights_mib = {WEIGHTS_MIB}\n\
-             [[models.big.roles]]\nname = \"full\"\ninstances = {FULL}\n\
-             [[models.big.roles]]\nname = \"half\"\ninstances = {HALF}\nworth = {HALF_WORTH}\n",
+             [[models.big.roles]]\nname = \"full\"\ninstances = {FULL_GROUP_SIZE}\n\
+             [[models.big.roles]]\nname = \"half\"\ninstances = {HALF_GROUP_SIZE}\nworth = {HALF_WORTH}\n",
             REPLICAS as usize / DOMAINS,
         );
-        let bundle = Bundle::from_toml(&text).expect("it is a bundle");
+        let bundle = Bundle::from_toml(&text).expect("the bundle is valid");
         Bundle { weights: self.weights, ..bundle }
     }
 }
 
 fn instance_id(i: usize) -> InstanceId {
-    InstanceId::new(&format!("i{i}")).expect("it is a name")
+    InstanceId::new(&format!("i{i}")).expect("the name is valid")
 }
 
-fn weights() -> report::ModelWeights {
+fn model_weights() -> report::ModelWeights {
     report::ModelWeights {
-        model: ModelName::new("big").expect("it is a name"),
-        version: Version::new("v1").expect("it is a name"),
+        model: ModelName::new("big").expect("the name is valid"),
+        version: Version::new("v1").expect("the name is valid"),
     }
 }
 
+/// Index of an instance in its domain.
 fn index(id: &InstanceId) -> usize {
-    id.as_str()[1..].parse().expect("names are made by `instance_id`")
+    id.as_str()[1..].parse().expect("ids come from `instance_id`")
 }
 
-impl<'a> Domain<'a> {
-    fn new(month: &'a Month, d: usize) -> Self {
-        let name = FabricDomain::new(&format!("domain-{d}")).expect("it is a name");
-        let kind =
-            InstanceKind::Engine { domain: name.clone(), accelerators: ACCELERATORS, fenced: true };
+impl<'a> DomainSimulation<'a> {
+    fn new(month: &'a FailureSimulation, d: usize) -> Self {
+        let name = FabricDomain::new(&format!("domain-{d}")).expect("the name is valid");
+        let kind = InstanceKind::Engine {
+            domain: name.clone(),
+            accelerators: ACCELERATORS_PER_INSTANCE,
+            fenced: true,
+        };
         let listed = |i| ListedInstance {
             instance: instance_id(i),
             address: String::new(),
-            data_centre: workshold_protocol::ids::DataCentre::new("dc").expect("it is a name"),
+            data_centre: workshold_protocol::ids::DataCentre::new("dc").expect("the name is valid"),
             kind: kind.clone(),
             leaving: false,
         };
-        let grouped = usize::from(FULL) * 4 + usize::from(HALF);
-        let usable = if month.policy.spares { PER_DOMAIN } else { grouped };
-        let fresh = Instance { incarnation: 1, back_at: None, seat: None, loaded_at: None };
+        let grouped = usize::from(FULL_GROUP_SIZE) * 4 + usize::from(HALF_GROUP_SIZE);
+        let usable = if month.policy.spares { INSTANCES_PER_DOMAIN } else { grouped };
+        let initial = Instance { incarnation: 1, back_at: None, assignment: None, loaded_at: None };
         let mut domain = Self {
             month,
             name,
             state: State::default(),
             observations: Observations::default(),
             timers: StewardTimers::default(),
-            instances: vec![fresh; usable],
+            instances: vec![initial; usable],
             list: InstanceList::new((0..usable).map(listed).collect()),
-            store_free: Millis::ZERO,
+            store_free_at: Millis::ZERO,
             now: Millis(10_000),
             records: 0,
         };
@@ -276,66 +295,71 @@
         id[..8].copy_from_slice(&self.records.to_le_bytes());
         let envelope = Envelope { id: RecordId(id), at: Millis::ZERO, facts };
         let next = self.state.next();
-        self.state.apply(next, &envelope).expect("offsets follow one another");
+        self.state.apply(next, &envelope).expect("offsets are consecutive");
     }
 
-    fn run(mut self, losses: &[(Millis, usize, Millis)], sums: &mut Sums) {
+    fn run(mut self, failures: &[(Millis, usize, Millis)], totals: &mut Totals) {
         self.settle();
         let start = self.now;
         let end = start + Millis((self.month.days as f64 * DAY_SECS * 1000.0) as u64);
-        let mut losses = losses.iter().peekable();
+        let mut failures = failures.iter().peekable();
         while self.now < end {
-            while let Some((_, i, gone)) = losses.next_if(|(at, _, _)| start + *at <= self.now) {
+            while let Some((_, i, downtime)) =
+                failures.next_if(|(at, _, _)| start + *at <= self.now)
+            {
                 if *i < self.instances.len() {
-                    self.lose(*i, *gone, sums);
+                    self.fail_instance(*i, *downtime, totals);
                 }
             }
-            let was_quiet = self.step(sums);
-            let next_loss = losses.peek().map_or(end, |(at, _, _)| start + *at);
-            let step = if was_quiet { self.skip(next_loss.min(end)) } else { STEP };
-            self.account(step, sums);
+            let was_idle = self.step(totals);
+            let next_failure = failures.peek().map_or(end, |(at, _, _)| start + *at);
+            let step =
+                if was_idle { self.idle_interval(next_failure.min(end)) } else { BUSY_INTERVAL };
+            self.account(step, totals);
             self.now = self.now + step;
         }
     }
 
-    /// Until the first groups serve; that is not counted.
+    /// Runs until the first groups serve; this time is not counted.
     fn settle(&mut self) {
-        let mut unused = Sums::default();
+        let mut unused = Totals::default();
         for _ in 0..200 {
             self.step(&mut unused);
-            self.now = self.now + SETTLE_STEP;
+            self.now = self.now + SETTLE_INTERVAL;
         }
     }
 
-    /// How long nothing happens; while instances are gone, the steward still weighs
-    /// from time to time.
-    fn skip(&self, until: Millis) -> Millis {
+    /// Time to the next event if nothing is in progress. While instances are down, the steward still
+    /// plans every `DEGRADED_INTERVAL`, because its choice between waiting and rebuilding may change.
+    fn idle_interval(&self, until: Millis) -> Millis {
         let back = self.instances.iter().filter_map(|instance| instance.back_at).min();
-        let until = back.map_or(until, |back| back.min(until).min(self.now + LOOK_AGAIN));
-        until.since(self.now).max(STEP)
+        let until = back.map_or(until, |back| back.min(until).min(self.now + DEGRADED_INTERVAL));
+        until.since(self.now).max(BUSY_INTERVAL)
     }
 
-    fn lose(&mut self, i: usize, gone: Millis, sums: &mut Sums) {
+    /// Takes an instance down for a time; it comes back without weights, as a new incarnation.
+    fn fail_instance(&mut self, i: usize, downtime: Millis, totals: &mut Totals) {
         let instance = &mut self.instances[i];
-        let back_at = self.now + gone;
-        if instance.back_at.is_none() && instance.seat.is_some() {
-            // No policy can do better than load the weights into one instance.
+        let back_at = self.now + downtime;
+        if instance.back_at.is_none() && instance.assignment.is_some() {
+            // Without a spare that has the weights, even the best policy has to load them into one
+            // instance.
             let load = f64::from(WEIGHTS_MIB) / f64::from(LOAD_MIB_PER_S);
-            sums.floor_hours += load.min(gone.as_secs_f64()) / 3600.0;
+            totals.floor_hours += load.min(downtime.as_secs_f64()) / 3600.0;
         }
         instance.back_at = Some(instance.back_at.map_or(back_at, |old| old.max(back_at)));
-        instance.seat = None;
+        instance.assignment = None;
         instance.loaded_at = None;
         instance.incarnation += 1;
     }
 
-    /// One look of the steward; whether nothing was under way.
-    fn step(&mut self, sums: &mut Sums) -> bool {
+    /// Plans once and executes the plan. Returns whether nothing was in progress.
+    fn step(&mut self, totals: &mut Totals) -> bool {
         let now = self.now;
         for instance in &mut self.instances {
             instance.back_at = instance.back_at.filter(|back| *back > now);
         }
-        self.probe();
+        self.take_reports();
         let rules = self.month.rules();
         let view = View {
             domain: &self.name,
@@ -345,51 +369,52 @@
             now,
         };
         let plan = steward::plan(&view, &mut self.timers, &rules);
-        let is_quiet = plan.facts.is_empty() && plan.orders.is_empty() && self.all_settled();
-        sums.ended +=
+        let is_idle = plan.facts.is_empty() && plan.orders.is_empty() && self.all_settled();
+        totals.dissolved +=
             plan.facts.iter().filter(|f| matches!(f, Fact::GroupDissolved(_))).count() as f64;
         for (id, order) in plan.orders {
-            self.obey(index(&id), order);
+            self.execute_order(index(&id), order);
         }
         if !plan.facts.is_empty() {
             self.append(plan.facts);
         }
-        is_quiet
+        is_idle
     }
 
-    /// Whether every group that the log has serves, or only waits for a return.
+    /// Whether no group is being dissolved, no instance is loading, and no failure is recent.
     fn all_settled(&self) -> bool {
         let is_loading = |instance: &Instance| {
-            instance.seat.as_ref().is_some_and(|seat| seat.ready_at > self.now)
+            instance.assignment.as_ref().is_some_and(|assignment| assignment.ready_at > self.now)
         };
         let fleet = &self.state.fleet;
-        let any_ending = fleet.groups().any(|group| {
+        let any_dissolving = fleet.groups().any(|group| {
             let is_claimed = |m: &Member| fleet.claim_of(&m.instance) == Some(&group.id);
             let is_up = |m: &Member| self.instances[index(&m.instance)].back_at.is_none();
             !group.is_active() && group.members.iter().any(|m| is_claimed(m) && is_up(m))
         });
-        let just_lost = self.instances.iter().enumerate().any(|(i, instance)| {
+        let any_recent_failure = self.instances.iter().enumerate().any(|(i, instance)| {
             let observation = self.observations.get(&instance_id(i));
             let silent = observation.map_or(Millis::ZERO, |w| self.now.since(w.true_since));
-            instance.back_at.is_some() && silent < FRESH_LOSS
+            instance.back_at.is_some() && silent < RECENT_FAILURE
         });
-        !any_ending && !just_lost && !self.instances.iter().any(is_loading)
+        !any_dissolving && !any_recent_failure && !self.instances.iter().any(is_loading)
     }
 
-    fn probe(&mut self) {
+    /// Takes a report from each instance that is up.
+    fn take_reports(&mut self) {
         for (i, instance) in self.instances.iter().enumerate() {
             if instance.back_at.is_some() {
                 continue;
             }
-            let membership = instance.seat.as_ref().map(|seat| GroupMembership {
-                group: seat.group.clone(),
-                fence: seat.fence,
-                readiness: seat.readiness(self.now),
+            let membership = instance.assignment.as_ref().map(|assignment| GroupMembership {
+                group: assignment.group.clone(),
+                fence: assignment.fence,
+                readiness: assignment.readiness(self.now),
             });
             let report = Report {
                 incarnation: Incarnation(instance.incarnation),
                 membership,
-                loaded: instance.loaded_at.filter(|at| *at <= self.now).map(|_| weights()),
+                loaded: instance.loaded_at.filter(|at| *at <= self.now).map(|_| model_weights()),
                 lag: Millis::ZERO,
                 running: 0,
                 queued: 0,
@@ -399,44 +424,51 @@
         }
     }
 
-    fn obey(&mut self, i: usize, order: Order) {
+    /// Executes an order at an instance. Loads take their time at the instance's rate, or longer if the
+    /// store is busy.
+    fn execute_order(&mut self, i: usize, order: Order) {
         let now = self.now;
         let load = Millis(u64::from(WEIGHTS_MIB) * 1000 / u64::from(LOAD_MIB_PER_S));
         let share = Millis(u64::from(WEIGHTS_MIB) * 1000 / STORE_MIB_PER_S);
         let instance = &mut self.instances[i];
         match order.action {
             OrderAction::Join(join) => {
-                let is_in = instance.seat.as_ref().is_some_and(|seat| seat.fence == order.fence);
-                if is_in {
+                let has_joined = instance
+                    .assignment
+                    .as_ref()
+                    .is_some_and(|assignment| assignment.fence == order.fence);
+                if has_joined {
                     return;
                 }
                 let ready_at = match instance.loaded_at {
                     Some(loaded_at) => loaded_at.max(now),
                     None => {
-                        self.store_free = self.store_free.max(now) + share;
-                        self.store_free.max(now + load)
+                        self.store_free_at = self.store_free_at.max(now) + share;
+                        self.store_free_at.max(now + load)
                     }
                 };
                 instance.loaded_at = Some(ready_at);
                 let (group, fence) = (join.group, order.fence);
-                instance.seat = Some(Seat { group, fence, ready_at, is_draining: false });
+                instance.assignment =
+                    Some(Assignment { group, fence, ready_at, is_draining: false });
             }
-            OrderAction::Leave { .. } => instance.seat = None,
+            OrderAction::Leave { .. } => instance.assignment = None,
             OrderAction::Load { .. } => {
                 if instance.loaded_at.is_none() {
-                    self.store_free = self.store_free.max(now) + share;
-                    instance.loaded_at = Some(self.store_free.max(now + load));
+                    self.store_free_at = self.store_free_at.max(now) + share;
+                    instance.loaded_at = Some(self.store_free_at.max(now + load));
                 }
             }
             OrderAction::Drain { .. } => {
-                if let Some(seat) = &mut instance.seat {
-                    seat.is_draining = true;
+                if let Some(assignment) = &mut instance.assignment {
+                    assignment.is_draining = true;
                 }
             }
         }
     }
 
-    fn account(&self, step: Millis, sums: &mut Sums) {
+    /// Adds `step` of the current state to the totals.
+    fn account(&self, step: Millis, totals: &mut Totals) {
         let hours = step.as_secs_f64() / 3600.0;
         let serving: Vec<_> = self
             .state
@@ -451,10 +483,10 @@
         let worth: BTreeMap<&str, f64> = BTreeMap::from([("full", 1.0), ("half", HALF_WORTH)]);
         let served: f64 = serving.iter().map(|group| worth[group.role.as_str()]).sum();
         let wanted = 4.0 + HALF_WORTH;
-        sums.down_hours += (wanted - served).max(0.0) * hours;
+        totals.down_hours += (wanted - served).max(0.0) * hours;
         let in_groups: usize = serving.iter().map(|group| group.members.len()).sum();
         let powered = self.instances.iter().filter(|i| i.back_at.is_none()).count();
-        let stranded = powered.saturating_sub(in_groups) * usize::from(ACCELERATORS);
-        sums.stranded_hours += stranded as f64 * hours;
+        let stranded = powered.saturating_sub(in_groups) * usize::from(ACCELERATORS_PER_INSTANCE);
+        totals.stranded_hours += stranded as f64 * hours;
     }
 }
--- a/crates/workshold-bench/src/retries.rs
+++ b/crates/workshold-bench/src/retries.rs
@@ -1,4 +1,4 @@
-//! Retries while upstreams fail: the shipped budget against always trying again.
+//! Retries while upstreams fail: the shipped retry budget against unlimited retries.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -16,20 +16,22 @@
 
 const REQUESTS: u32 = 20_000;
 
-/// Runs all shares of failing upstreams with both policies.
+/// Simulates several failure rates of upstreams, with and without the retry budget.
 pub fn run(seed: u64) -> Table {
     let columns = ["attempts for each request", "answered", "unknown", "not run"];
     let mut table = Table::new("retries", &columns);
-    for failing in [0.0, 0.1, 0.5, 1.0] {
+    for failure_rate in [0.0, 0.1, 0.5, 1.0] {
         for (name, has_budget) in [("shipped", true), ("always again", false)] {
-            let row = format!("{:.0} in 100 fail, {name}", failing * 100.0);
-            table.row(row, simulate(failing, has_budget, seed));
+            let row = format!("{:.0} in 100 fail, {name}", failure_rate * 100.0);
+            table.push_row(row, simulate(failure_rate, has_budget, seed));
         }
     }
     table
 }
 
-fn simulate(failing: f64, has_budget: bool, seed: u64) -> Vec<f64> {
+/// Mean number of attempts per request, and the fractions of requests that were answered, have an
+/// unknown result, or did not run.
+fn simulate(failure_rate: f64, has_budget: bool, seed: u64) -> Vec<f64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let rules = RetryRules::default();
     let mut budget = RetryBudget::new(rules);
@@ -38,22 +40,23 @@
         let mut lifecycle =
             RequestLifecycle::new(Repeatability::Repeatable, Millis(1_000), rules.max_attempts);
         budget.on_request();
-        let end = loop {
+        let result = loop {
             attempts += 1;
             let attempt = lifecycle.attempt();
             lifecycle.on(attempt, Event::Sending, Millis::ZERO, || false);
-            let event = if rng.random::<f64>() < failing { Event::Broken } else { Event::Done };
+            let event =
+                if rng.random::<f64>() < failure_rate { Event::Broken } else { Event::Done };
             let may_retry = || !has_budget || budget.take();
-            if let Next::Finish(end) = lifecycle.on(attempt, event, Millis::ZERO, may_retry) {
-                break end;
+            if let Next::Finish(result) = lifecycle.on(attempt, event, Millis::ZERO, may_retry) {
+                break result;
             }
         };
-        match end {
+        match result {
             RequestResult::Answered => answered += 1,
             RequestResult::Unknown(_) => unknown += 1,
             RequestResult::NotRun(_) => not_run += 1,
         }
     }
-    let share = |count: u32| f64::from(count) / f64::from(REQUESTS);
-    vec![share(attempts), share(answered), share(unknown), share(not_run)]
+    let per_request = |count: u32| f64::from(count) / f64::from(REQUESTS);
+    vec![per_request(attempts), per_request(answered), per_request(unknown), per_request(not_run)]
 }
--- a/crates/workshold-bench/src/routing.rs
+++ b/crates/workshold-bench/src/routing.rs
@@ -1,43 +1,46 @@
-//! Which group gets the request: the shipped router against plain baselines.
+//! Choice of a group for each request: the shipped router against simple baselines.
 //!
-//! Groups batch: each decodes up to its slots at once, slower the fuller it is,
-//! prefills one prompt at a time, and keeps the prefixes it used last. Nodes see
-//! a group's load only as it was a report ago.
+//! Groups decode requests in a batch, up to their number of slots, and each step takes longer the
+//! fuller the batch is. They prefill one prompt at a time and cache the most recently used prefixes.
+//! Nodes know a group's load only from periodic, delayed reports.
 
-mod world;
+mod simulation;
 
-use crate::Length;
-use crate::routing::world::Policy;
-use crate::routing::world::Setup;
-use crate::routing::world::World;
+use crate::RunLength;
+use crate::routing::simulation::Policy;
+use crate::routing::simulation::Scenario;
+use crate::routing::simulation::Simulation;
 use crate::table::Table;
 
 const COLUMNS: [&str; 6] =
     ["first p50 ms", "first p95 ms", "first p99 ms", "between p95 ms", "cache hits", "worst load"];
 
-/// Runs all setups, each with all policies.
-pub fn run(length: Length, seed: u64) -> Vec<Table> {
-    let secs = if length == Length::Long { 120 } else { 20 };
-    let today = Setup::today(secs);
-    let next = Setup::next(if length == Length::Long { 40 } else { 4 });
+/// Simulates all scenarios, each with all policies. In the columns, "first" is the time to the first
+/// token, "between" the time between tokens, and "worst load" the highest mean load of a group,
+/// relative to the mean of all groups.
+pub fn run(length: RunLength, seed: u64) -> Vec<Table> {
+    let secs = if length == RunLength::Long { 120 } else { 20 };
+    let current = Scenario::current_size(secs);
+    let larger = Scenario::larger_size(if length == RunLength::Long { 40 } else { 4 });
     let mut tables = Vec::new();
     for lag_ms in [0, 200, 1_000] {
-        tables.push(compare(&format!("routing today, lag {lag_ms} ms"), today, lag_ms, seed));
+        tables.push(compare(&format!("routing today, lag {lag_ms} ms"), current, lag_ms, seed));
     }
-    let slow = Setup { slow_group: true, ..today };
+    let slow = Scenario { slow_group: true, ..current };
     tables.push(compare("routing today, one slow group", slow, 200, seed));
-    let lost = Setup { lost_share: 0.33, load: today.load * 0.67, ..today };
+    let lost = Scenario { lost_fraction: 0.33, load: current.load * 0.67, ..current };
     tables.push(compare("routing today, one data centre lost", lost, 200, seed));
-    let flat = Setup { zipf: 0.2, ..today };
-    tables.push(compare("routing today, flat prefixes", flat, 200, seed));
-    tables.push(compare("routing at the next size, lag 500 ms", next, 500, seed));
+    let flat_prefixes = Scenario { zipf: 0.2, ..current };
+    tables.push(compare("routing today, flat prefixes", flat_prefixes, 200, seed));
+    tables.push(compare("routing at the next size, lag 500 ms", larger, 500, seed));
     tables
 }
 
-fn compare(name: &str, setup: Setup, lag_ms: u64, seed: u64) -> Table {
+/// Simulates a scenario with each policy; one row per policy.
+fn compare(name: &str, scenario: Scenario, lag_ms: u64, seed: u64) -> Table {
     let mut table = Table::new(name, &COLUMNS);
     for policy in Policy::ALL {
-        table.row(policy.name(), World::new(setup, lag_ms, policy, seed).run());
+        table.push_row(policy.name(), Simulation::new(scenario, lag_ms, policy, seed).run());
     }
     table
 }
--- a/crates/workshold-bench/tests/bounds.rs
+++ b/crates/workshold-bench/tests/bounds.rs
@@ -1,27 +1,30 @@
-//! The short benches stay within their committed bounds.
+//! Checks the figures of the short benches against the committed bounds.
 
-use workshold_bench::Length;
+use workshold_bench::RunLength;
 use workshold_bench::bounds;
 use workshold_bench::bounds::BoundsFile;
 use workshold_bench::run_all;
 
-/// The seed that the bounds were taken with.
+/// The seed of the runs that the bounds come from; the figures depend on it.
 const SEED: u64 = 1;
 
-fn file() -> BoundsFile {
+fn bounds_file() -> BoundsFile {
     toml::from_str(include_str!("../bounds.toml")).unwrap()
 }
 
 #[test]
-fn no_figure_is_past_its_bound() {
-    let tables = run_all(Length::Short, SEED, "", |_, _| {});
-    assert_eq!(bounds::broken(&tables, file().of(Length::Short)), Vec::<String>::new());
+fn all_figures_are_within_their_bounds() {
+    let tables = run_all(RunLength::Short, SEED, "", |_, _| {});
+    assert_eq!(
+        bounds::violations(&tables, bounds_file().for_length(RunLength::Short)),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
-fn a_figure_past_its_bound_and_one_that_is_gone_are_both_named() {
-    let tables = run_all(Length::Short, SEED, "retries", |_, _| {});
+fn a_violated_bound_and_a_missing_figure_are_both_reported() {
+    let tables = run_all(RunLength::Short, SEED, "retries", |_, _| {});
     let text = "[\"retries/0 in 100 fail, shipped/answered\"]\nmax = 0.5\n[gone]\nmin = 1.0\n";
-    let broken = bounds::broken(&tables, &toml::from_str(text).unwrap());
-    assert_eq!(broken.len(), 2, "{broken:?}");
+    let violations = bounds::violations(&tables, &toml::from_str(text).unwrap());
+    assert_eq!(violations.len(), 2, "{violations:?}");
 }
