--- a/crates/workshold-bench/src/admission.rs
+++ b/crates/workshold-bench/src/admission.rs
@@ -226,8 +226,8 @@
 
 const POLICIES: [(&str, Policy); 2] = [("shipped", Policy::Shipped), ("first come", Policy::Fifo)];
 
-/// Goodput (answers within the deadline, as a fraction of the capacity) and time to recover, at several
-/// multiples of the capacity.
+/// Goodput (answers within the deadline, as a fraction of the capacity) and time to recover from a
+/// burst, at several multiples of the capacity.
 pub fn run(length: RunLength, seed: u64) -> Table {
     let secs = if length == RunLength::Long { 120 } else { 30 };
     let columns = ["goodput", "recovery s"];
@@ -254,7 +254,8 @@
 
 const BURST_END_MS: u64 = 20_000;
 
-/// Seconds from the end of a burst of 10 s to the last late answer, at half load apart from the burst.
+/// Seconds from the end of a burst of 10 s to the last late answer. Apart from the burst, the load
+/// is half the capacity.
 fn recovery(policy: Policy, burst: f64, seed: u64) -> f64 {
     let load = move |now: u64| {
         if (10_000..BURST_END_MS).contains(&now) { burst } else { 0.5 }
--- a/crates/workshold-bench/src/fixtures.rs
+++ b/crates/workshold-bench/src/fixtures.rs
@@ -34,8 +34,8 @@
 use workshold_protocol::report::Report;
 use workshold_protocol::signing::OperatorKey;
 
-/// A fabric domain whose groups all serve, with everything that a steward plans from. The steward is
-/// the node that plans for a domain and sends orders to its instances.
+/// A fabric domain whose groups all serve, with everything that a steward plans from. The steward
+/// is the node that plans for a domain and sends orders to its instances.
 #[derive(Debug)]
 pub struct DomainFixture {
     /// State that was replayed from the log.
--- a/crates/workshold-bench/src/lib.rs
+++ b/crates/workshold-bench/src/lib.rs
@@ -35,8 +35,8 @@
     ("repair", repair::run),
 ];
 
-/// Runs the benches whose name begins with `only`, all if it is empty. Calls `on_done` with the name
-/// and tables of each bench when it ends.
+/// Runs the benches whose name begins with `only`, all if it is empty. Calls `on_done` with the
+/// name and tables of each bench when it ends.
 pub fn run_all(
     length: RunLength,
     seed: u64,
--- a/crates/workshold-bench/src/limits.rs
+++ b/crates/workshold-bench/src/limits.rs
@@ -12,6 +12,7 @@
 use crate::table::Table;
 
 const NODES: usize = 9;
+/// The team's limit, in requests per second.
 const LIMIT_PER_S: f64 = 90.0;
 /// The team's demand, as a multiple of its limit.
 const DEMAND_FACTOR: f64 = 2.0;
@@ -87,7 +88,7 @@
         Scenario::Skewed => 0,
         Scenario::Jump | Scenario::Isolated => usize::from(is_after),
     };
-    // The isolated node is_isolated_heavy its demand, because its callers do not notice the isolation.
+    // The isolated node keeps its demand: its callers do not notice the isolation.
     let is_isolated_heavy = scenario == Scenario::Isolated && is_after && node == 0;
     if node == heavy || is_isolated_heavy { total * 0.8 } else { total * 0.2 / (NODES - 1) as f64 }
 }
@@ -137,8 +138,8 @@
     }
 }
 
-/// The figures as multiples of the limit. Skips the first 5 s, in which the limiters' initial tokens
-/// raise the rate.
+/// The figures as multiples of the limit. Skips the first 5 s, in which the tokens that
+/// the limiters start with raise the rate.
 fn figures(admitted: &[u32]) -> Vec<f64> {
     let change = (CHANGE_AT_MS / 1000) as usize;
     let mean = |part: &[u32]| f64::from(part.iter().sum::<u32>()) / part.len() as f64 / LIMIT_PER_S;
--- a/crates/workshold-bench/src/repair.rs
+++ b/crates/workshold-bench/src/repair.rs
@@ -21,7 +21,7 @@
     "groups ended",
 ];
 
-/// Simulates two deployments' cost weights, with and without spare instances, each with all policies.
+/// Simulates two deployments' cost weights, with and without spare instances, with all policies.
 pub fn run(length: RunLength, seed: u64) -> Vec<Table> {
     let days = if length == RunLength::Long { 10 } else { 1 };
     let parkowisko = CostWeights { group_downtime: 1.0, stranded_accelerator: 0.002 };
--- a/crates/workshold-bench/src/repair/fleet.rs
+++ b/crates/workshold-bench/src/repair/fleet.rs
@@ -62,9 +62,9 @@
 const RESTARTS_PER_DAY: f64 = 76.0;
 /// Instances per rack.
 const RACK_SIZE: usize = 16;
-/// A rack fails every 45 days.
+/// One rack failure every 45 days on average, in each domain.
 const RACK_FAILURES_PER_DAY: f64 = 1.0 / 45.0;
-/// A data centre goes down every 120 days, and with it all instances of a domain.
+/// One outage of a data centre every 120 days on average; it takes all instances of a domain down.
 const OUTAGES_PER_DAY: f64 = 1.0 / 120.0;
 const MEAN_RESTART_SECS: f64 = 120.0;
 const MEAN_REPLACEMENT_SECS: f64 = 4.0 * 3600.0;
@@ -77,11 +77,12 @@
 const DAY_SECS: f64 = 86_400.0;
 /// Planning interval while orders or loads are in progress.
 const BUSY_INTERVAL: Millis = Millis(2_000);
-/// Planning interval before the counted time begins.
+/// Planning interval while the first groups form, before the counted time begins.
 const SETTLE_INTERVAL: Millis = Millis(10_000);
 /// Planning interval while instances are down and nothing else is in progress.
 const DEGRADED_INTERVAL: Millis = Millis(60_000);
-/// Time after a failure in which the steward may still react to it; planning isn't skipped meanwhile.
+/// Time after a failure within which the steward reacts to it or decides to wait; the simulation
+/// doesn't skip ahead meanwhile.
 const RECENT_FAILURE: Millis = Millis(14_000);
 
 /// The steward's settings in one run.
@@ -138,7 +139,7 @@
     down_hours: f64,
     /// Accelerator-hours of instances that are up but in no serving group.
     stranded_hours: f64,
-    /// Lower bound of the hours down if no spare has the weights loaded.
+    /// Lower bound of the group-hours down for any policy, if no spare has the weights loaded.
     floor_hours: f64,
     /// Number of groups that were dissolved.
     dissolved: f64,
@@ -153,7 +154,7 @@
 }
 
 struct DomainSimulation<'a> {
-    month: &'a FailureSimulation,
+    simulation: &'a FailureSimulation,
     name: FabricDomain,
     state: State,
     observations: Observations,
@@ -247,7 +248,7 @@
 }
 
 impl<'a> DomainSimulation<'a> {
-    fn new(month: &'a FailureSimulation, d: usize) -> Self {
+    fn new(simulation: &'a FailureSimulation, d: usize) -> Self {
         let name = FabricDomain::new(&format!("domain-{d}")).expect("the name is valid");
         let kind = InstanceKind::Engine {
             domain: name.clone(),
@@ -262,10 +263,10 @@
             leaving: false,
         };
         let grouped = usize::from(FULL_GROUP_SIZE) * 4 + usize::from(HALF_GROUP_SIZE);
-        let usable = if month.policy.spares { INSTANCES_PER_DOMAIN } else { grouped };
+        let usable = if simulation.policy.spares { INSTANCES_PER_DOMAIN } else { grouped };
         let initial = Instance { incarnation: 1, back_at: None, assignment: None, loaded_at: None };
         let mut domain = Self {
-            month,
+            simulation,
             name,
             state: State::default(),
             observations: Observations::default(),
@@ -281,7 +282,7 @@
     }
 
     fn sign_off(&mut self) {
-        let bundle = self.month.bundle();
+        let bundle = self.simulation.bundle();
         let hash = bundle.hash();
         let signature =
             OperatorSignature { key: PublicKey(String::new()), signature: String::new() };
@@ -301,7 +302,7 @@
     fn run(mut self, failures: &[(Millis, usize, Millis)], totals: &mut Totals) {
         self.settle();
         let start = self.now;
-        let end = start + Millis((self.month.days as f64 * DAY_SECS * 1000.0) as u64);
+        let end = start + Millis((self.simulation.days as f64 * DAY_SECS * 1000.0) as u64);
         let mut failures = failures.iter().peekable();
         while self.now < end {
             while let Some((_, i, downtime)) =
@@ -329,8 +330,8 @@
         }
     }
 
-    /// Time to the next event if nothing is in progress. While instances are down, the steward still
-    /// plans every `DEGRADED_INTERVAL`, because its choice between waiting and rebuilding may change.
+    /// Time to the next event if nothing is in progress. While instances are down, the steward
+    /// still plans every `DEGRADED_INTERVAL`, as its choice to wait or to rebuild may change.
     fn idle_interval(&self, until: Millis) -> Millis {
         let back = self.instances.iter().filter_map(|instance| instance.back_at).min();
         let until = back.map_or(until, |back| back.min(until).min(self.now + DEGRADED_INTERVAL));
@@ -360,7 +361,7 @@
             instance.back_at = instance.back_at.filter(|back| *back > now);
         }
         self.take_reports();
-        let rules = self.month.rules();
+        let rules = self.simulation.rules();
         let view = View {
             domain: &self.name,
             state: &self.state,
@@ -381,7 +382,8 @@
         is_idle
     }
 
-    /// Whether no group is being dissolved, no instance is loading, and no failure is recent.
+    /// Whether no group is being dissolved, no instance is loading, and no failure is recent: every
+    /// group serves, or only waits for instances to come back.
     fn all_settled(&self) -> bool {
         let is_loading = |instance: &Instance| {
             instance.assignment.as_ref().is_some_and(|assignment| assignment.ready_at > self.now)
@@ -424,8 +426,8 @@
         }
     }
 
-    /// Executes an order at an instance. Loads take their time at the instance's rate, or longer if the
-    /// store is busy.
+    /// Executes an order at an instance. Loading takes as long as the instance's rate allows,
+    /// or longer if the store is busy.
     fn execute_order(&mut self, i: usize, order: Order) {
         let now = self.now;
         let load = Millis(u64::from(WEIGHTS_MIB) * 1000 / u64::from(LOAD_MIB_PER_S));
--- a/crates/workshold-bench/src/routing.rs
+++ b/crates/workshold-bench/src/routing.rs
@@ -1,7 +1,7 @@
 //! Choice of a group for each request: the shipped router against simple baselines.
 //!
 //! Groups decode requests in a batch, up to their number of slots, and each step takes longer the
-//! fuller the batch is. They prefill one prompt at a time and cache the most recently used prefixes.
+//! fuller the batch is. They prefill one prompt at a time and cache the prefixes they used last.
 //! Nodes know a group's load only from periodic, delayed reports.
 
 mod simulation;
@@ -15,9 +15,9 @@
 const COLUMNS: [&str; 6] =
     ["first p50 ms", "first p95 ms", "first p99 ms", "between p95 ms", "cache hits", "worst load"];
 
-/// Simulates all scenarios, each with all policies. In the columns, "first" is the time to the first
-/// token, "between" the time between tokens, and "worst load" the highest mean load of a group,
-/// relative to the mean of all groups.
+/// Simulates all scenarios, each with all policies. In the columns, "first" is the time to the
+/// first token, "between" the time between tokens, and "worst load" the highest mean load of a
+/// group, relative to the mean of all groups.
 pub fn run(length: RunLength, seed: u64) -> Vec<Table> {
     let secs = if length == RunLength::Long { 120 } else { 20 };
     let current = Scenario::current_size(secs);
--- a/crates/workshold-bench/src/routing/simulation.rs
+++ b/crates/workshold-bench/src/routing/simulation.rs
@@ -152,8 +152,8 @@
     next_turn: usize,
 }
 
-/// A scheduled event: time in µs, sequence number as a tie-breaker, and the event. Reversed, because
-/// the heap pops the largest item.
+/// A scheduled event: time in µs, sequence number as a tie-breaker, and the event. Reversed,
+/// because the heap pops the largest item.
 type QueuedEvent = Reverse<(u64, u64, Event)>;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -362,8 +362,8 @@
         }
     }
 
-    /// A group's load in the latest report that nodes have received, without the correction that the
-    /// shipped router makes for requests sent since.
+    /// A group's load in the latest report that nodes have received, without the correction that
+    /// the shipped router makes for requests sent since.
     fn reported_load(&self, group: usize) -> f64 {
         f64::from(self.groups[group].reports.front().map_or(0, |(_, load)| *load))
     }
--- a/crates/workshold-cli/src/commands/bundle/publish.rs
+++ b/crates/workshold-cli/src/commands/bundle/publish.rs
@@ -44,8 +44,8 @@
 ///
 /// # Errors
 ///
-/// [`CliError::Input`] for a bundle with faults; [`CliError::WaitTimeout`] if the node does not list the
-/// bundle in time, which is also the case if it does not trust the operator's key.
+/// [`CliError::Input`] for a bundle with faults; [`CliError::WaitTimeout`] if the node does not
+/// list the bundle in time, which is also the case if it does not trust the operator's key.
 pub async fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let signed = bundle::read_signed(&args.file)?;
     signed.bundle.clone().into_validated().map_err(CliError::Input)?;
--- a/crates/workshold-cli/src/commands/bundle/sign.rs
+++ b/crates/workshold-cli/src/commands/bundle/sign.rs
@@ -44,7 +44,8 @@
 ///
 /// # Errors
 ///
-/// [`CliError::Input`] for a bundle with faults, [`CliError::File`] if a file cannot be read or written.
+/// [`CliError::Input`] for a bundle with faults, [`CliError::File`] if a file cannot be
+/// read or written.
 pub fn run(args: &Args, out: Output) -> Result<(), CliError> {
     let bundle = bundle::read_bundle(&args.file)?.into_validated().map_err(CliError::Input)?;
     let key = operator_key::read(&args.key)?;
