--- a/crates/workshold-bench/src/admission.rs
+++ b/crates/workshold-bench/src/admission.rs
@@ -18,8 +18,10 @@
 use crate::RunLength;
 use crate::table::Table;
 
+/// Requests that run at the same time.
 const SERVERS: u32 = 20;
 const SERVICE_MS: u64 = 200;
+/// Time from arrival within which a request must be answered.
 const DEADLINE_MS: u64 = 2_000;
 const TEAMS: usize = 10;
 /// The first teams are large: in the fairness bench they ask for more than their share.
--- a/crates/workshold-bench/src/limits.rs
+++ b/crates/workshold-bench/src/limits.rs
@@ -93,6 +93,7 @@
     if node == heavy || is_isolated_heavy { total * 0.8 } else { total * 0.2 / (NODES - 1) as f64 }
 }
 
+/// Runs a minute of virtual time and returns the figures in the order of the columns.
 fn simulate(scenario: Scenario, policy: Policy, seed: u64) -> Vec<f64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let node_count = if policy == Policy::NoSplit { 1 } else { NODES };
--- a/crates/workshold-bench/src/routing/simulation.rs
+++ b/crates/workshold-bench/src/routing/simulation.rs
@@ -135,11 +135,14 @@
     id: GroupId,
     running: u32,
     waiting: VecDeque<Request>,
+    /// When the group has prefilled all prompts so far, in ms.
     prefill_free_at_ms: f64,
+    /// Cached prefixes, the least recently used first.
     cache: VecDeque<usize>,
     /// Time (ms) and load of each report; the first is the latest that nodes have received.
     reports: VecDeque<(u64, u32)>,
     has_failed: bool,
+    /// Factor by which the group is slower than the others.
     slowdown: f64,
     load_sum: f64,
     samples: u32,
@@ -285,6 +288,7 @@
         self.events.push(Reverse((us, self.next_event, event)));
     }
 
+    /// Whether figures count at this time (ms).
     fn is_after_warm_up(&self, now: f64) -> bool {
         now > self.scenario.secs as f64 * 1000.0 * WARM_UP_FRACTION
     }
--- a/crates/workshold-cli/src/commands/bundle/sign_off.rs
+++ b/crates/workshold-cli/src/commands/bundle/sign_off.rs
@@ -83,8 +83,7 @@
 }
 
 /// Hash and generation of the bundle in force, once the node has read past `offset`; `None` until
-/// then.
-/// Without a bundle in force, the hash is empty.
+/// then. Without a bundle in force, the hash is empty.
 fn in_force_after(status: &Status, offset: u64) -> Option<(String, u64)> {
     if status.next <= offset {
         return None;
--- a/crates/workshold-cli/src/commands/explain.rs
+++ b/crates/workshold-cli/src/commands/explain.rs
@@ -47,6 +47,8 @@
     rows.iter().flat_map(decision_lines).collect()
 }
 
+/// Renders one decision: time, what was decided, the inputs, and the options with their costs.
+/// The first option is the one that was taken.
 fn decision_lines(row: &Value) -> Vec<String> {
     let decision = &row["decision"];
     let mut lines = vec![format!("{}: {}", row["at_ms"], text(&decision["what"]))];
--- a/crates/workshold-cli/src/commands/trace.rs
+++ b/crates/workshold-cli/src/commands/trace.rs
@@ -110,6 +110,7 @@
     lines
 }
 
+/// Reads the log lines in a file; skips what is not a node's log line.
 fn read(path: &Path) -> Result<Vec<LogLine>, CliError> {
     let file = File::open(path).map_err(|err| CliError::file(path, err))?;
     let mut lines = Vec::new();
