--- a/crates/workshold-core/src/membership.rs
+++ b/crates/workshold-core/src/membership.rs
@@ -162,14 +162,19 @@
     /// Whether this node has heard from neither the log nor a peer for too long to know
     /// which bundle is in force.
     ///
-    /// `log_heard` is when the log last answered. A node with no expected peers is a
+    /// `last_log_answer_at` is when the log last answered. A node with no expected peers is a
     /// cluster of one by design: it relies on the log only and is never isolated.
-    pub fn is_isolated(&self, log_heard: Millis, now: Millis, rules: &MembershipRules) -> bool {
+    pub fn is_isolated(
+        &self,
+        last_log_answer_at: Millis,
+        now: Millis,
+        rules: &MembershipRules,
+    ) -> bool {
         if self.expected.is_empty() {
             return false;
         }
         let last = self.peers.values().map(|peer| peer.asked).max().unwrap_or_default();
-        now.since(log_heard.max(last)) > rules.isolation_after
+        now.since(last_log_answer_at.max(last)) > rules.isolation_after
     }
 
     /// The addresses for callers: live nodes that are ready and not leaving. Nodes with
--- a/crates/workshold-core/src/steward.rs
+++ b/crates/workshold-core/src/steward.rs
@@ -49,7 +49,7 @@
     /// dropped.
     pub gone_after: Millis,
     /// Least time between two orders to one instance.
-    pub order_every: Millis,
+    pub order_interval: Millis,
     /// Rate at which one instance reads from the weight store, in MiB/s.
     pub load_mib_per_s: u32,
     /// Statistics about instances that go missing, for the choice of a repair.
--- a/crates/workshold-core/src/steward/ending.rs
+++ b/crates/workshold-core/src/steward/ending.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Adds an order to the plan unless the instance got one less than `order_every` ago.
+/// Adds an order to the plan unless the instance got one less than `order_interval` ago.
 pub(super) fn push_order(
     view: &View<'_>,
     timers: &mut StewardTimers,
@@ -142,7 +142,7 @@
     action: &OrderAction,
     plan: &mut Plan,
 ) {
-    if timers.may_order(instance, rules.order_every, view.now) {
+    if timers.may_order(instance, rules.order_interval, view.now) {
         plan.orders.push((instance.clone(), Order { fence, action: action.clone() }));
     }
 }
@@ -196,5 +196,5 @@
 /// Expected time from the decision to dissolve a group until its members are free: two
 /// order intervals and the wait for the release.
 pub(super) fn release_time(rules: &StewardRules) -> Millis {
-    rules.release_wait + rules.order_every + rules.order_every
+    rules.release_wait + rules.order_interval + rules.order_interval
 }
--- a/crates/workshold-core/src/steward/preloading.rs
+++ b/crates/workshold-core/src/steward/preloading.rs
@@ -42,7 +42,7 @@
     let Some(spare) = free.iter().find(|listed| has_no_wanted_weights(&listed.instance)) else {
         return;
     };
-    if !timers.may_preload(load_time(model, rules) + rules.order_every, view.now) {
+    if !timers.may_preload(load_time(model, rules) + rules.order_interval, view.now) {
         return;
     }
     let weights = ModelWeights { model: name.clone(), version: model.version.clone() };
--- a/crates/workshold-core/tests/steward.rs
+++ b/crates/workshold-core/tests/steward.rs
@@ -146,7 +146,7 @@
             release_wait: Millis(2_600),
             member_grace: Millis(3_000),
             gone_after: Millis(60_000),
-            order_every: Millis(1_000),
+            order_interval: Millis(1_000),
             load_mib_per_s: 1_024,
             expect: Expectations::default(),
         };
--- a/crates/workshold-gateway/src/daemon.rs
+++ b/crates/workshold-gateway/src/daemon.rs
@@ -91,7 +91,7 @@
 ) -> Result<(), DaemonError> {
     let (probes, probes_rx) = mpsc::unbounded_channel();
     let node = Arc::new(Node::new(settings, Box::new(SystemClock::default()), probes));
-    let (stage, rx) = watch::channel(ServerState::Running);
+    let (server_state, rx) = watch::channel(ServerState::Running);
     let callers = start_servers(&node, &rx)?;
     let socket = tasks::gossip::open(&node).await.map_err(DaemonError::GossipSocket)?;
     let socket = Arc::new(socket);
@@ -121,7 +121,7 @@
             },
         }
     }
-    stop(&node, callers, &stage).await;
+    stop(&node, callers, &server_state).await;
     lease.abort();
     emit(Event::Stopped, &[("in_flight", &node.in_flight().to_string())]);
     Ok(())
@@ -137,7 +137,7 @@
 /// ends with the count of connections that it cut.
 fn start_servers(
     node: &Arc<Node>,
-    stage: &watch::Receiver<ServerState>,
+    server_state: &watch::Receiver<ServerState>,
 ) -> Result<JoinHandle<usize>, DaemonError> {
     let settings = node.settings();
     let bounds = ServerLimits {
@@ -151,10 +151,10 @@
     let service = service_fn(move |req: Request<Incoming>| {
         infallible(requests::handle(Arc::clone(&handler_node), req))
     });
-    let callers = tokio::spawn(server::serve(listener, bounds, service, stage.clone()));
-    serve_auxiliary(node, settings.listen.directory, stage, directory::handle)?;
-    serve_auxiliary(node, settings.listen.readiness, stage, directory::readiness)?;
-    serve_auxiliary(node, settings.control(), stage, control::handle)?;
+    let callers = tokio::spawn(server::serve(listener, bounds, service, server_state.clone()));
+    serve_auxiliary(node, settings.listen.directory, server_state, directory::handle)?;
+    serve_auxiliary(node, settings.listen.readiness, server_state, directory::readiness)?;
+    serve_auxiliary(node, settings.control(), server_state, control::handle)?;
     Ok(callers)
 }
 
@@ -165,7 +165,7 @@
 fn serve_auxiliary(
     node: &Arc<Node>,
     address: SocketAddr,
-    stage: &watch::Receiver<ServerState>,
+    server_state: &watch::Receiver<ServerState>,
     handler: AuxiliaryHandler,
 ) -> Result<(), DaemonError> {
     let bounds = ServerLimits {
@@ -179,7 +179,7 @@
         let res = handler(&node, &req);
         infallible(async move { res })
     });
-    tokio::spawn(server::serve(listener, bounds, service, stage.clone()));
+    tokio::spawn(server::serve(listener, bounds, service, server_state.clone()));
     Ok(())
 }
 
@@ -216,7 +216,11 @@
 /// Stops gracefully: withdraws this node's address from the directory, serves until callers no
 /// longer use it, refuses new streams that might not end in time, and waits for the requests in
 /// flight.
-async fn stop(node: &Arc<Node>, callers: JoinHandle<usize>, stage: &watch::Sender<ServerState>) {
+async fn stop(
+    node: &Arc<Node>,
+    callers: JoinHandle<usize>,
+    server_state: &watch::Sender<ServerState>,
+) {
     node.leave();
     emit(Event::Leaving, &[]);
     let settings = node.settings();
@@ -234,7 +238,7 @@
     while node.in_flight() > 0 && node.now() < deadline {
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
-    stage.send_replace(ServerState::Draining);
+    server_state.send_replace(ServerState::Draining);
     // The platform would kill whatever takes longer.
     let _ = tokio::time::timeout(FLUSH_TIMEOUT, callers).await;
 }
--- a/crates/workshold-gateway/src/proxy/attempt.rs
+++ b/crates/workshold-gateway/src/proxy/attempt.rs
@@ -64,7 +64,7 @@
     pub sent_at: Millis,
     /// Whether the body has ended.
     pub is_complete: bool,
-    _driver: ConnectionTask,
+    _connection_task: ConnectionTask,
     in_flight: InFlight,
 }
 
@@ -147,7 +147,7 @@
         framer: Framer::after(last),
         sent_at: sent,
         is_complete: false,
-        _driver: driver,
+        _connection_task: driver,
         in_flight,
     };
     while event_stream.ready.is_empty() && !event_stream.is_complete {
--- a/crates/workshold-gateway/src/tasks/store_sync.rs
+++ b/crates/workshold-gateway/src/tasks/store_sync.rs
@@ -336,7 +336,7 @@
 
 /// Keeps a record for forwarding to peers. An undecodable one is replaced by a marker.
 fn store_raw(list: &mut ListReplica, record: &Record, is_readable: bool) {
-    let unreadable = Bytes::from_static(entries::UNREADABLE);
+    let unreadable = Bytes::from_static(entries::UNREADABLE_ENTRY);
     let value = if is_readable { record.value.clone() } else { unreadable };
     list.raw.insert(record.key.clone(), (record.place, value));
 }
--- a/crates/workshold-gateway/tests/soak.rs
+++ b/crates/workshold-gateway/tests/soak.rs
@@ -30,7 +30,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn guarantees_hold_while_the_store_is_restored_from_backups() {
     let options = options("copies", Duration::from_secs(8), Duration::ZERO, true);
-    run_and_check(Options { copies: true, ..options }, 21).await;
+    run_and_check(Options { with_store_restores: true, ..options }, 21).await;
 }
 
 /// Members leave while the heads of their groups finish their streams, and other instances refuse
@@ -45,7 +45,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_that_crashes_instances_is_soon_quarantined() {
     let options = options("ending", Duration::from_secs(8), Duration::ZERO, false);
-    run_and_check(Options { ends_instances: true, ..options }, 11).await;
+    run_and_check(Options { with_crashing_requests: true, ..options }, 11).await;
 }
 
 /// Three nodes poll the store in step, so that none learns of a change before the others.
@@ -62,7 +62,7 @@
 async fn three_copies_in_a_row_take_no_member_from_a_head_that_serves() {
     let options = options("three-copies", Duration::from_secs(12), Duration::ZERO, true);
     let size = Size { nodes: 3, domains: 3, engines: 6, group: 2, gates: 3 };
-    run_and_check(Options { copies: true, callers: 12, size, ..options }, 1121).await;
+    run_and_check(Options { with_store_restores: true, callers: 12, size, ..options }, 1121).await;
 }
 
 /// Three nodes share the announced limits of several engines and plain instances at once.
@@ -76,14 +76,20 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn backoffs_and_departures_are_respected() {
     let options = options("rests", Duration::ZERO, Duration::ZERO, false);
-    run_and_check(Options { limits: 2, rests: 8, callers: 24, ..options }, 42).await;
+    run_and_check(Options { limits: 2, retry_after_faults: 8, callers: 24, ..options }, 42).await;
 }
 
-async fn play(name: &str, seed: u64, length: Duration, planned: Duration, new_lives: bool) {
-    run_and_check(options(name, length, planned, new_lives), seed).await;
+async fn play(
+    name: &str,
+    seed: u64,
+    length: Duration,
+    planned: Duration,
+    with_engine_restarts: bool,
+) {
+    run_and_check(options(name, length, planned, with_engine_restarts), seed).await;
 }
 
-fn options(name: &str, length: Duration, planned: Duration, new_lives: bool) -> Options {
+fn options(name: &str, length: Duration, planned: Duration, with_engine_restarts: bool) -> Options {
     let folder = format!("workshold-soak-test-{name}-{}", std::process::id());
     let folder = std::env::temp_dir().join(folder);
     Options {
@@ -92,13 +98,13 @@
         size: Size { nodes: 3, domains: 2, engines: 5, group: 2, gates: 3 },
         callers: 6,
         length,
-        new_lives,
-        copies: false,
-        ends_instances: false,
+        with_engine_restarts,
+        with_store_restores: false,
+        with_crashing_requests: false,
         planned,
         silences: 0,
         limits: 0,
-        rests: 0,
+        retry_after_faults: 0,
         recovers_within: RECOVERS_WITHIN,
     }
 }
--- a/crates/workshold-model/src/groups.rs
+++ b/crates/workshold-model/src/groups.rs
@@ -163,7 +163,7 @@
             release_wait,
             member_grace: Millis(1),
             gone_after: Millis(1_000),
-            order_every: Millis(0),
+            order_interval: Millis(0),
             load_mib_per_s: 1_000_000,
             // Members that go missing are not expected back: the steward acts.
             expect: Expectations {
--- a/crates/workshold-node/src/callers/engine_stream.rs
+++ b/crates/workshold-node/src/callers/engine_stream.rs
@@ -47,7 +47,7 @@
 
 enum Phase {
     PendingResponse(PendingResponse),
-    Open { lines: EventLines, _driver: ConnectionTask },
+    Open { lines: EventLines, _connection_task: ConnectionTask },
 }
 
 /// One request to the head of a group.
@@ -99,8 +99,10 @@
         connection_task: ConnectionTask,
     ) -> EngineEvent {
         if res.status() == StatusCode::OK {
-            self.phase =
-                Phase::Open { lines: EventLines::new(res.into_body()), _driver: connection_task };
+            self.phase = Phase::Open {
+                lines: EventLines::new(res.into_body()),
+                _connection_task: connection_task,
+            };
             return EngineEvent::Accepted;
         }
         let is_refused = res.headers().contains_key(NOT_STARTED_HEADER);
--- a/crates/workshold-node/src/callers/resume.rs
+++ b/crates/workshold-node/src/callers/resume.rs
@@ -98,7 +98,7 @@
     mut lines: EventLines,
     from: u32,
     tx: tokio::sync::mpsc::Sender<ResponsePart>,
-    _driver: client::ConnectionTask,
+    _connection_task: client::ConnectionTask,
 ) {
     let _guard = node.in_flight.track(InFlight {
         team: location.team,
--- a/crates/workshold-node/src/callers/services.rs
+++ b/crates/workshold-node/src/callers/services.rs
@@ -338,7 +338,9 @@
         return (Event::DeadlinePassed, None);
     }
     let left = request.deadline.since(node.now()).to_duration();
-    let Ok((res, _driver)) = connected.send(upstream_request(request, address), left).await else {
+    let Ok((res, _connection_task)) =
+        connected.send(upstream_request(request, address), left).await
+    else {
         return (Event::Broken, None);
     };
     if res.headers().contains_key(NOT_STARTED_HEADER) {
--- a/crates/workshold-node/src/daemon.rs
+++ b/crates/workshold-node/src/daemon.rs
@@ -66,7 +66,7 @@
 /// The callers' server, and the channel that tells both servers to drain or to abort.
 struct Servers {
     callers: JoinHandle<usize>,
-    stage: watch::Sender<ServerState>,
+    server_state: watch::Sender<ServerState>,
 }
 
 const METRICS_INTERVAL: Duration = Duration::from_secs(10);
@@ -118,7 +118,7 @@
 
 /// Starts the HTTP servers for callers and for operators.
 async fn start_servers(node: &Arc<Node>) -> Result<Servers, DaemonError> {
-    let (stage, rx) = watch::channel(ServerState::Running);
+    let (server_state, rx) = watch::channel(ServerState::Running);
     let bounds = ServerLimits {
         max_connections: node.settings.bounds.connections,
         head_read_timeout: node.settings.bounds.read_time.to_duration(),
@@ -136,7 +136,7 @@
         infallible(operators::handle(Arc::clone(&operators_node), req))
     });
     tokio::spawn(server::serve(listener, ServerLimits::default(), service, rx));
-    Ok(Servers { callers, stage })
+    Ok(Servers { callers, server_state })
 }
 
 fn bind(address: &str) -> Result<TcpListener, DaemonError> {
@@ -224,7 +224,7 @@
         return StopSummary { aborted: 0 };
     }
     let aborted = node.in_flight.len();
-    servers.stage.send_replace(ServerState::Aborting);
+    servers.server_state.send_replace(ServerState::Aborting);
     let ended = tokio::time::timeout(ABORT_TIMEOUT, servers.callers).await;
     let unfinished = ended.ok().and_then(Result::ok).unwrap_or(0);
     StopSummary { aborted: aborted.max(unfinished) }
@@ -248,7 +248,7 @@
     if !node.in_flight.is_empty() {
         return false;
     }
-    servers.stage.send_replace(ServerState::Draining);
+    servers.server_state.send_replace(ServerState::Draining);
     close_connections(node, servers, drain_deadline).await
 }
 
--- a/crates/workshold-node/src/node.rs
+++ b/crates/workshold-node/src/node.rs
@@ -68,7 +68,7 @@
     /// Whether a checkpoint in the log contradicts the state that this node replayed.
     pub is_diverged: bool,
     /// When the log last answered; `None` if it never did.
-    pub log_heard: Option<Millis>,
+    pub last_log_answer_at: Option<Millis>,
     /// Whether the log answered the last read.
     pub log_answers: bool,
     /// When the last checkpoint was read.
@@ -276,9 +276,10 @@
         if replay.state().bundles.in_force().is_none() {
             return Err(Unready::NoBundle);
         }
-        let (log_heard, authority) = (log_state.log_heard.unwrap_or_default(), log_state.authority);
+        let (last_log_answer_at, authority) =
+            (log_state.last_log_answer_at.unwrap_or_default(), log_state.authority);
         drop(log_state);
-        if self.membership.read().is_isolated(log_heard, now, &rules) {
+        if self.membership.read().is_isolated(last_log_answer_at, now, &rules) {
             return Err(Unready::Isolated);
         }
         if authority.is_held() { Ok(()) } else { Err(Unready::NoAuthority) }
@@ -287,19 +288,24 @@
     /// Whether other nodes may treat the bundle that this one has read as the one in force.
     pub fn is_authoritative(&self) -> bool {
         let rules = self.settings.membership_rules();
-        let (log_heard, authority, is_diverged) = {
+        let (last_log_answer_at, authority, is_diverged) = {
             let log_state = self.log_state.read();
-            (log_state.log_heard.unwrap_or_default(), log_state.authority, log_state.is_diverged)
+            (
+                log_state.last_log_answer_at.unwrap_or_default(),
+                log_state.authority,
+                log_state.is_diverged,
+            )
         };
-        let is_isolated = self.membership.read().is_isolated(log_heard, self.now(), &rules);
+        let is_isolated =
+            self.membership.read().is_isolated(last_log_answer_at, self.now(), &rules);
         authority.is_held() && !is_isolated && !is_diverged
     }
 
     /// Gives up authority if this node is isolated from the log and all other nodes.
     pub fn check_isolation(&self) {
         let rules = self.settings.membership_rules();
-        let log_heard = self.log_state.read().log_heard.unwrap_or_default();
-        if self.membership.read().is_isolated(log_heard, self.now(), &rules) {
+        let last_log_answer_at = self.log_state.read().last_log_answer_at.unwrap_or_default();
+        if self.membership.read().is_isolated(last_log_answer_at, self.now(), &rules) {
             self.log_state.write().authority.on_isolated();
         }
     }
--- a/crates/workshold-node/src/settings.rs
+++ b/crates/workshold-node/src/settings.rs
@@ -384,7 +384,7 @@
             release_wait: self.times.report_ttl + self.times.clock_error,
             member_grace: self.times.member_grace,
             gone_after: self.times.gone_after,
-            order_every: Millis(self.times.probe_every.0 * 2),
+            order_interval: Millis(self.times.probe_every.0 * 2),
             load_mib_per_s: self.bounds.load_mib_per_s,
             expect: self.expectations,
         }
--- a/crates/workshold-node/src/tasks/log_replay.rs
+++ b/crates/workshold-node/src/tasks/log_replay.rs
@@ -180,10 +180,10 @@
     let answers = source == Some(RecordSource::Log);
     let mut log_state = node.log_state.write();
     let answered_before = log_state.log_answers;
-    let first_time = log_state.log_heard.is_none();
+    let first_time = log_state.last_log_answer_at.is_none();
     log_state.log_answers = answers;
     if answers {
-        log_state.log_heard = Some(now);
+        log_state.last_log_answer_at = Some(now);
     }
     drop(log_state);
     match (answered_before, answers) {
--- a/crates/workshold-node/tests/support/caller.rs
+++ b/crates/workshold-node/tests/support/caller.rs
@@ -45,7 +45,7 @@
     }
     let req = req.body(body::full(bytes)).unwrap();
     let connected = client::connect(address, REQUEST_TIMEOUT).await.ok()?;
-    let (res, _driver) = connected.send(req, REQUEST_TIMEOUT).await.ok()?;
+    let (res, _connection_task) = connected.send(req, REQUEST_TIMEOUT).await.ok()?;
     let status = res.status();
     let retry_after = res.headers().get("retry-after").map(|v| v.to_str().unwrap().to_owned());
     let bytes = res.into_body().collect().await.ok()?.to_bytes();
@@ -68,7 +68,7 @@
 /// A stream that a test reads token by token.
 pub struct CompletionStream {
     body: Incoming,
-    _driver: ConnectionTask,
+    _connection_task: ConnectionTask,
     buf: Vec<u8>,
     pub id: String,
     pub text: String,
@@ -110,7 +110,15 @@
             return Err(serde_json::from_slice(&bytes).unwrap());
         }
         let (text, tokens) = (String::new(), 0);
-        Ok(Self { body, _driver: driver, buf: Vec::new(), id, text, tokens, is_complete: false })
+        Ok(Self {
+            body,
+            _connection_task: driver,
+            buf: Vec::new(),
+            id,
+            text,
+            tokens,
+            is_complete: false,
+        })
     }
 
     /// Reads until the stream has `tokens` tokens in all, ends, breaks, or sends nothing for
--- a/crates/workshold-soak/src/main.rs
+++ b/crates/workshold-soak/src/main.rs
@@ -52,19 +52,19 @@
             .map(|n| n as usize);
     let limits = number("limits", "Limits that instances name after that, several at once", 4)
         .map(|n| n as usize);
-    let rests =
+    let retry_after_faults =
         number("rests", "Instances that ask for rest or leave beside those", 4).map(|n| n as usize);
     let recovers_within =
         number("recovers-within", "Seconds until all is served again", 12).map(secs);
-    let new_lives = bpaf::long("earlier-faults")
+    let with_engine_restarts = bpaf::long("earlier-faults")
         .help("Without engines that start again under their ids, as seeds were played before")
         .switch()
         .map(|is_earlier| !is_earlier);
-    let copies = bpaf::long("no-copies")
+    let with_store_restores = bpaf::long("no-copies")
         .help("Without a store that comes back from copies")
         .switch()
         .map(|is_without| !is_without);
-    let ends_instances = bpaf::long("ending")
+    let with_crashing_requests = bpaf::long("ending")
         .help("With a request that ends whoever begins to run it, asked again and again")
         .switch();
     let options = bpaf::construct!(Options {
@@ -73,13 +73,13 @@
         size,
         callers,
         length,
-        new_lives,
-        copies,
-        ends_instances,
+        with_engine_restarts,
+        with_store_restores,
+        with_crashing_requests,
         planned,
         silences,
         limits,
-        rests,
+        retry_after_faults,
         recovers_within
     });
     let first = number("first", "The first seed", 1);
--- a/crates/workshold-soak/src/run.rs
+++ b/crates/workshold-soak/src/run.rs
@@ -54,11 +54,11 @@
     /// Length of the period in which faults start.
     pub length: Duration,
     /// Whether engines also restart under their ids, in addition to the other faults.
-    pub new_lives: bool,
-    /// Whether the store is also restored from backups; this includes `new_lives`.
-    pub copies: bool,
+    pub with_engine_restarts: bool,
+    /// Whether the store is also restored from backups; this includes `with_engine_restarts`.
+    pub with_store_restores: bool,
     /// Whether requests that crash any instance which runs them are sent to all nodes.
-    pub ends_instances: bool,
+    pub with_crashing_requests: bool,
     /// Length of the period of planned work after the faults.
     pub planned: Duration,
     /// Number of silences of the store after the planned work, each followed by a new
@@ -67,7 +67,7 @@
     /// Number of rate limits that instances announce after the silences.
     pub limits: usize,
     /// Number of instances that send Retry-After or announce a departure during the rate limits.
-    pub rests: usize,
+    pub retry_after_faults: usize,
     /// Every node has to serve again within this time after the last fault.
     pub recovers_within: Duration,
 }
@@ -150,13 +150,13 @@
     tokio::time::sleep(FAULT_FREE_PERIOD).await;
     let started_at = Instant::now();
     let mut ending = JoinSet::new();
-    if options.ends_instances {
+    if options.with_crashing_requests {
         load.spawn(Arc::clone(&harness.callers).send_crash_requests(seed));
         ending.spawn(Arc::clone(&harness.fleet).replace_crashed());
     }
     let draw = match options {
-        Options { copies: true, .. } => plan::draw_with_restores,
-        Options { new_lives: true, .. } => plan::draw_with_restarts,
+        Options { with_store_restores: true, .. } => plan::draw_with_restores,
+        Options { with_engine_restarts: true, .. } => plan::draw_with_restarts,
         _ => plan::draw,
     };
     inject_faults(&harness, draw(seed, options.length)).await;
@@ -179,7 +179,10 @@
         let limits = run_rate_limits(&harness, plan::draw_limits(seed, options.limits));
         tokio::join!(
             limits,
-            run_retry_after_faults(&harness, plan::draw_retry_after_faults(seed, options.rests))
+            run_retry_after_faults(
+                &harness,
+                plan::draw_retry_after_faults(seed, options.retry_after_faults)
+            )
         );
         restart_each_node(&harness).await;
     }
@@ -318,9 +321,9 @@
 }
 
 /// Makes instances refuse with Retry-After, or announce their departure.
-async fn run_retry_after_faults(harness: &Arc<Harness>, rests: Vec<RetryAfterFault>) {
+async fn run_retry_after_faults(harness: &Arc<Harness>, retry_after_faults: Vec<RetryAfterFault>) {
     let mut under_way = JoinSet::new();
-    for RetryAfterFault { delay, duration, tenths, target } in rests {
+    for RetryAfterFault { delay, duration, tenths, target } in retry_after_faults {
         tokio::time::sleep(delay).await;
         let fleet = Arc::clone(&harness.fleet);
         under_way.spawn(async move {
